--- a/packages/bench/src/medlarspring_bench/experiment/turns.py
+++ b/packages/bench/src/medlarspring_bench/experiment/turns.py
@@ -24,7 +24,7 @@
 from medlarspring_bench.platform_world.worker_model import TaskFacts
 from medlarspring_bench.platform_world.world import World
 from medlarspring_tables import PoolId
-from medlarspring_tables.scheduling import JobSpec, Room, StepSpec
+from medlarspring_tables.scheduling import JobSpec, Resources, StepSpec
 
 if TYPE_CHECKING:
     from medlarspring_bench.platform_world.checks import Breach
@@ -86,7 +86,7 @@
             pools=tuple(f"pool-{name}" for name in names),
             vms_per_pool=self.vms_per_pool,
             standby_vms=self.standby_vms,
-            room=Room(VM_MILLIS, 65_536, 0),
+            resources=Resources(VM_MILLIS, 65_536, 0),
             queues=tuple(QueuePlan(name, f"pool-{name}") for name in names),
         )
 
--- a/packages/bench/src/medlarspring_bench/measure/turn_overload.py
+++ b/packages/bench/src/medlarspring_bench/measure/turn_overload.py
@@ -22,7 +22,7 @@
 from medlarspring_systems.scheduling.ordering import rank_step
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_systems.scheduling.runs import end_run
-from medlarspring_systems.scheduling.workers import take_entry
+from medlarspring_systems.scheduling.workers import apply_entry
 from medlarspring_tables import JobId, PoolId, RackId, Revision, VMId, ZoneId
 from medlarspring_tables.scheduling import (
     JobOutcome,
@@ -32,7 +32,7 @@
     PoolPolicy,
     QueueId,
     QueuePolicy,
-    Room,
+    Resources,
     RunEnd,
     RunState,
     StepSpec,
@@ -59,7 +59,7 @@
     stretch=1.6,
     allowance_ms=600,
 )
-VM_ROOM = Room(32_000, 65_536, 0)
+VM_ROOM = Resources(32_000, 65_536, 0)
 TURN_SECONDS = 4.0
 SETTLE_SECONDS = 12.0
 """After the turn; jobs that end later are of no use to anybody."""
@@ -268,14 +268,14 @@
             zone_id=ZoneId("zone-a"),
             address="127.0.0.1:1",
             condition=WorkerCondition.READY,
-            room=VM_ROOM,
+            resources=VM_ROOM,
             labels=(),
             rack_id=RackId(f"r1-{number // 8}"),
             clock_ms=0,
         )
-        worker = take_entry(tables, entry, 0.0)
+        worker = apply_entry(tables, entry, 0.0)
         assert worker is not None
-        worker.settled = True
+        worker.reconciled = True
     return tables
 
 
--- a/packages/bench/src/medlarspring_bench/platform_world/faults.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/faults.py
@@ -7,7 +7,7 @@
 
 from medlarspring_bench.platform_world.weather import StoreMood
 from medlarspring_bench.platform_world.worker_model import Temper
-from medlarspring_tables.scheduling import Room
+from medlarspring_tables.scheduling import Resources
 
 if TYPE_CHECKING:
     import random
@@ -142,11 +142,13 @@
     """Let a worker's room shrink for a while, and grow again."""
     vm = scene.world.fleet.vms_by_id[scene.choose_vm()]
     part = scene.rng.uniform(0.1, 0.7)
-    smaller = Room(round(vm.room.cpu_millis * part), round(vm.room.memory_mb * part))
+    smaller = Resources(
+        round(vm.resources.cpu_millis * part), round(vm.resources.memory_mb * part)
+    )
     scene.world.fleet.resize(vm.id, smaller)
     await asyncio.sleep(scene.rng.uniform(2.0, 8.0))
     if vm.id in scene.world.fleet.vms_by_id:
-        scene.world.fleet.resize(vm.id, vm.room)
+        scene.world.fleet.resize(vm.id, vm.resources)
 
 
 async def spoil_worker(scene: Scene) -> None:
--- a/packages/bench/src/medlarspring_bench/platform_world/fleet_model.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/fleet_model.py
@@ -15,7 +15,7 @@
 from medlarspring_bench.platform_world.virtual_time import spawn_apart
 from medlarspring_bench.platform_world.worker_model import WorkerModel
 from medlarspring_tables import PoolId, RackId, VMId, ZoneId
-from medlarspring_tables.scheduling import Room, VMEntry, VMPhase, WorkerId
+from medlarspring_tables.scheduling import Resources, VMEntry, VMPhase, WorkerId
 
 if TYPE_CHECKING:
     import random
@@ -54,7 +54,7 @@
     zone: str
     rack: str
     pool_id: PoolId
-    room: Room
+    resources: Resources
     phase: VMPhase = VMPhase.UP
     worker: WorkerModel | None = None
     maintained_for: set[str] = field(default_factory=set)
@@ -90,7 +90,9 @@
         self._history = history
         self._standby_pools = standby_pools
         self._unguarded_pools = unguarded_pools
-        self._rooms: dict[tuple[WorkerId, Milliseconds], list[tuple[Seconds, Room]]]
+        self._rooms: dict[
+            tuple[WorkerId, Milliseconds], list[tuple[Seconds, Resources]]
+        ]
         self._rooms = {}
         """Rooms that a life of a worker told, and when."""
         self._find_facts = find_facts
@@ -103,9 +105,11 @@
         self._timers: set[asyncio.Task[None]] = set()
         self._runs: dict[tuple[WorkerId, str, int], RunHistory] = {}
 
-    def add_vm(self, vm_id: str, zone: str, rack: str, pool: str, room: Room) -> None:
+    def add_vm(
+        self, vm_id: str, zone: str, rack: str, pool: str, resources: Resources
+    ) -> None:
         """Add a VM that is up."""
-        vm = VMModel(VMId(vm_id), zone, rack, PoolId(pool), room)
+        vm = VMModel(VMId(vm_id), zone, rack, PoolId(pool), resources)
         self.vms_by_id[vm.id] = vm
         self._boot(vm)
 
@@ -118,7 +122,7 @@
                 phase=VMPhase.UP if vm.unseen else vm.phase,
                 zone_id=ZoneId(vm.zone),
                 rack_id=RackId(vm.rack),
-                room=vm.room,
+                resources=vm.resources,
                 worker_id=vm.worker.id if vm.worker else None,
             )
             for vm in self.vms_by_id.values()
@@ -200,11 +204,11 @@
         if self.workers_by_id[worker.id] is worker:
             self._unregister(worker)
 
-    def resize(self, vm_id: VMId, room: Room) -> None:
+    def resize(self, vm_id: VMId, resources: Resources) -> None:
         """Let a worker's room shrink or grow, in the middle of its life."""
         worker = self.vms_by_id[vm_id].worker
         if worker is not None:
-            worker.room = room
+            worker.resources = resources
             self._register_if_alive(worker)
 
     def remove(self, vm_id: VMId) -> None:
@@ -272,14 +276,14 @@
             pool_id=vm.pool_id,
             rack=vm.rack,
             address=self._find_address(vm.id),
-            room=vm.room,
+            resources=vm.resources,
             labels=("a", vm.rack),
             find_facts=self._find_facts,
             on_start=self._note_start,
             on_end=self._note_end,
             on_acknowledge=self._note_acknowledged,
             on_crash=self._crash_later,
-            guards_room=vm.pool_id not in self._unguarded_pools,
+            enforces_resources=vm.pool_id not in self._unguarded_pools,
             clock_offset=self._rng.uniform(100.0, 9_000.0),
             clock_rate=self._rng.uniform(0.981, 1.0),
             born_at=self._clock.now(),
@@ -318,15 +322,15 @@
 
     def _register(self, worker: WorkerModel) -> None:
         told = self._rooms.setdefault((worker.id, worker.born_ms), [])
-        told.append((self._clock.now(), worker.room))
+        told.append((self._clock.now(), worker.resources))
         entry = {
             "service": worker.pool_id,
             "address": worker.address,
             "zone": self.vms_by_id[worker.vm_id].zone,
             "state": "draining" if worker.draining else "ready",
             "capacity": {
-                "cpu": worker.room.cpu_millis,
-                "memMb": worker.room.memory_mb,
+                "cpu": worker.resources.cpu_millis,
+                "memMb": worker.resources.memory_mb,
                 "gpu": 0,
             },
             "labels": list(worker.labels),
@@ -358,7 +362,9 @@
         )
         self._runs[(worker.id, order.task_id, order.run)] = record
         self._history.add_run(record)
-        record.over_room = not worker.guards_room and self._is_over_room(worker, order)
+        record.over_room = not worker.enforces_resources and self._is_over_room(
+            worker, order
+        )
 
     def _is_over_room(self, worker: WorkerModel, order: StartOrder) -> bool:
         """Tell whether a start takes more than each room that still counts."""
@@ -368,10 +374,10 @@
             return False
         since = self._clock.now() - SHRUNK_SECONDS
         before = [each for each in told if each[0] <= since]
-        rooms = [room for _, room in [*before[-1:], *told[len(before) :]]]
+        rooms = [resources for _, resources in [*before[-1:], *told[len(before) :]]]
         needed = worker.measure_with(facts.spec)
-        most_cpu = max(room.cpu_millis for room in rooms)
-        most_memory = max(room.memory_mb for room in rooms)
+        most_cpu = max(resources.cpu_millis for resources in rooms)
+        most_memory = max(resources.memory_mb for resources in rooms)
         return needed.cpu_millis > most_cpu or needed.memory_mb > most_memory
 
     def _note_end(self, worker: WorkerModel, run: WorkerRun, end: RunEnd) -> None:
--- a/packages/bench/src/medlarspring_bench/platform_world/http_fleet.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/http_fleet.py
@@ -218,9 +218,9 @@
         "zone": vm.zone_id,
         "labels": ["a", vm.rack_id],
         "capacity": {
-            "cpu": vm.room.cpu_millis,
-            "memMb": vm.room.memory_mb,
-            "gpu": vm.room.accelerators,
+            "cpu": vm.resources.cpu_millis,
+            "memMb": vm.resources.memory_mb,
+            "gpu": vm.resources.accelerators,
         },
         "id": vm.worker_id or "",
     }
--- a/packages/bench/src/medlarspring_bench/platform_world/plans.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/plans.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from medlarspring_bench.key_value_ops import PutOp
-from medlarspring_tables.scheduling import Room
+from medlarspring_tables.scheduling import Resources
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -40,7 +40,7 @@
     vms_per_pool: int = 4
     standby_vms: int = 3
     zones: int = 2
-    room: Room = Room(16_000, 32_768, 0)
+    resources: Resources = Resources(16_000, 32_768, 0)
     unguarded_pools: tuple[str, ...] = ()
     """Pools whose workers start whatever they are told."""
     queues: tuple[QueuePlan, ...] = (
@@ -88,7 +88,9 @@
         pool_number = number // plan.vms_per_pool
         is_pooled = pool_number < len(plan.pools)
         pool = plan.pools[pool_number] if is_pooled else STANDBY_POOL
-        fleet.add_vm(vm_id, f"zone-{zone}", f"r{zone}-{number // 4}", pool, plan.room)
+        fleet.add_vm(
+            vm_id, f"zone-{zone}", f"r{zone}-{number // 4}", pool, plan.resources
+        )
 
 
 def order_wave(
--- a/packages/bench/src/medlarspring_bench/platform_world/worker_model.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/worker_model.py
@@ -14,7 +14,7 @@
     StartOrder,
     StopOrder,
 )
-from medlarspring_tables.scheduling import EndedRow, Room, RunEnd, RunningRow
+from medlarspring_tables.scheduling import EndedRow, Resources, RunEnd, RunningRow
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -73,7 +73,7 @@
     pool_id: PoolId
     rack: str
     address: str
-    room: Room
+    resources: Resources
     labels: tuple[str, ...]
     find_facts: Callable[[str], TaskFacts | None]
     on_start: Callable[[WorkerModel, StartOrder], None]
@@ -96,7 +96,7 @@
     acknowledged: int = 0
     lapsed_at: Seconds = float("-inf")
     """When a lease last ran out, with or without runs under it."""
-    guards_room: bool = True
+    enforces_resources: bool = True
     """Whether it refuses what does not fit; others start whatever they are told."""
     refused_up_to: dict[str, int] = field(default_factory=dict)
     """Highest run number stopped or ended, by task."""
@@ -123,7 +123,7 @@
         facts = self.find_facts(order.task_id)
         if facts is None:
             return OrderAnswer(clock, Refusal.INVALID)
-        if self.guards_room and not self._has_room(facts.spec):
+        if self.enforces_resources and not self._has_room(facts.spec):
             return OrderAnswer(clock, Refusal.ROOM)
         self.on_start(self, order)
         self.runs[(order.task_id, order.run)] = WorkerRun(
@@ -214,10 +214,10 @@
         capped = min(until_ms, clock_ms + HOLD_MAX_MS)
         self.lease_ms = max(self.lease_ms, capped)
 
-    def measure_with(self, spec: StepSpec) -> Room:
+    def measure_with(self, spec: StepSpec) -> Resources:
         """Return what all runs and one more hold; those being stopped count too."""
         specs = [spec, *(run.facts.spec for run in self.runs.values())]
-        return Room(
+        return Resources(
             sum(each.cpu_millis for each in specs if not each.uses_leftover),
             sum(each.memory_mb for each in specs),
         )
@@ -225,8 +225,8 @@
     def _has_room(self, spec: StepSpec) -> bool:
         needed = self.measure_with(spec)
         return (
-            needed.cpu_millis <= self.room.cpu_millis
-            and needed.memory_mb <= self.room.memory_mb
+            needed.cpu_millis <= self.resources.cpu_millis
+            and needed.memory_mb <= self.resources.memory_mb
         )
 
 
--- a/packages/bench/src/medlarspring_bench/platform_world/world.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/world.py
@@ -28,7 +28,7 @@
 from medlarspring_daemon.scheduling.context import SchedulingNode
 from medlarspring_daemon.scheduling.service import create_scheduling_service
 from medlarspring_platform.operator_records import PlatformCodec
-from medlarspring_systems.scheduling.waiting import list_forgotten
+from medlarspring_systems.scheduling.waiting import list_unqueued_tasks
 from medlarspring_tables import EntryVMId, PoolId
 from medlarspring_tables.scheduling import FleetLimits
 
@@ -254,7 +254,7 @@
             now = self.clock.now()
             for node in self.nodes_by_name.values():
                 for tables in node.service.list_tables():
-                    for task in list_forgotten(tables):
+                    for task in list_unqueued_tasks(tables):
                         self.history.forgotten_at.setdefault(task.id, now)
             await asyncio.sleep(WATCH_SECONDS)
 
--- a/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
@@ -29,7 +29,7 @@
 from medlarspring_daemon.scheduling.worker_link import WorkerLink
 from medlarspring_daemon.scheduling.worker_lives import WorkerLives
 from medlarspring_daemon.tasks import Tasks
-from medlarspring_systems.scheduling.crashes import note_worker_end
+from medlarspring_systems.scheduling.crashes import record_worker_end
 from medlarspring_systems.scheduling.jobs import (
     cancel_job,
     forget_job,
@@ -39,7 +39,7 @@
 from medlarspring_systems.scheduling.repair import plan_repairs
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_systems.scheduling.runs import detach_run
-from medlarspring_systems.scheduling.workers import begin_life, is_overfull
+from medlarspring_systems.scheduling.workers import begin_incarnation, is_overcommitted
 from medlarspring_tables.scheduling import (
     RunState,
     WorkTables,
@@ -201,7 +201,7 @@
             link = WorkerLink(self._node, self._tenure, self, worker)
             self._links_by_id[worker.id] = link
             link.start()
-        elif link is not None and not worker.settled:
+        elif link is not None and not worker.reconciled:
             link.look()
         self.plan(worker.pool_id)
 
@@ -223,8 +223,8 @@
         former_ms = worker.born_ms
         longest = self._node.limits.worker_lease
         now = self._node.clock.now()
-        verdict = note_worker_end(self.tables, worker, now)
-        over = begin_life(self.tables, worker, born_ms, longest, now)
+        verdict = record_worker_end(self.tables, worker, now)
+        over = begin_incarnation(self.tables, worker, born_ms, longest, now)
         log_started_again(self._node, worker, former_ms, len(over), verdict)
         for run in over:
             log_lost(self._node, run, "its worker started again")
@@ -232,7 +232,7 @@
         for job in verdict.jobs:
             self._settle_job(job)
 
-    def note_entry_gone(self, worker: Worker) -> None:
+    def record_entry_gone(self, worker: Worker) -> None:
         """Look whether a worker that the registry dropped is still alive."""
         if worker.runs or worker.unanswered_since:
             self.note_silent(worker)
@@ -319,7 +319,7 @@
             return
         link = self._links_by_id.get(run.worker.id)
         # Its room may have shrunk while the intent was being recorded.
-        closed = run.worker.gone or run.worker.draining or is_overfull(run.worker)
+        closed = run.worker.gone or run.worker.draining or is_overcommitted(run.worker)
         if link is None or closed:
             detach_run(self.tables, run, self._node.clock.now())
             self.note_changed(run.worker, run)
@@ -394,7 +394,7 @@
 
     def _repair(self, now: Seconds) -> None:
         repairs = plan_repairs(self.tables, now)
-        for worker in repairs.doubted:
+        for worker in repairs.quarantined:
             log_doubted(self._node, worker)
         for run, reason in repairs.stops:
             self.stop_run(run, reason)
--- a/packages/daemon/src/medlarspring_daemon/scheduling/load_report.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/load_report.py
@@ -11,9 +11,9 @@
 from medlarspring_adapters.metrics import Metric
 from medlarspring_adapters.store import Put, Transaction
 from medlarspring_systems.scheduling.jobs import is_waiting
-from medlarspring_systems.scheduling.placement import is_open
+from medlarspring_systems.scheduling.placement import is_schedulable
 from medlarspring_systems.scheduling.waiting import count_waiting
-from medlarspring_tables.scheduling import LoadRecord, WorkerDoubt
+from medlarspring_tables.scheduling import LoadRecord, QuarantineReason
 
 if TYPE_CHECKING:
     from medlarspring_daemon.scheduling.context import SchedulingNode
@@ -47,14 +47,14 @@
         workers = self._tables.workers_by_id.values()
         metrics.gauge(Metric.JOBS_OPEN, len(self._tables.jobs_by_id))
         metrics.gauge(
-            Metric.WORKERS_OPEN, sum(1 for each in workers if is_open(each, now))
+            Metric.WORKERS_OPEN, sum(1 for each in workers if is_schedulable(each, now))
         )
         metrics.gauge(
             Metric.WORKERS_SILENT, sum(1 for each in workers if each.unanswered_since)
         )
         metrics.gauge(
             Metric.WORKERS_DOUBTED,
-            sum(1 for each in workers if each.doubt is not WorkerDoubt.NONE),
+            sum(1 for each in workers if each.doubt is not QuarantineReason.NONE),
         )
         waiting, shut_out = count_waiting(self._tables, now)
         metrics.gauge(Metric.TASKS_WAITING, waiting)
--- a/packages/daemon/src/medlarspring_daemon/scheduling/run_log.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/run_log.py
@@ -11,12 +11,12 @@
 if TYPE_CHECKING:
     from medlarspring_adapters.worker_orders import Refusal
     from medlarspring_daemon.scheduling.context import SchedulingNode
-    from medlarspring_systems.scheduling.crashes import CrashVerdict
+    from medlarspring_systems.scheduling.crashes import CrashAssessment
     from medlarspring_tables import Revision, Seconds
     from medlarspring_tables.scheduling import (
         ActiveJob,
         Milliseconds,
-        Room,
+        Resources,
         Run,
         Worker,
     )
@@ -108,7 +108,7 @@
     worker: Worker,
     reason: str,
     vms_read_at: Seconds,
-    verdict: CrashVerdict,
+    verdict: CrashAssessment,
 ) -> None:
     """Log a worker whose life is over; called while its runs are still entered."""
     if not verdict.planned:
@@ -137,7 +137,7 @@
         worker=worker.id,
         vm=worker.vm_id,
         doubt=worker.doubt.value,
-        until=round(worker.doubted_until, 3),
+        until=round(worker.quarantined_until, 3),
         jobs=sorted(worker.failures_by_job),
     )
 
@@ -147,7 +147,7 @@
     worker: Worker,
     former_ms: Milliseconds,
     lost: int,
-    verdict: CrashVerdict,
+    verdict: CrashAssessment,
 ) -> None:
     """Log a worker that keeps its id over a restart."""
     node.log.warning(
@@ -163,16 +163,16 @@
 
 
 def log_resized(
-    node: SchedulingNode, worker: Worker, former: Room, revision: Revision
+    node: SchedulingNode, worker: Worker, former: Resources, revision: Revision
 ) -> None:
     """Log a worker whose room shrank or grew."""
     node.log.info(
         Event.WORKER_RESIZED,
         worker=worker.id,
         vm=worker.vm_id,
-        cpu=worker.room.cpu_millis,
-        memory=worker.room.memory_mb,
-        accelerators=worker.room.accelerators,
+        cpu=worker.resources.cpu_millis,
+        memory=worker.resources.memory_mb,
+        accelerators=worker.resources.accelerators,
         former_cpu=former.cpu_millis,
         former_memory=former.memory_mb,
         former_accelerators=former.accelerators,
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
@@ -10,10 +10,10 @@
 from medlarspring_adapters.events import Event
 from medlarspring_daemon.scheduling.run_log import log_resized
 from medlarspring_systems.scheduling.workers import (
-    is_former_life,
-    is_other_life,
-    note_entry_gone,
-    take_entry,
+    apply_entry,
+    is_ended_incarnation,
+    is_other_incarnation,
+    record_entry_gone,
 )
 from medlarspring_tables.scheduling import WorkerId
 
@@ -41,7 +41,7 @@
         """Note that a worker's entry is of another life than the one that is known."""
         ...
 
-    def note_entry_gone(self, worker: Worker) -> None:
+    def record_entry_gone(self, worker: Worker) -> None:
         """Look whether a worker that the registry dropped is still alive."""
         ...
 
@@ -107,11 +107,11 @@
         if known is not None and self._is_next_life(known, found):
             self._owner.note_started_again(known, found.born_ms)
         was_draining = known is not None and known.draining
-        former_room = found.room
+        former_room = found.resources
         if known is not None and known.address:
             # One that only records name has not told its room before.
-            former_room = known.room
-        worker = take_entry(tables, found, self._node.clock.now())
+            former_room = known.resources
+        worker = apply_entry(tables, found, self._node.clock.now())
         if worker is None:
             self._pass_over(found, entry)
             return
@@ -126,14 +126,14 @@
                 draining=worker.draining,
                 revision=entry.mod_revision,
             )
-        if worker.room != former_room:
+        if worker.resources != former_room:
             log_resized(self._node, worker, former_room, entry.mod_revision)
         self._owner.note_worker(worker)
 
     def _is_next_life(self, known: Worker, found: WorkerEntry) -> bool:
-        if is_former_life(self._owner.tables, found.id, found.born_ms):
+        if is_ended_incarnation(self._owner.tables, found.id, found.born_ms):
             return False
-        return is_other_life(known, found.born_ms)
+        return is_other_incarnation(known, found.born_ms)
 
     def _pass_over(self, found: WorkerEntry, entry: Entry) -> None:
         """Say once that an entry is not used; it may be rewritten each second."""
@@ -163,10 +163,10 @@
         worker = tables.workers_by_id.get(worker_id)
         if worker is None or not worker.listed:
             if worker is not None:
-                self._owner.note_entry_gone(worker)
+                self._owner.record_entry_gone(worker)
             return
-        note_entry_gone(tables, worker_id)
-        self._owner.note_entry_gone(worker)
+        record_entry_gone(tables, worker_id)
+        self._owner.record_entry_gone(worker)
 
 
 __all__ = ["WorkerFeed", "WorkerOwner"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
@@ -24,7 +24,6 @@
     log_unanswered,
 )
 from medlarspring_daemon.tasks import Tasks
-from medlarspring_systems.scheduling.evidence import note_accepted, note_refusal
 from medlarspring_systems.scheduling.late_orders import (
     note_unanswered_order,
     take_late_orders,
@@ -36,11 +35,12 @@
 )
 from medlarspring_systems.scheduling.listings import take_listing
 from medlarspring_systems.scheduling.placement import find_ticket
+from medlarspring_systems.scheduling.quarantine import record_acceptance, record_refusal
 from medlarspring_systems.scheduling.runs import confirm_run, detach_run
 from medlarspring_systems.scheduling.workers import (
-    is_former_life,
-    is_other_life,
-    note_clock,
+    is_ended_incarnation,
+    is_other_incarnation,
+    record_clock,
 )
 from medlarspring_tables.scheduling import RunState
 
@@ -179,7 +179,7 @@
             self._take_silence(run, answer.failure().may_follow, now)
             return
         self._note_answered(now)
-        note_clock(worker, answer.unwrap().clock_ms, now)
+        record_clock(worker, answer.unwrap().clock_ms, now)
         self._take_start_answer(run, answer.unwrap(), now)
 
     def _find_ticket(self, run: Run) -> str:
@@ -205,7 +205,7 @@
 
     def _take_start_answer(self, run: Run, answer: OrderAnswer, now: Seconds) -> None:
         if answer.refusal is None:
-            note_accepted(self._worker)
+            record_acceptance(self._worker)
             if run.state in (RunState.ORDERED, RunState.UNKNOWN):
                 confirm_run(run, now)
                 log_started(self._node, run)
@@ -216,7 +216,7 @@
             return
         log_refused(self._node, run, answer.refusal)
         if answer.refusal in (Refusal.UNHEALTHY, Refusal.ROOM):
-            note_refusal(self._worker, now)
+            record_refusal(self._worker, now)
         elif answer.refusal is Refusal.OTHER_LIFE:
             self._owner.note_silent(self._worker)
         elif answer.refusal is Refusal.TICKET:
@@ -243,7 +243,7 @@
         now = self._node.clock.now()
         if not is_successful(answer):
             return
-        note_clock(self._worker, answer.unwrap().clock_ms, now)
+        record_clock(self._worker, answer.unwrap().clock_ms, now)
         refusal = answer.unwrap().refusal
         if refusal is Refusal.FENCE:
             self._owner.note_superseded()
@@ -277,7 +277,7 @@
 
     def _is_needed(self) -> bool:
         worker = self._worker
-        if not worker.settled or worker.unanswered_since or self._look_now:
+        if not worker.reconciled or worker.unanswered_since or self._look_now:
             return True
         if self._ends.find_recorded():
             return True
@@ -345,18 +345,18 @@
             self._note_unanswered(now)
             return
         if answer.refusal is not None:
-            note_refusal(worker, now)
+            record_refusal(worker, now)
             self._note_unanswered(now)
             return
-        if is_former_life(self._owner.tables, worker.id, answer.born_ms):
+        if is_ended_incarnation(self._owner.tables, worker.id, answer.born_ms):
             # Said by a former life, and overtaken by the next one's entry.
             self._note_unanswered(now)
             return
         self._note_answered(now)
-        if is_other_life(worker, answer.born_ms):
+        if is_other_incarnation(worker, answer.born_ms):
             self._owner.note_started_again(worker, answer.born_ms)
         self._enter_life().note_listed(now)
-        note_clock(worker, answer.clock_ms, now)
+        record_clock(worker, answer.clock_ms, now)
         outcome = take_listing(
             self._owner.tables,
             worker,
@@ -365,8 +365,8 @@
             asked_at,
             now,
         )
-        first_look = not worker.settled
-        worker.settled = True
+        first_look = not worker.reconciled
+        worker.reconciled = True
         if first_look:
             self._refuse_late_orders(now)
         if first_look and worker.runs:
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_lives.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_lives.py
@@ -10,16 +10,16 @@
 from medlarspring_adapters.events import Event
 from medlarspring_daemon.scheduling.run_log import log_lost, log_worker_gone
 from medlarspring_systems.scheduling.crashes import (
-    may_have_crashed,
-    note_vanished,
-    note_worker_end,
+    may_have_caused_crash,
+    record_vanished_run,
+    record_worker_end,
 )
 from medlarspring_systems.scheduling.runs import detach_run
 from medlarspring_systems.scheduling.workers import (
-    end_life,
+    apply_vm_list,
+    end_incarnation,
+    have_recorded_runs_lapsed,
     is_lease_over,
-    is_record_over,
-    take_vms,
 )
 
 if TYPE_CHECKING:
@@ -80,13 +80,13 @@
             if self._has_lapsed(worker, now):
                 lost = list(worker.runs.values())
                 for run in lost:
-                    if may_have_crashed(run, now):
-                        note_vanished(run)
+                    if may_have_caused_crash(run, now):
+                        record_vanished_run(run)
                     detach_run(self._owner.tables, run, now)
                 self._give_up(lost, "lease lapsed")
 
     def _has_lapsed(self, worker: Worker, now: Seconds) -> bool:
-        if is_record_over(worker, self._node.limits.worker_lease, now):
+        if have_recorded_runs_lapsed(worker, self._node.limits.worker_lease, now):
             return True
         return bool(worker.unanswered_since) and is_lease_over(worker, now)
 
@@ -100,7 +100,7 @@
             )
             return
         tables = self._owner.tables
-        over = take_vms(tables, listed.unwrap(), self._asked_at)
+        over = apply_vm_list(tables, listed.unwrap(), self._asked_at)
         # Idle ones first: they tell an outage from what a task did.
         for worker in sorted(over, key=lambda worker: len(worker.runs)):
             self._end(worker, "its VM has ended this life")
@@ -108,9 +108,9 @@
     def _end(self, worker: Worker, reason: str) -> None:
         tables = self._owner.tables
         now = self._node.clock.now()
-        verdict = note_worker_end(tables, worker, now)
+        verdict = record_worker_end(tables, worker, now)
         log_worker_gone(self._node, worker, reason, tables.vms_read_at, verdict)
-        lost = end_life(tables, worker, now)
+        lost = end_incarnation(tables, worker, now)
         self._give_up(lost, reason)
         self._owner.drop_link(worker)
 
--- a/packages/daemon/tests/scheduling/test_resized_workers.py
+++ b/packages/daemon/tests/scheduling/test_resized_workers.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from medlarspring_bench.platform_world.plans import WorldPlan
-from medlarspring_tables.scheduling import Room
+from medlarspring_tables.scheduling import Resources
 
 from .stories import play, submit, wait_for_end
 
@@ -17,12 +17,12 @@
 SEED = 5
 SLOW_STORE_SECONDS = 0.2
 UNGUARDED = WorldPlan(unguarded_pools=WorldPlan().pools)
-TINY = Room(100, 100, 0)
+TINY = Resources(100, 100, 0)
 
 
-def resize_all(world: World, room: Room) -> None:
+def resize_all(world: World, resources: Resources) -> None:
     for vm_id in list(world.fleet.vms_by_id):
-        world.fleet.resize(vm_id, room)
+        world.fleet.resize(vm_id, resources)
 
 
 def test_start_that_was_decided_before_the_room_shrank_is_not_ordered():
@@ -43,7 +43,7 @@
         world.weather.store_seconds = 0.004
         await asyncio.sleep(3.0)
         assert world.history.runs == []
-        resize_all(world, world.plan.room)
+        resize_all(world, world.plan.resources)
         await wait_for_end(customers, jobs)
 
     play(story, SEED, plan=UNGUARDED)
@@ -58,7 +58,7 @@
         jobs = await submit(customers, 4)
         await asyncio.sleep(2.0)
         assert world.history.runs == []
-        resize_all(world, world.plan.room)
+        resize_all(world, world.plan.resources)
         async with asyncio.timeout(0.5):
             while not world.history.runs:
                 await asyncio.sleep(0.01)
--- a/packages/platform/src/medlarspring_platform/machines.py
+++ b/packages/platform/src/medlarspring_platform/machines.py
@@ -171,7 +171,7 @@
         phase=_PHASES_BY_WORD.get(machine.state, VMPhase.UNKNOWN),
         zone_id=ZoneId(machine.zone),
         rack_id=find_rack(machine.labels),
-        room=to_room(machine.capacity),
+        resources=to_room(machine.capacity),
         worker_id=WorkerId(machine.id) if machine.id else None,
     )
 
--- a/packages/platform/src/medlarspring_platform/operator_records.py
+++ b/packages/platform/src/medlarspring_platform/operator_records.py
@@ -17,7 +17,7 @@
     PoolPolicy,
     QueueId,
     QueuePolicy,
-    Room,
+    Resources,
     Route,
     WaveOrder,
     WorkerCondition,
@@ -142,9 +142,9 @@
 _worker_decoder = msgspec.json.Decoder(WireWorker)
 
 
-def to_room(room: WireRoom) -> Room:
+def to_room(resources: WireRoom) -> Resources:
     """Return the product's form of a capacity."""
-    return Room(room.cpu, room.mem_mb, room.gpu)
+    return Resources(resources.cpu, resources.mem_mb, resources.gpu)
 
 
 def find_rack(labels: list[str]) -> RackId:
@@ -219,7 +219,7 @@
                 zone_id=ZoneId(entry.zone),
                 address=entry.address,
                 condition=WorkerCondition(entry.state),
-                room=Room(
+                resources=Resources(
                     entry.capacity.cpu, entry.capacity.mem_mb, entry.capacity.gpu
                 ),
                 labels=tuple(entry.labels),
@@ -250,7 +250,7 @@
         pools_by_id={
             PoolId(service.name): PoolPolicy(
                 id=PoolId(service.name),
-                guards_room=service.rejects_overload,
+                enforces_resources=service.rejects_overload,
                 standby=service.standby,
             )
             for service in config.services
--- a/packages/platform/src/medlarspring_platform/workers.py
+++ b/packages/platform/src/medlarspring_platform/workers.py
@@ -43,8 +43,8 @@
     "failed": RunEnd.FAILED,
     "stopped": RunEnd.STOPPED,
     "lapsed": RunEnd.LAPSED,
-    "broken": RunEnd.BROKEN,
-    "alone": RunEnd.ALONE,
+    "broken": RunEnd.GANG_BROKEN,
+    "alone": RunEnd.GANG_INCOMPLETE,
 }
 _REFUSALS_BY_REASON = {
     "fence": Refusal.FENCE,
--- a/packages/platform/tests/adapter/conftest.py
+++ b/packages/platform/tests/adapter/conftest.py
@@ -20,7 +20,7 @@
 from medlarspring_platform.store import PlatformStore
 from medlarspring_platform.workers import PlatformWorkers
 from medlarspring_tables import PoolId, VMId
-from medlarspring_tables.scheduling import Room, StepSpec
+from medlarspring_tables.scheduling import Resources, StepSpec
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -28,7 +28,7 @@
     from medlarspring_bench.platform_world.worker_model import TaskFacts
 
 HOST = "127.0.0.1"
-ROOM = Room(4_000, 8_192, 0)
+ROOM = Resources(4_000, 8_192, 0)
 STEP = StepSpec(count=1, cpu_millis=1_000, memory_mb=512)
 
 
--- a/packages/platform/tests/adapter/test_foreign_records.py
+++ b/packages/platform/tests/adapter/test_foreign_records.py
@@ -90,8 +90,8 @@
     assert entry.vm_id
     assert entry.pool_id
     assert entry.zone_id
-    assert entry.room.cpu_millis > 0
-    assert min(entry.room.memory_mb, entry.room.accelerators) >= 0
+    assert entry.resources.cpu_millis > 0
+    assert min(entry.resources.memory_mb, entry.resources.accelerators) >= 0
     host, _, port = entry.address.rpartition(":")
     assert all(0 <= int(octet) <= 255 for octet in host.split("."))
     assert 0 < int(port) < 65_536
--- a/packages/platform/tests/adapter/test_operator_records.py
+++ b/packages/platform/tests/adapter/test_operator_records.py
@@ -44,7 +44,7 @@
     assert (queue.pool_id, queue.max_attempts, queue.allowance_ms) == ("s-1", 4, 600)
     assert queue.advice is not None
     assert queue.advice.per_worker_ms == 2
-    assert not config.pools_by_id[PoolId("s-1")].guards_room
+    assert not config.pools_by_id[PoolId("s-1")].enforces_resources
     assert config.pools_by_id[PoolId("s-2")].standby
 
 
--- a/packages/systems/src/medlarspring_systems/scheduling/advising.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/advising.py
@@ -14,7 +14,7 @@
 from medlarspring_systems.scheduling.placement import (
     find_ticket,
     has_ticket,
-    list_open_workers,
+    list_schedulable_workers,
 )
 from medlarspring_tables.scheduling import Ticket
 
@@ -30,7 +30,7 @@
 
 MAX_WORKERS = 30
 """Workers named in one call; the customers' objective counts on about so many."""
-FRESH_SECONDS = 0.3
+RECENT_START_SECONDS = 0.3
 """Advice that lapses sooner is asked for again."""
 
 
@@ -83,7 +83,7 @@
 
 def _ask_about(tables: WorkTables, step: StepRun, now: Seconds) -> Question | None:
     """Return a question about workers of whom nothing fresh is known."""
-    workers = list_open_workers(tables, step.job.queue.pool_id, now)
+    workers = list_schedulable_workers(tables, step.job.queue.pool_id, now)
     unknown = [worker for worker in workers if not _is_known(step, worker, now)]
     if not unknown:
         return None
@@ -97,12 +97,12 @@
 
 def _is_known(step: StepRun, worker: Worker, now: Seconds) -> bool:
     ticket = find_ticket(step, worker)
-    return ticket is not None and now < ticket.valid_until - FRESH_SECONDS
+    return ticket is not None and now < ticket.valid_until - RECENT_START_SECONDS
 
 
 def _count_places(step: StepRun, worker: Worker) -> int:
-    by_cpu = worker.cpu_free // max(step.room.cpu_millis, 1)
-    by_memory = worker.memory_free // max(step.room.memory_mb, 1)
+    by_cpu = worker.cpu_free // max(step.resources.cpu_millis, 1)
+    by_memory = worker.memory_free // max(step.resources.memory_mb, 1)
     return max(min(by_cpu, by_memory), 0)
 
 
--- a/packages/systems/src/medlarspring_systems/scheduling/availability.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/availability.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.scheduling.placement import fits, is_allowed, is_open
-from medlarspring_systems.scheduling.runs import is_at_work
+from medlarspring_systems.scheduling.placement import fits, is_allowed, is_schedulable
+from medlarspring_systems.scheduling.runs import is_serving
 
 if TYPE_CHECKING:
     from medlarspring_tables import Seconds
@@ -21,7 +21,7 @@
 def is_surely_at_work(task: Task, now: Seconds) -> bool:
     """Tell whether a long-running task serves, by a worker that answers."""
     return any(
-        is_at_work(run)
+        is_serving(run)
         and now - run.confirmed_at >= SEEN_SECONDS
         and not run.stopping
         and not run.worker.gone
@@ -49,7 +49,7 @@
     workers = tables.workers_by_pool.get(step.job.queue.pool_id, {}).values()
     return any(
         worker is not run.worker
-        and is_open(worker, now)
+        and is_schedulable(worker, now)
         and fits(step, worker)
         and is_allowed(step, worker, now)
         for worker in workers
--- a/packages/systems/src/medlarspring_systems/scheduling/demand.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/demand.py
@@ -46,7 +46,7 @@
     queue = steps[0].job.queue
     work = sum(
         step.spec.count
-        * step.room.cpu_millis
+        * step.resources.cpu_millis
         * expect_seconds(tables, queue.id, step.spec)
         for step in steps
         if not step.spec.long_running
--- a/packages/systems/src/medlarspring_systems/scheduling/estimates.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/estimates.py
@@ -26,11 +26,11 @@
 
 
 def expect_seconds(
-    tables: WorkTables, queue_id: QueueId, spec: StepSpec, seen_ms: float = 0.0
+    tables: WorkTables, queue_id: QueueId, spec: StepSpec, mean_duration_ms: float = 0.0
 ) -> Seconds:
     """Return the expected duration of one task of a step."""
-    if seen_ms > 0.0:
-        return seen_ms / 1_000.0
+    if mean_duration_ms > 0.0:
+        return mean_duration_ms / 1_000.0
     count, mean_log = tables.durations_by_queue.get(queue_id, (0.0, 0.0))
     if spec.estimate_ms <= 0:
         return (math.exp(mean_log) if count else DEFAULT_MS) / 1_000.0
@@ -45,7 +45,7 @@
     """Take over the duration of a run that went from its start to its end."""
     measured = max(milliseconds, 1.0)
     step.ended_runs += 1
-    step.seen_ms += (measured - step.seen_ms) / step.ended_runs
+    step.mean_duration_ms += (measured - step.mean_duration_ms) / step.ended_runs
     queue_id = step.job.queue.id
     count, mean_log = tables.durations_by_queue.get(queue_id, (0.0, 0.0))
     count = min(count + 1.0, MEMORY)
--- a/packages/systems/src/medlarspring_systems/scheduling/jobs.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/jobs.py
@@ -12,7 +12,7 @@
 from medlarspring_tables.scheduling import (
     ActiveJob,
     JobOutcome,
-    Room,
+    Resources,
     StepRun,
     Task,
 )
@@ -111,10 +111,10 @@
     for index, spec in enumerate(job.spec.steps):
         step = StepRun(job=job, occurrence=occurrence, index=index, spec=spec)
         step.objective_at = due_at + objective
-        step.given_up_at = due_at + LATE_FACTOR * objective
+        step.useful_until = due_at + LATE_FACTOR * objective
         step.remaining_path = paths[index]
         cpu = 0 if spec.uses_leftover else spec.cpu_millis
-        step.room = Room(cpu, spec.memory_mb, spec.accelerators)
+        step.resources = Resources(cpu, spec.memory_mb, spec.accelerators)
         prefix = f"{job.id}.{occurrence}.{index}"
         step.tasks = [
             Task(step=step, index=number, id=f"{prefix}.{number}", waiting_since=now)
@@ -136,7 +136,7 @@
     remaining = 0.0
     for step in reversed(steps):
         if not step.spec.long_running:
-            cores = step.room.cpu_millis / 1_000.0
+            cores = step.resources.cpu_millis / 1_000.0
             remaining += step.spec.count * cores * step.expected
         step.remaining_work = remaining
 
--- a/packages/systems/src/medlarspring_systems/scheduling/lease_plan.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/lease_plan.py
@@ -31,7 +31,7 @@
 
 def plan_wait(worker: Worker, *, look_now: bool) -> Milliseconds:
     """Return how long the worker may hold its answer back."""
-    if look_now or not worker.settled or worker.unanswered_since:
+    if look_now or not worker.reconciled or worker.unanswered_since:
         return 0
     if not worker.runs:
         return 0
--- a/packages/systems/src/medlarspring_systems/scheduling/listings.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/listings.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.scheduling.crashes import note_vanished
-from medlarspring_systems.scheduling.evidence import note_failure, note_success
+from medlarspring_systems.scheduling.crashes import record_vanished_run
+from medlarspring_systems.scheduling.quarantine import record_failure, record_success
 from medlarspring_systems.scheduling.runs import (
     attach_run,
     confirm_run,
     detach_run,
     end_run,
-    note_end_done,
+    record_task_or_gang_done,
 )
 from medlarspring_tables.scheduling import Run, RunEnd, RunState
 
@@ -66,9 +66,9 @@
     """
     outcome = ListingOutcome()
     for row in sorted(ended, key=lambda row: row.number):
-        if row.number > worker.listed_through:
+        if row.number > worker.last_end_number:
             _take_end(tables, worker, row, outcome, now)
-            worker.listed_through = row.number
+            worker.last_end_number = row.number
     listed = set()
     for listed_run in running:
         listed.add((listed_run.task_id, listed_run.run))
@@ -90,9 +90,9 @@
         outcome.ends.append((row.number, _take_stray_end(tables, row, now)))
         return
     if row.end is RunEnd.DONE:
-        note_success(worker)
+        record_success(worker)
     elif row.end is RunEnd.FAILED and not run.stopping:
-        outcome.newly_doubted |= note_failure(tables, run, now)
+        outcome.newly_doubted |= record_failure(tables, run, now)
     end_run(tables, run, row.end, row.checkpoint, now)
     outcome.ended.append((run, row.end))
     outcome.ends.append((row.number, run.task.step.job))
@@ -110,7 +110,7 @@
     if task is None:
         return None
     if row.end is RunEnd.DONE and not task.step.spec.long_running:
-        note_end_done(tables, task, now)
+        record_task_or_gang_done(tables, task, now)
     task.last_run = max(task.last_run, row.run)
     return task.step.job
 
@@ -133,7 +133,7 @@
         confirm_run(run, now)
         outcome.confirmed.append(run)
     run.absent_since = 0.0
-    run.listed_life_ms = worker.born_ms
+    run.listed_born_ms = worker.born_ms
     run.gauge = row.gauge
     if row.percent != run.percent:
         run.percent = row.percent
@@ -177,7 +177,7 @@
                 continue
         if settled_at < asked_at:
             if run.state is RunState.RUNNING or _is_of_other_life(run):
-                note_vanished(run)
+                record_vanished_run(run)
             detach_run(tables, run, now)
             outcome.lost.append(run)
 
--- a/packages/systems/src/medlarspring_systems/scheduling/maintenance.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/maintenance.py
@@ -127,7 +127,7 @@
     worker = find_worker_of(tables, vm)
     if worker is None:
         return (0.0, 0.0, 0.0)
-    busy = worker.room.cpu_millis - worker.cpu_free
+    busy = worker.resources.cpu_millis - worker.cpu_free
     return (1.0 if worker.runs else 0.0, float(worker.long_runs), float(busy))
 
 
--- a/packages/systems/src/medlarspring_systems/scheduling/ordering.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/ordering.py
@@ -36,12 +36,12 @@
 
 A job is not put last for a miss that its estimate's error may explain.
 """
-CALM_SECONDS = 0.5
+LIGHT_BACKLOG_SECONDS = 0.5
 """Up to so much waiting work sizes do not count: it is done within what a short job's
 objective leaves it to wait. With 0 a pool that was just full lost 0.04 of its worth."""
-OVERLOAD_SECONDS = 1.5
+FULL_OVERLOAD_SECONDS = 1.5
 """A pool with so much waiting work counts as overloaded in full."""
-SECONDS_PER_VM_SECOND = 2.0
+SIZE_PENALTY = 2.0
 """Under full overload a step goes back so many seconds for each second of a whole VM
 that it takes. With 1.0 the replayed turn of short jobs gave 0.02 less of the worth."""
 
@@ -54,19 +54,21 @@
     """
     cores = largest = 0.0
     for worker in workers:
-        cores += worker.room.cpu_millis / 1_000.0
-        largest = max(largest, worker.room.cpu_millis / 1_000.0)
+        cores += worker.resources.cpu_millis / 1_000.0
+        largest = max(largest, worker.resources.cpu_millis / 1_000.0)
     if not cores:
         return 0.0
     waiting = sum(
-        len(step.waiting) * step.room.cpu_millis / 1_000.0 * step.expected
+        len(step.waiting) * step.resources.cpu_millis / 1_000.0 * step.expected
         for step in ready
         if not step.spec.long_running
     )
     backlog = waiting / cores
-    beyond = (backlog - CALM_SECONDS) / (OVERLOAD_SECONDS - CALM_SECONDS)
-    overload = min(max(beyond, 0.0), 1.0)
-    return overload * SECONDS_PER_VM_SECOND / largest
+    excess = (backlog - LIGHT_BACKLOG_SECONDS) / (
+        FULL_OVERLOAD_SECONDS - LIGHT_BACKLOG_SECONDS
+    )
+    overload = min(max(excess, 0.0), 1.0)
+    return overload * SIZE_PENALTY / largest
 
 
 def rank_step(step: StepRun, now: Seconds, size_weight: float = 0.0) -> Rank:
@@ -79,7 +81,7 @@
     if now <= latest_start + slack:
         size = size_weight * step.remaining_work
         return (TIER_ON_TIME, priority, latest_start + size)
-    latest_useful = step.given_up_at - step.remaining_path
+    latest_useful = step.useful_until - step.remaining_path
     if now <= latest_useful:
         return (TIER_LATE, priority, step.remaining_work)
     return (TIER_OVERDUE, priority, step.ready_at)
--- a/packages/systems/src/medlarspring_systems/scheduling/placement.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/placement.py
@@ -5,9 +5,12 @@
 import heapq
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.scheduling.evidence import may_take_probe
-from medlarspring_systems.scheduling.trials import keeps_apart, measure_unsteadiness
-from medlarspring_tables.scheduling import WorkerDoubt
+from medlarspring_systems.scheduling.isolation import (
+    measure_unstable_time,
+    preserves_isolation,
+)
+from medlarspring_systems.scheduling.quarantine import is_probe_due
+from medlarspring_tables.scheduling import QuarantineReason
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -25,32 +28,32 @@
 """The smallest is best."""
 
 
-def is_open(worker: Worker, now: Seconds) -> bool:
+def is_schedulable(worker: Worker, now: Seconds) -> bool:
     """Tell whether a worker takes new tasks at all."""
     if not worker.listed or worker.draining or worker.reserved:
         return False
-    if worker.gone or not worker.settled or worker.unanswered_since:
+    if worker.gone or not worker.reconciled or worker.unanswered_since:
         return False
-    if worker.doubt is WorkerDoubt.NONE:
+    if worker.doubt is QuarantineReason.NONE:
         return True
-    return may_take_probe(worker, now)
+    return is_probe_due(worker, now)
 
 
-def list_open_workers(
+def list_schedulable_workers(
     tables: WorkTables, pool_id: PoolId, now: Seconds
 ) -> list[Worker]:
     """Return the workers of a pool that take new tasks."""
     pool = tables.workers_by_pool.get(pool_id, {}).values()
-    return [worker for worker in pool if is_open(worker, now)]
+    return [worker for worker in pool if is_schedulable(worker, now)]
 
 
 def fits(step: StepRun, worker: Worker) -> bool:
     """Tell whether a worker has room for one more task of the step."""
-    room = step.room
+    resources = step.resources
     return (
-        room.cpu_millis <= worker.cpu_free
-        and room.memory_mb <= worker.memory_free
-        and room.accelerators <= worker.accelerators_free
+        resources.cpu_millis <= worker.cpu_free
+        and resources.memory_mb <= worker.memory_free
+        and resources.accelerators <= worker.accelerators_free
     )
 
 
@@ -79,7 +82,7 @@
     return ticket if ticket is not None and ticket.life_ms == worker.born_ms else None
 
 
-def rate(step: StepRun, task: Task, worker: Worker) -> Score:
+def score_worker(step: StepRun, task: Task, worker: Worker) -> Score:
     """Return how good a worker is for a task; the smallest is best.
 
     A task that failed on a VM goes elsewhere, so that a failing worker does not
@@ -92,16 +95,16 @@
     rack = step.rack_id if spec.same_rack else spec.data_rack
     far = float(bool(rack) and worker.rack_id != rack)
     slow = float(worker.slowness >= SLOW_RATIO)
-    crowding = float(spec.uses_leftover and _serves_with_target(worker))
+    crowding = float(spec.uses_leftover and _has_latency_target(worker))
     releasable = float(not worker.long_runs)
     if spec.long_running:
         return (failed, far, slow, crowding, releasable, worker.cpu_free)
     empty = float(not worker.runs)
-    apart = _is_apart(step, worker)
-    return (failed, far, slow, crowding, releasable, empty, apart, worker.cpu_free)
+    other_zone = _rate_zone(step, worker)
+    return (failed, far, slow, crowding, releasable, empty, other_zone, worker.cpu_free)
 
 
-def _is_apart(step: StepRun, worker: Worker) -> float:
+def _rate_zone(step: StepRun, worker: Worker) -> float:
     """Rate a worker outside the availability zone that the job's tasks share.
 
     A job is late when one of its tasks is. Spread at random over six zones, three of
@@ -112,7 +115,7 @@
     return float(bool(zone_id) and worker.zone_id != zone_id)
 
 
-def _serves_with_target(worker: Worker) -> bool:
+def _has_latency_target(worker: Worker) -> bool:
     """Tell whether a task that fills would sit beside one with a latency target."""
     return worker.long_runs > 0 and any(
         run.task.step.spec.latency_target_ms for run in worker.runs.values()
@@ -130,31 +133,31 @@
     best: Worker | None = None
     best_score: Score = ()
     for worker in workers:
-        if not may_take(step, task, worker, now):
+        if not can_start_on(step, task, worker, now):
             continue
-        score = rate(step, task, worker)
+        score = score_worker(step, task, worker)
         if task.is_suspect:
-            score = (*_rate_as_witness(worker, now), *score)
+            score = (*_rate_for_suspect(worker, now), *score)
         if best is None or score < best_score:
             best, best_score = worker, score
     return best
 
 
-def _rate_as_witness(worker: Worker, now: Seconds) -> Score:
+def _rate_for_suspect(worker: Worker, now: Seconds) -> Score:
     """Rate what a crash on a worker would tell, and whom it would hit."""
-    return (measure_unsteadiness(worker, now), float(len(worker.runs)))
+    return (measure_unstable_time(worker, now), float(len(worker.runs)))
 
 
-def may_take(step: StepRun, task: Task, worker: Worker, now: Seconds) -> bool:
+def can_start_on(step: StepRun, task: Task, worker: Worker, now: Seconds) -> bool:
     """Tell whether an open worker may take the task now."""
     if not fits(step, worker) or not is_allowed(step, worker, now):
         return False
     if any(run.worker is worker for run in task.runs):
         return False
-    return keeps_apart(task, worker, now)
+    return preserves_isolation(task, worker, now)
 
 
-class WorkerChoice:
+class WorkerRanking:
     """The open workers for the tasks of one step, the best first.
 
     Tasks of a step resemble each other: what is best for one is best for the next,
@@ -182,10 +185,10 @@
         while self._heap:
             score, place = self._heap[0]
             worker = self._workers[place]
-            if not may_take(self._step, task, worker, self._now):
+            if not can_start_on(self._step, task, worker, self._now):
                 heapq.heappop(self._heap)
                 continue
-            present = rate(self._step, task, worker)
+            present = score_worker(self._step, task, worker)
             if present == score:
                 return worker
             heapq.heapreplace(self._heap, (present, place))
@@ -193,23 +196,23 @@
 
     def _build(self, task: Task) -> list[tuple[Score, int]]:
         heap = [
-            (rate(self._step, task, worker), place)
+            (score_worker(self._step, task, worker), place)
             for place, worker in enumerate(self._workers)
-            if may_take(self._step, task, worker, self._now)
+            if can_start_on(self._step, task, worker, self._now)
         ]
         heapq.heapify(heap)
         return heap
 
 
 __all__ = [
-    "WorkerChoice",
+    "WorkerRanking",
     "choose_worker",
     "find_ticket",
     "fits",
     "has_ticket",
     "is_allowed",
-    "is_open",
-    "list_open_workers",
-    "may_take",
-    "rate",
+    "is_schedulable",
+    "list_schedulable_workers",
+    "can_start_on",
+    "score_worker",
 ]
--- a/packages/systems/src/medlarspring_systems/scheduling/pool_needs.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/pool_needs.py
@@ -8,9 +8,9 @@
 from medlarspring_systems.scheduling.demand import find_slack, project_demand
 from medlarspring_systems.scheduling.estimates import expect_seconds
 from medlarspring_systems.scheduling.fleet import PoolNeed
-from medlarspring_systems.scheduling.placement import is_allowed, is_open
+from medlarspring_systems.scheduling.placement import is_allowed, is_schedulable
 from medlarspring_systems.scheduling.waiting import measure_wait
-from medlarspring_tables.scheduling import Room
+from medlarspring_tables.scheduling import Resources
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
@@ -58,7 +58,11 @@
 
 
 def _find_need(
-    tables: WorkTables, fleet: FleetTables, pool_id: PoolId, largest: Room, now: Seconds
+    tables: WorkTables,
+    fleet: FleetTables,
+    pool_id: PoolId,
+    largest: Resources,
+    now: Seconds,
 ) -> PoolNeed:
     lasting_cpu, lasting_memory = _measure_lasting(tables, pool_id)
     waiting_cpu, waiting_memory = _measure_waiting(tables, pool_id, now)
@@ -105,12 +109,12 @@
     return slack is not None and slack > fleet.move_seconds + TIGHT_SECONDS
 
 
-def _find_largest_room(tables: WorkTables) -> Room:
+def _find_largest_room(tables: WorkTables) -> Resources:
     cpu = memory = 0
     for vm in tables.vms_by_id.values():
-        cpu = max(cpu, vm.room.cpu_millis)
-        memory = max(memory, vm.room.memory_mb)
-    return Room(cpu, memory)
+        cpu = max(cpu, vm.resources.cpu_millis)
+        memory = max(memory, vm.resources.memory_mb)
+    return Resources(cpu, memory)
 
 
 def _measure_lasting(tables: WorkTables, pool_id: PoolId) -> tuple[float, float]:
@@ -128,8 +132,8 @@
     cpu = memory = 0.0
     for run in worker.runs.values():
         if run.task.step.spec.long_running:
-            cpu += run.task.step.room.cpu_millis
-            memory += run.task.step.room.memory_mb
+            cpu += run.task.step.resources.cpu_millis
+            memory += run.task.step.resources.memory_mb
     return cpu, memory
 
 
@@ -149,10 +153,12 @@
             continue
         part = 1.0
         if not step.spec.long_running:
-            seconds = expect_seconds(tables, step.job.queue.id, step.spec, step.seen_ms)
+            seconds = expect_seconds(
+                tables, step.job.queue.id, step.spec, step.mean_duration_ms
+            )
             part = seconds / HORIZON_SECONDS
-        cpu += part * len(step.waiting) * step.room.cpu_millis
-        memory += min(part, 1.0) * len(step.waiting) * step.room.memory_mb
+        cpu += part * len(step.waiting) * step.resources.cpu_millis
+        memory += min(part, 1.0) * len(step.waiting) * step.resources.memory_mb
     return cpu, memory
 
 
@@ -166,7 +172,11 @@
 
 
 def _count_needed_by_shut_out(
-    tables: WorkTables, fleet: FleetTables, pool_id: PoolId, largest: Room, now: Seconds
+    tables: WorkTables,
+    fleet: FleetTables,
+    pool_id: PoolId,
+    largest: Resources,
+    now: Seconds,
 ) -> int:
     """Return the VMs that the pool needs for a long-running task that none takes.
 
@@ -186,7 +196,7 @@
 
 
 def _is_shut_out(
-    step: StepRun, workers: Collection[Worker], largest: Room, now: Seconds
+    step: StepRun, workers: Collection[Worker], largest: Resources, now: Seconds
 ) -> bool:
     """Tell whether no worker takes a step's lost task, even if batch work yields.
 
@@ -197,7 +207,7 @@
         return False
     if spec.required_label or step.job.queue.advice is not None:
         return False
-    if step.room.cpu_millis > largest.cpu_millis:
+    if step.resources.cpu_millis > largest.cpu_millis:
         return False
     if measure_wait(step, now) < SHUT_OUT_SECONDS:
         return False
@@ -205,11 +215,11 @@
 
 
 def _may_hold(step: StepRun, worker: Worker, now: Seconds) -> bool:
-    if not is_open(worker, now) or not is_allowed(step, worker, now):
+    if not is_schedulable(worker, now) or not is_allowed(step, worker, now):
         return False
     cpu, memory = _measure_lasting_on(worker)
-    has_cpu = worker.room.cpu_millis - cpu >= step.room.cpu_millis
-    return has_cpu and worker.room.memory_mb - memory >= step.room.memory_mb
+    has_cpu = worker.resources.cpu_millis - cpu >= step.resources.cpu_millis
+    return has_cpu and worker.resources.memory_mb - memory >= step.resources.memory_mb
 
 
 __all__ = ["find_need", "find_needs"]
--- a/packages/systems/src/medlarspring_systems/scheduling/pool_sizing.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/pool_sizing.py
@@ -158,7 +158,7 @@
     worker = find_worker_of(tables, vm)
     if worker is None:
         return is_standby(tables, vm.pool_id)
-    if worker.runs or worker.unanswered_since or not worker.settled:
+    if worker.runs or worker.unanswered_since or not worker.reconciled:
         return False
     return now - worker.idle_since >= idle_seconds
 
--- a/packages/systems/src/medlarspring_systems/scheduling/recording.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/recording.py
@@ -7,7 +7,7 @@
 
 from medlarspring_systems.scheduling.jobs import count_occurrences, open_occurrence
 from medlarspring_systems.scheduling.pacing import ADOPTED_PERCENT
-from medlarspring_systems.scheduling.runs import attach_run, note_end_done
+from medlarspring_systems.scheduling.runs import attach_run, record_task_or_gang_done
 from medlarspring_tables.scheduling import (
     CrashTally,
     ProgressRecord,
@@ -158,7 +158,7 @@
             attach_run(run)
     for task in step.tasks:
         if done >> task.index & 1:
-            note_end_done(tables, task, now)
+            record_task_or_gang_done(tables, task, now)
 
 
 __all__ = ["encode_progress", "find_progress_fault", "restore_progress"]
--- a/packages/systems/src/medlarspring_systems/scheduling/rounds.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/rounds.py
@@ -4,30 +4,30 @@
 
 from typing import TYPE_CHECKING
 
+from medlarspring_systems.scheduling.isolation import (
+    find_isolated_run,
+    has_suspected_task,
+    rate_for_isolation,
+)
 from medlarspring_systems.scheduling.ordering import (
     TIER_ON_TIME,
     measure_size_weight,
     rank_step,
 )
 from medlarspring_systems.scheduling.placement import (
-    WorkerChoice,
+    WorkerRanking,
     choose_worker,
     fits,
     is_allowed,
-    is_open,
-    list_open_workers,
+    is_schedulable,
+    list_schedulable_workers,
 )
 from medlarspring_systems.scheduling.runs import (
-    give_room_back,
+    allocate_resources,
     intend_run,
-    take_room,
-)
-from medlarspring_systems.scheduling.trials import (
-    find_trial,
-    has_suspects,
-    rate_trial,
+    release_resources,
 )
-from medlarspring_tables.scheduling import WorkerDoubt
+from medlarspring_tables.scheduling import QuarantineReason
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -35,7 +35,7 @@
     from medlarspring_systems.scheduling.ordering import Rank
     from medlarspring_tables import PoolId, RackId, Seconds
     from medlarspring_tables.scheduling import (
-        Room,
+        Resources,
         Run,
         StepRun,
         Task,
@@ -45,7 +45,7 @@
 
     RankRule = Callable[[StepRun, Seconds, float], Rank]
 
-MAX_INTENTS = 200
+MAX_STARTS_PER_ROUND = 200
 """Starts decided in one round; more are left to the next one."""
 RESERVE_AFTER_SECONDS = 0.25
 """A step that waits so long for room keeps the emptiest worker to itself.
@@ -55,7 +55,7 @@
 
 SAME_RACK_WAIT_SECONDS = 1.0
 """A task waits so long for the rack that its step shares while others stand idle."""
-IDLE_PART = 0.5
+IDLE_CPU_FRACTION = 0.5
 """Part of a pool's processors that is free when others stand idle."""
 
 
@@ -72,19 +72,19 @@
     ready = tables.ready_by_pool.get(pool_id)
     if not ready:
         return []
-    workers = list_open_workers(tables, pool_id, now)
-    least_workers = len(workers) // 2
+    workers = list_schedulable_workers(tables, pool_id, now)
+    min_workers = len(workers) // 2
     intents: list[Run] = []
-    refused: list[Room] = []
+    unplaceable: list[Resources] = []
     for step in _list_steps(ready, workers, now, rank):
-        if len(intents) >= MAX_INTENTS or not workers:
+        if len(intents) >= MAX_STARTS_PER_ROUND or not workers:
             break
-        if any(_is_as_large(step.room, room) for room in refused):
+        if any(_needs_at_least(step.resources, resources) for resources in unplaceable):
             continue
         placed = len(intents)
-        _place_step(step, workers, least_workers, now, intents)
+        _place_step(step, workers, min_workers, now, intents)
         if placed == len(intents) and _fits_nowhere(step, workers):
-            refused.append(step.room)
+            unplaceable.append(step.resources)
         if not step.waiting:
             ready.pop(step, None)
     return intents
@@ -94,16 +94,16 @@
     return not any(fits(step, worker) for worker in workers)
 
 
-def _is_as_large(room: Room, refused: Room) -> bool:
+def _needs_at_least(resources: Resources, unplaceable: Resources) -> bool:
     """Tell whether a task needs as much of everything as one that fits nowhere.
 
     In a turn's peak hundreds of steps wait for a full pool; each of them looked at
     every worker in every round.
     """
     return (
-        room.cpu_millis >= refused.cpu_millis
-        and room.memory_mb >= refused.memory_mb
-        and room.accelerators >= refused.accelerators
+        resources.cpu_millis >= unplaceable.cpu_millis
+        and resources.memory_mb >= unplaceable.memory_mb
+        and resources.accelerators >= unplaceable.accelerators
     )
 
 
@@ -119,14 +119,14 @@
     size_weight = measure_size_weight(steps, workers)
     steps.sort(key=lambda step: rank(step, now, size_weight))
     # Behind others, suspected tasks would never find a worker without fresh starts.
-    steps.sort(key=lambda step: not has_suspects(step))
+    steps.sort(key=lambda step: not has_suspected_task(step))
     return steps
 
 
 def _place_step(
     step: StepRun,
     workers: list[Worker],
-    least_workers: int,
+    min_workers: int,
     now: Seconds,
     intents: list[Run],
 ) -> None:
@@ -137,7 +137,7 @@
     if step.spec.gang:
         _place_gang(step, workers, now, intents)
         return
-    choice = WorkerChoice(step, _narrow(step, workers), now)
+    choice = WorkerRanking(step, _list_rack_workers(step, workers), now)
     for task in list(step.waiting):
         if task.not_before > now:
             continue
@@ -145,19 +145,19 @@
         if worker is None and _may_leave_rack(step, task, workers, now):
             worker = choose_worker(step, task, workers, now)
         if worker is None and task.is_suspect:
-            _clear_for_trial(step, workers, least_workers, now)
+            _keep_free_for_isolation(step, workers, min_workers, now)
             continue
         if worker is None:
             _reserve_worker(step, task, workers, now)
             return
         intents.append(intend_run(task, worker, task.last_run + 1, now))
-        if worker.doubt is not WorkerDoubt.NONE:
+        if worker.doubt is not QuarantineReason.NONE:
             # This run tries the worker; others wait for what becomes of it.
             workers.remove(worker)
-            choice = WorkerChoice(step, _narrow(step, workers), now)
+            choice = WorkerRanking(step, _list_rack_workers(step, workers), now)
 
 
-def _narrow(step: StepRun, workers: list[Worker]) -> list[Worker]:
+def _list_rack_workers(step: StepRun, workers: list[Worker]) -> list[Worker]:
     """Return the workers of the rack that a step's tasks share, if they should.
 
     The rack is that of its first task; the one with most room is chosen for it.
@@ -166,13 +166,17 @@
         return workers
     if not any(worker.rack_id == step.rack_id for worker in workers):
         # Bound to a rack that has lost its workers, the step would wait for good.
-        room: dict[RackId, int] = {}
+        resources: dict[RackId, int] = {}
         for worker in workers:
-            room[worker.rack_id] = room.get(worker.rack_id, 0) + worker.cpu_free
-        if not room:
+            resources[worker.rack_id] = (
+                resources.get(worker.rack_id, 0) + worker.cpu_free
+            )
+        if not resources:
             return workers
         data_rack = step.spec.data_rack
-        step.rack_id = max(room, key=lambda rack: (rack == data_rack, room[rack]))
+        step.rack_id = max(
+            resources, key=lambda rack: (rack == data_rack, resources[rack])
+        )
     return [worker for worker in workers if worker.rack_id == step.rack_id]
 
 
@@ -189,7 +193,9 @@
     if now - max(task.waiting_since, step.ready_at) < SAME_RACK_WAIT_SECONDS:
         return False
     free = sum(worker.cpu_free for worker in workers)
-    return free >= IDLE_PART * sum(worker.room.cpu_millis for worker in workers)
+    return free >= IDLE_CPU_FRACTION * sum(
+        worker.resources.cpu_millis for worker in workers
+    )
 
 
 def _reserve_worker(
@@ -204,8 +210,8 @@
         worker
         for worker in workers
         if is_allowed(step, worker, now)
-        and worker.room.cpu_millis >= step.room.cpu_millis
-        and worker.room.memory_mb >= step.room.memory_mb
+        and worker.resources.cpu_millis >= step.resources.cpu_millis
+        and worker.resources.memory_mb >= step.resources.memory_mb
     ]
     if not allowed or len(workers) == 1:
         return
@@ -213,21 +219,21 @@
     workers.remove(nearest)
 
 
-def _clear_for_trial(
-    step: StepRun, workers: list[Worker], least_workers: int, now: Seconds
+def _keep_free_for_isolation(
+    step: StepRun, workers: list[Worker], min_workers: int, now: Seconds
 ) -> None:
     """Keep new starts away from a worker, so that a suspected task can go there."""
-    if len(workers) <= least_workers:
+    if len(workers) <= min_workers:
         return
     allowed = [
         worker
         for worker in workers
-        if find_trial(worker, now) is None
+        if find_isolated_run(worker, now) is None
         and fits(step, worker)
         and is_allowed(step, worker, now)
     ]
     if allowed:
-        workers.remove(min(allowed, key=lambda worker: rate_trial(worker, now)))
+        workers.remove(min(allowed, key=lambda worker: rate_for_isolation(worker, now)))
 
 
 def _place_gang(
@@ -251,19 +257,19 @@
     step: StepRun, workers: list[Worker], now: Seconds
 ) -> list[Worker] | None:
     if not step.spec.same_rack:
-        return _try_gang(step, workers, now)
+        return _assign_gang(step, workers, now)
     racks = sorted({worker.rack_id for worker in workers})
     racks.sort(key=lambda rack: rack != step.spec.data_rack)
     for rack in racks:
-        chosen = _try_gang(
+        chosen = _assign_gang(
             step, [each for each in workers if each.rack_id == rack], now
         )
         if chosen is not None:
             return chosen
-    return _try_gang(step, workers, now)
+    return _assign_gang(step, workers, now)
 
 
-def _try_gang(
+def _assign_gang(
     step: StepRun, workers: list[Worker], now: Seconds
 ) -> list[Worker] | None:
     """Return a worker for each member, or None; leaves the tables as they were."""
@@ -272,11 +278,11 @@
         worker = choose_worker(step, member, workers, now)
         if worker is None:
             break
-        take_room(worker, step)
+        allocate_resources(worker, step)
         step.per_worker[worker.id] = step.per_worker.get(worker.id, 0) + 1
         chosen.append(worker)
     for worker in chosen:
-        give_room_back(worker, step)
+        release_resources(worker, step)
         step.per_worker[worker.id] -= 1
     return chosen if len(chosen) == len(step.tasks) else None
 
@@ -290,12 +296,12 @@
     best: list[Run] = []
     best_cost = float("inf")
     for worker in workers:
-        if not is_open(worker, now) or not is_allowed(step, worker, now):
+        if not is_schedulable(worker, now) or not is_allowed(step, worker, now):
             continue
         if fits(step, worker):
             return []
         stops = _find_stops(step, worker)
-        cost = sum(run.percent * run.task.step.room.cpu_millis for run in stops)
+        cost = sum(run.percent * run.task.step.resources.cpu_millis for run in stops)
         if stops and cost < best_cost:
             best, best_cost = stops, cost
     return best
@@ -303,8 +309,8 @@
 
 def _find_stops(step: StepRun, worker: Worker) -> list[Run]:
     """Return the fewest runs of little progress that make room, or none."""
-    cpu = step.room.cpu_millis - worker.cpu_free
-    memory = step.room.memory_mb - worker.memory_free
+    cpu = step.resources.cpu_millis - worker.cpu_free
+    memory = step.resources.memory_mb - worker.memory_free
     stops: list[Run] = []
     candidates = [
         run
@@ -315,8 +321,8 @@
         if cpu <= 0 and memory <= 0:
             break
         stops.append(run)
-        cpu -= run.task.step.room.cpu_millis
-        memory -= run.task.step.room.memory_mb
+        cpu -= run.task.step.resources.cpu_millis
+        memory -= run.task.step.resources.memory_mb
     return stops if cpu <= 0 and memory <= 0 else []
 
 
--- a/packages/systems/src/medlarspring_systems/scheduling/runs.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/runs.py
@@ -14,24 +14,24 @@
 
 RETRY_SECONDS = 0.1
 """Pause before a failed task starts again; a failing worker shows meanwhile."""
-AT_WORK_PERCENT = 100
+SERVING_PERCENT = 100
 """A long-running task is at work when it reports this."""
 LONG_RETRY_SECONDS = 0.2
 """The same for long-running tasks, which have no limit of attempts."""
 
 
-def take_room(worker: Worker, step: StepRun) -> None:
+def allocate_resources(worker: Worker, step: StepRun) -> None:
     """Set aside what one task of the step asks for."""
-    worker.cpu_free -= step.room.cpu_millis
-    worker.memory_free -= step.room.memory_mb
-    worker.accelerators_free -= step.room.accelerators
+    worker.cpu_free -= step.resources.cpu_millis
+    worker.memory_free -= step.resources.memory_mb
+    worker.accelerators_free -= step.resources.accelerators
 
 
-def give_room_back(worker: Worker, step: StepRun) -> None:
+def release_resources(worker: Worker, step: StepRun) -> None:
     """Free what one task of the step held."""
-    worker.cpu_free += step.room.cpu_millis
-    worker.memory_free += step.room.memory_mb
-    worker.accelerators_free += step.room.accelerators
+    worker.cpu_free += step.resources.cpu_millis
+    worker.memory_free += step.resources.memory_mb
+    worker.accelerators_free += step.resources.accelerators
 
 
 def intend_run(
@@ -65,11 +65,11 @@
         step.waiting.remove(task)
     worker.runs[(task.id, run.number)] = run
     if task.is_suspect:
-        worker.trial = run
+        worker.isolated_run = run
     step.job.runs[run] = None
     if not step.job.zone_id:
         step.job.zone_id = worker.zone_id
-    take_room(worker, step)
+    allocate_resources(worker, step)
     if step.spec.long_running:
         worker.long_runs += 1
     else:
@@ -86,9 +86,9 @@
         return
     task.runs.remove(run)
     del step.job.runs[run]
-    if worker.trial is run:
-        worker.trial = None
-    give_room_back(worker, step)
+    if worker.isolated_run is run:
+        worker.isolated_run = None
+    release_resources(worker, step)
     if step.spec.long_running:
         worker.long_runs -= 1
     else:
@@ -122,28 +122,28 @@
     if checkpoint:
         task.checkpoint = checkpoint
     if end is RunEnd.DONE:
-        _note_done(tables, run, now)
+        _record_done_run(tables, run, now)
     elif end is RunEnd.FAILED:
-        _note_failed(run, now)
+        _record_failed_run(run, now)
     detach_run(tables, run, now)
 
 
-def _note_done(tables: WorkTables, run: Run, now: Seconds) -> None:
+def _record_done_run(tables: WorkTables, run: Run, now: Seconds) -> None:
     task = run.task
     if run.confirmed_at and not run.checkpoint and not task.step.spec.gang:
         learn_duration(tables, task.step, (now - run.confirmed_at) * 1_000.0)
     if not task.step.spec.long_running:
-        note_end_done(tables, task, now)
+        record_task_or_gang_done(tables, task, now)
 
 
-def note_end_done(tables: WorkTables, task: Task, now: Seconds) -> None:
+def record_task_or_gang_done(tables: WorkTables, task: Task, now: Seconds) -> None:
     """Mark what an end as done stands for: a task, or all members of its gang."""
     members = list(task.step.tasks) if task.step.spec.gang else [task]
     for member in members:
         note_task_done(tables, member, now)
 
 
-def _note_failed(run: Run, now: Seconds) -> None:
+def _record_failed_run(run: Run, now: Seconds) -> None:
     task = run.task
     step = task.step
     task.failed_on.add(run.worker.vm_id)
@@ -156,9 +156,9 @@
         fail_job(step.job, f"task {task.id} failed {task.failures} times")
 
 
-def is_at_work(run: Run) -> bool:
+def is_serving(run: Run) -> bool:
     """Tell whether a long-running task's run serves, by its worker's word."""
-    return run.state is RunState.RUNNING and run.percent >= AT_WORK_PERCENT
+    return run.state is RunState.RUNNING and run.percent >= SERVING_PERCENT
 
 
 def count_failures(task: Task) -> int:
@@ -175,6 +175,6 @@
     "detach_run",
     "end_run",
     "intend_run",
-    "is_at_work",
-    "note_end_done",
+    "is_serving",
+    "record_task_or_gang_done",
 ]
--- a/packages/systems/src/medlarspring_systems/scheduling/waiting.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/waiting.py
@@ -5,12 +5,12 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
+from medlarspring_systems.scheduling.isolation import preserves_isolation
 from medlarspring_systems.scheduling.placement import (
     fits,
     is_allowed,
-    list_open_workers,
+    list_schedulable_workers,
 )
-from medlarspring_systems.scheduling.trials import keeps_apart
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -26,19 +26,19 @@
     """Steps that it comes after are not done."""
     RETRY_PAUSE = "retry-pause"
     """It just failed or was refused."""
-    NO_OPEN_WORKER = "no-open-worker"
+    NO_SCHEDULABLE_WORKER = "no-open-worker"
     """Each worker of the pool leaves, is silent, set aside or kept for maintenance."""
     NOT_ALLOWED = "not-allowed"
     """Label, advice or the limit for one worker rule out each open worker."""
-    ROOM = "room"
+    RESOURCES = "room"
     """No open worker that it may use has room."""
-    TRIAL = "trial"
+    ISOLATION = "trial"
     """There is room, but only beside fresh starts from which it is kept apart."""
     OTHER_MEMBERS = "other-members"
     """There is room for it, but not for its whole gang."""
     NEXT_ROUND = "next-round"
     """There is room; the next round of placement takes it."""
-    FORGOTTEN = "forgotten"
+    NOT_QUEUED = "forgotten"
     """A defect: no round will ever look at it."""
 
 
@@ -49,31 +49,31 @@
         return None
     if not step.ready:
         return WaitCause.EARLIER_STEPS
-    if not _is_in_line(tables, step, task):
-        return WaitCause.FORGOTTEN
+    if not _is_queued(tables, step, task):
+        return WaitCause.NOT_QUEUED
     if task.not_before > now:
         return WaitCause.RETRY_PAUSE
     return _find_obstacle(tables, task, now)
 
 
-def _is_in_line(tables: WorkTables, step: StepRun, task: Task) -> bool:
-    line = tables.ready_by_pool.get(step.job.queue.pool_id, {})
-    return step in line and task in step.waiting
+def _is_queued(tables: WorkTables, step: StepRun, task: Task) -> bool:
+    queue = tables.ready_by_pool.get(step.job.queue.pool_id, {})
+    return step in queue and task in step.waiting
 
 
 def _find_obstacle(tables: WorkTables, task: Task, now: Seconds) -> WaitCause:
     step = task.step
-    workers = list_open_workers(tables, step.job.queue.pool_id, now)
+    workers = list_schedulable_workers(tables, step.job.queue.pool_id, now)
     if not workers:
-        return WaitCause.NO_OPEN_WORKER
+        return WaitCause.NO_SCHEDULABLE_WORKER
     workers = [worker for worker in workers if is_allowed(step, worker, now)]
     if not workers:
         return WaitCause.NOT_ALLOWED
     workers = [worker for worker in workers if fits(step, worker)]
     if not workers:
-        return WaitCause.ROOM
-    if not any(keeps_apart(task, worker, now) for worker in workers):
-        return WaitCause.TRIAL
+        return WaitCause.RESOURCES
+    if not any(preserves_isolation(task, worker, now) for worker in workers):
+        return WaitCause.ISOLATION
     return WaitCause.OTHER_MEMBERS if step.spec.gang else WaitCause.NEXT_ROUND
 
 
@@ -88,16 +88,16 @@
 
 def count_waiting(tables: WorkTables, now: Seconds) -> tuple[int, int]:
     """Return how many tasks wait for a worker, and how many in pools without one."""
-    waiting = shut_out = 0
-    for pool_id, line in tables.ready_by_pool.items():
-        tasks = sum(len(step.waiting) for step in line if step.job.outcome is None)
+    waiting = unplaceable = 0
+    for pool_id, queue in tables.ready_by_pool.items():
+        tasks = sum(len(step.waiting) for step in queue if step.job.outcome is None)
         waiting += tasks
-        if tasks and not list_open_workers(tables, pool_id, now):
-            shut_out += tasks
-    return waiting, shut_out
+        if tasks and not list_schedulable_workers(tables, pool_id, now):
+            unplaceable += tasks
+    return waiting, unplaceable
 
 
-def list_forgotten(tables: WorkTables) -> list[Task]:
+def list_unqueued_tasks(tables: WorkTables) -> list[Task]:
     """Return the tasks that wait and that no round of placement will look at.
 
     There should never be any. A task gets into the line and out of it in many places
@@ -107,7 +107,7 @@
     return [
         task
         for task in _list_waiting(tables)
-        if not _is_in_line(tables, task.step, task)
+        if not _is_queued(tables, task.step, task)
     ]
 
 
@@ -131,6 +131,6 @@
     "WaitCause",
     "count_waiting",
     "find_wait_cause",
-    "list_forgotten",
+    "list_unqueued_tasks",
     "measure_wait",
 ]
--- a/packages/systems/src/medlarspring_systems/scheduling/workers.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/workers.py
@@ -7,12 +7,12 @@
 from medlarspring_systems.scheduling.runs import detach_run
 from medlarspring_tables import PoolId, RackId, VMId
 from medlarspring_tables.scheduling import (
-    Room,
+    QuarantineReason,
+    Resources,
     RunState,
     VMPhase,
     Worker,
     WorkerCondition,
-    WorkerDoubt,
 )
 
 if TYPE_CHECKING:
@@ -32,23 +32,23 @@
 """A worker's clock may run so much slower than ours."""
 
 
-def take_entry(tables: WorkTables, entry: WorkerEntry, now: Seconds) -> Worker | None:
+def apply_entry(tables: WorkTables, entry: WorkerEntry, now: Seconds) -> Worker | None:
     """Take over a worker's own entry; None if its life is known to be over.
 
     A life is told by the worker's id and its start. Passed over by the id alone, a
     worker that was away for a moment got no task any more once it was back, and its
     pool ran out of workers beside free room.
     """
-    if is_former_life(tables, entry.id, entry.born_ms):
+    if is_ended_incarnation(tables, entry.id, entry.born_ms):
         return None
     worker = tables.workers_by_id.get(entry.id)
     if worker is None:
         worker = _create_worker(entry, now)
         tables.workers_by_id[entry.id] = worker
-    if not worker.address or worker.described_life_ms != entry.born_ms:
-        _complete_worker(tables, worker, entry)
-    elif worker.room != entry.room:
-        _take_room(worker, entry.room)
+    if not worker.address or worker.entry_born_ms != entry.born_ms:
+        _fill_in_from_entry(tables, worker, entry)
+    elif worker.resources != entry.resources:
+        _set_resources(worker, entry.resources)
     worker.listed = True
     worker.draining = worker.draining or entry.condition is WorkerCondition.DRAINING
     worker.ready_at = now + entry.warmup_ms / 1_000.0
@@ -58,20 +58,20 @@
 
 def _create_worker(entry: WorkerEntry, now: Seconds) -> Worker:
     return Worker(
-        seen_at=now,
+        first_seen_at=now,
         id=entry.id,
         vm_id=entry.vm_id,
         pool_id=entry.pool_id,
         rack_id=entry.rack_id,
         zone_id=entry.zone_id,
         address="",
-        room=entry.room,
+        resources=entry.resources,
         labels=frozenset(entry.labels),
         idle_since=now,
     )
 
 
-def _complete_worker(tables: WorkTables, worker: Worker, entry: WorkerEntry) -> None:
+def _fill_in_from_entry(tables: WorkTables, worker: Worker, entry: WorkerEntry) -> None:
     """Fill in a worker known only by recorded runs, or by its former life's entry."""
     tables.workers_by_pool.get(worker.pool_id, {}).pop(worker.id, None)
     worker.vm_id = entry.vm_id
@@ -80,41 +80,41 @@
     worker.zone_id = entry.zone_id
     worker.address = entry.address
     worker.labels = frozenset(entry.labels)
-    worker.born_ms = worker.described_life_ms = entry.born_ms
-    worker.unsteady_until = tables.unsteady_until_by_vm.get(entry.vm_id, 0.0)
-    _take_room(worker, entry.room)
+    worker.born_ms = worker.entry_born_ms = entry.born_ms
+    worker.unstable_until = tables.unstable_until_by_vm.get(entry.vm_id, 0.0)
+    _set_resources(worker, entry.resources)
 
 
-def _take_room(worker: Worker, room: Room) -> None:
+def _set_resources(worker: Worker, resources: Resources) -> None:
     """Take over what a worker offers; nothing is free while its runs hold more."""
-    used = [run.task.step.room for run in worker.runs.values()]
-    worker.room = room
-    worker.cpu_free = room.cpu_millis - sum(each.cpu_millis for each in used)
-    worker.memory_free = room.memory_mb - sum(each.memory_mb for each in used)
-    worker.accelerators_free = room.accelerators - sum(
+    used = [run.task.step.resources for run in worker.runs.values()]
+    worker.resources = resources
+    worker.cpu_free = resources.cpu_millis - sum(each.cpu_millis for each in used)
+    worker.memory_free = resources.memory_mb - sum(each.memory_mb for each in used)
+    worker.accelerators_free = resources.accelerators - sum(
         each.accelerators for each in used
     )
 
 
-def is_overfull(worker: Worker) -> bool:
+def is_overcommitted(worker: Worker) -> bool:
     """Tell whether the runs of a worker hold more than it offers."""
     free = min(worker.cpu_free, worker.memory_free, worker.accelerators_free)
     return free < 0
 
 
-def is_former_life(
+def is_ended_incarnation(
     tables: WorkTables, worker_id: WorkerId, born_ms: Milliseconds
 ) -> bool:
     """Tell whether this life of a worker is known to be over."""
-    return (worker_id, born_ms) in tables.ended_lives
+    return (worker_id, born_ms) in tables.ended_incarnations
 
 
-def is_other_life(worker: Worker, born_ms: Milliseconds) -> bool:
+def is_other_incarnation(worker: Worker, born_ms: Milliseconds) -> bool:
     """Tell whether a worker speaks from another life than the one that is known."""
     return bool(worker.born_ms and born_ms) and worker.born_ms != born_ms
 
 
-def begin_life(
+def begin_incarnation(
     tables: WorkTables,
     worker: Worker,
     born_ms: Milliseconds,
@@ -127,25 +127,25 @@
     Other orders stay: they name only the id, so the new life may have carried one
     out, or may do so yet. Its first listing settles them.
     """
-    over = [run for run in worker.runs.values() if _ended_with_life(run, worker)]
-    tables.ended_lives.add((worker.id, worker.born_ms))
+    over = [run for run in worker.runs.values() if _ended_with_incarnation(run, worker)]
+    tables.ended_incarnations.add((worker.id, worker.born_ms))
     worker.born_ms = born_ms
-    worker.seen_at = now
+    worker.first_seen_at = now
     # Its entry says what it offers now; until then it may be of another kind.
     worker.listed = False
-    worker.settled = False
+    worker.reconciled = False
     worker.draining = False
     worker.leaving = False
     # Ends are counted from 1 again. Measured by the former life's numbers they
     # were passed over, and tasks that were done ran again.
-    worker.listed_through = 0
+    worker.last_end_number = 0
     if worker.clock_at:
         # The lease of an order that the new life took is on another clock, and
         # could not be seen to lapse; none is longer than this.
         worker.lease_ms = round(read_clock(worker, now) + longest_lease * 1_000)
-    worker.doubt = WorkerDoubt.NONE
-    worker.doubted_until = 0.0
-    worker.doubts = 0
+    worker.doubt = QuarantineReason.NONE
+    worker.quarantined_until = 0.0
+    worker.quarantine_count = 0
     worker.failures_by_job.clear()
     worker.slowness = 1.0
     for run in over:
@@ -156,10 +156,10 @@
     return over
 
 
-def _ended_with_life(run: Run, worker: Worker) -> bool:
+def _ended_with_incarnation(run: Run, worker: Worker) -> bool:
     if run.state is RunState.INTENDED:
         return True
-    return run.listed_life_ms == worker.born_ms
+    return run.listed_born_ms == worker.born_ms
 
 
 def find_or_create_worker(
@@ -175,7 +175,7 @@
             rack_id=RackId(""),
             zone_id="",
             address="",
-            room=Room(),
+            resources=Resources(),
             labels=frozenset(),
             listed=False,
             idle_since=now,
@@ -184,14 +184,14 @@
     return worker
 
 
-def note_entry_gone(tables: WorkTables, worker_id: WorkerId) -> None:
+def record_entry_gone(tables: WorkTables, worker_id: WorkerId) -> None:
     """Note that the registry no longer lists a worker; it may still run."""
     worker = tables.workers_by_id.get(worker_id)
     if worker is not None:
         worker.listed = False
 
 
-def take_vms(
+def apply_vm_list(
     tables: WorkTables, vms: tuple[VMEntry, ...], asked_at: Seconds
 ) -> list[Worker]:
     """Take over the VM list; returns the workers whose life is certainly over.
@@ -204,18 +204,18 @@
     return [
         worker
         for worker in tables.workers_by_id.values()
-        if not worker.gone and is_life_over(tables, worker)
+        if not worker.gone and is_incarnation_over(tables, worker)
     ]
 
 
-def is_life_over(tables: WorkTables, worker: Worker) -> bool:
+def is_incarnation_over(tables: WorkTables, worker: Worker) -> bool:
     """Tell whether the VM list proves that this life of a VM has ended.
 
     A VM has one life at a time. Silence proves nothing, since a worker that is
     cut off runs on; but a VM that is down, or lives as another worker, has lost
     all that ran in this life. Waiting for the lease would take up to 10 s.
     """
-    if worker.seen_at >= tables.vms_read_at:
+    if worker.first_seen_at >= tables.vms_read_at:
         # The list may have been made before this life began.
         return False
     if not worker.vm_id:
@@ -225,7 +225,7 @@
     if vm is None:
         # A VM that is gone for good is no longer listed; one that just came up
         # may not be listed yet.
-        return tables.vms_read_at > worker.seen_at + NEW_VM_SECONDS
+        return tables.vms_read_at > worker.first_seen_at + NEW_VM_SECONDS
     if vm.worker_id == worker.id:
         return vm.phase in (VMPhase.DOWN, VMPhase.MAINTENANCE, VMPhase.MOVING)
     if vm.phase is VMPhase.UNKNOWN:
@@ -233,25 +233,25 @@
     return vm.phase is not VMPhase.UP or vm.worker_id is not None
 
 
-def end_life(tables: WorkTables, worker: Worker, now: Seconds) -> list[Run]:
+def end_incarnation(tables: WorkTables, worker: Worker, now: Seconds) -> list[Run]:
     """Drop a worker whose life is over; returns the runs that were lost."""
     worker.gone = True
     worker.listed = False
-    tables.ended_lives.add((worker.id, worker.born_ms))
+    tables.ended_incarnations.add((worker.id, worker.born_ms))
     lost = list(worker.runs.values())
     for run in lost:
         detach_run(tables, run, now)
-    forget_worker(tables, worker)
+    remove_worker(tables, worker)
     return lost
 
 
-def forget_worker(tables: WorkTables, worker: Worker) -> None:
+def remove_worker(tables: WorkTables, worker: Worker) -> None:
     """Remove a worker from all tables."""
     tables.workers_by_id.pop(worker.id, None)
     tables.workers_by_pool.get(worker.pool_id, {}).pop(worker.id, None)
 
 
-def note_clock(worker: Worker, clock_ms: int, received_at: Seconds) -> None:
+def record_clock(worker: Worker, clock_ms: int, received_at: Seconds) -> None:
     """Learn the worker's clock from an answer."""
     if clock_ms <= 0:
         return
@@ -275,7 +275,9 @@
     return slowest > worker.lease_ms
 
 
-def is_record_over(worker: Worker, longest_lease: Seconds, now: Seconds) -> bool:
+def have_recorded_runs_lapsed(
+    worker: Worker, longest_lease: Seconds, now: Seconds
+) -> bool:
     """Tell whether all runs of a worker known from records only have lapsed.
 
     A worker that has not answered since a takeover, or whose entry is missing or
@@ -295,20 +297,20 @@
 
 
 __all__ = [
-    "begin_life",
-    "end_life",
+    "begin_incarnation",
+    "end_incarnation",
     "find_or_create_worker",
-    "forget_worker",
+    "remove_worker",
     "has_unknown_runs",
-    "is_former_life",
+    "is_ended_incarnation",
     "is_lease_over",
-    "is_life_over",
-    "is_other_life",
-    "is_overfull",
-    "is_record_over",
-    "note_clock",
-    "note_entry_gone",
+    "is_incarnation_over",
+    "is_other_incarnation",
+    "is_overcommitted",
+    "have_recorded_runs_lapsed",
+    "record_clock",
+    "record_entry_gone",
     "read_clock",
-    "take_entry",
-    "take_vms",
+    "apply_entry",
+    "apply_vm_list",
 ]
--- a/packages/systems/tests/scheduling/conftest.py
+++ b/packages/systems/tests/scheduling/conftest.py
@@ -12,7 +12,7 @@
 )
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_systems.scheduling.runs import confirm_run
-from medlarspring_systems.scheduling.workers import take_entry
+from medlarspring_systems.scheduling.workers import apply_entry
 from medlarspring_tables import JobId, PoolId, RackId, Revision, VMId, ZoneId
 from medlarspring_tables.scheduling import (
     JobOutcome,
@@ -22,7 +22,7 @@
     PoolPolicy,
     QueueId,
     QueuePolicy,
-    Room,
+    Resources,
     StepSpec,
     VMEntry,
     VMPhase,
@@ -63,14 +63,14 @@
             zone_id=ZoneId("z"),
             address=f"10.0.0.{number}:80",
             condition=WorkerCondition.READY,
-            room=Room(cpu, memory, 0),
+            resources=Resources(cpu, memory, 0),
             labels=("a", rack),
             rack_id=RackId(rack),
             clock_ms=1_000,
         )
-        worker = take_entry(self.tables, entry, NOW)
+        worker = apply_entry(self.tables, entry, NOW)
         assert worker is not None
-        worker.settled = True
+        worker.reconciled = True
         worker.answered_at = NOW
         self.add_vm(number, pool, worker.id)
         return worker
@@ -84,7 +84,7 @@
             phase=VMPhase.UP,
             zone_id=ZoneId("z"),
             rack_id=RackId("r1-1"),
-            room=Room(16_000, 32_768, 0),
+            resources=Resources(16_000, 32_768, 0),
             worker_id=worker_id,
         )
         self.tables.vms_by_id[vm.id] = vm
--- a/packages/systems/tests/scheduling/test_crashes.py
+++ b/packages/systems/tests/scheduling/test_crashes.py
@@ -9,9 +9,9 @@
 import pytest
 
 from medlarspring_systems.scheduling.crashes import (
-    MOST_ALONE,
-    MOST_CRASHES,
-    note_worker_end,
+    MAX_ATTRIBUTABLE_CRASHES,
+    MAX_CRASHES,
+    record_worker_end,
 )
 from medlarspring_systems.scheduling.jobs import admit_job
 from medlarspring_systems.scheduling.listings import take_listing
@@ -22,8 +22,8 @@
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_systems.scheduling.runs import confirm_run
 from medlarspring_systems.scheduling.workers import (
-    begin_life,
-    end_life,
+    begin_incarnation,
+    end_incarnation,
     find_or_create_worker,
 )
 from medlarspring_tables import JobId, PoolId, Revision
@@ -42,7 +42,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from medlarspring_systems.scheduling.crashes import CrashVerdict
+    from medlarspring_systems.scheduling.crashes import CrashAssessment
     from medlarspring_tables.scheduling import Worker
 
     from .conftest import Scene
@@ -52,13 +52,13 @@
 BORN_MS = 1_774_442_565_332
 
 
-def crash(scene: Scene, worker: Worker, now: float) -> CrashVerdict:
-    verdict = note_worker_end(scene.tables, worker, now)
-    end_life(scene.tables, worker, now)
+def crash(scene: Scene, worker: Worker, now: float) -> CrashAssessment:
+    verdict = record_worker_end(scene.tables, worker, now)
+    end_incarnation(scene.tables, worker, now)
     return verdict
 
 
-def crash_once(scene: Scene, number: int, now: float) -> CrashVerdict:
+def crash_once(scene: Scene, number: int, now: float) -> CrashAssessment:
     """Start what waits on a new worker, which crashes at once."""
     worker = scene.add_worker(number)
     start(scene, now)
@@ -67,10 +67,10 @@
 
 def test_job_that_crashes_its_workers_alone_is_given_up(scene: Scene):
     job = scene.add_job("j", create_step())
-    for number in range(1, MOST_ALONE):
+    for number in range(1, MAX_ATTRIBUTABLE_CRASHES):
         crash_once(scene, number, NOW + 10.0 * number)
         assert job.outcome is None
-    crash_once(scene, MOST_ALONE, NOW + 10.0 * MOST_ALONE)
+    crash_once(scene, MAX_ATTRIBUTABLE_CRASHES, NOW + 10.0 * MAX_ATTRIBUTABLE_CRASHES)
     assert job.outcome is JobOutcome.FAILED
     assert "3 workers crashed under task j.0.0.0" in job.reason
 
@@ -179,8 +179,8 @@
 def test_vm_that_crashes_again_for_no_known_reason_is_no_witness(scene: Scene):
     """Guards against failing jobs whose tasks meet VMs that go up and down."""
     worker = scene.add_worker(1)
-    note_worker_end(scene.tables, worker, NOW)
-    assert scene.tables.unsteady_until_by_vm[worker.vm_id] > NOW + 5.0
+    record_worker_end(scene.tables, worker, NOW)
+    assert scene.tables.unstable_until_by_vm[worker.vm_id] > NOW + 5.0
     job = scene.add_job("j", create_step())
     start(scene, NOW + 5.0)
     crash(scene, worker, NOW + 5.1)
@@ -191,7 +191,7 @@
     """Guards against a task that is never seen alone on a worker it crashes."""
     job = scene.add_job("j", create_step())
     task = get_task(job)
-    task.crashes = CrashTally(total=MOST_CRASHES - 1)
+    task.crashes = CrashTally(total=MAX_CRASHES - 1)
     crash_once(scene, 1, NOW)
     assert job.outcome is JobOutcome.FAILED
 
@@ -199,7 +199,7 @@
 def test_task_that_crashes_its_workers_late_is_given_up(scene: Scene):
     """Guards against a task beside fresh starts that its crashes are blamed on."""
     late = scene.add_job("late", create_step(cpu_millis=1_000))
-    for number in range(1, MOST_CRASHES + 1):
+    for number in range(1, MAX_CRASHES + 1):
         assert late.outcome is None
         now = NOW + 10.0 * number
         worker = scene.add_worker(number)
@@ -246,8 +246,8 @@
     job = scene.add_job("j", create_step())
     (run,) = plan_round(scene.tables, POOL, NOW)
     run.state, run.ordered_at = RunState.UNKNOWN, NOW
-    note_worker_end(scene.tables, worker, NOW + 0.1)
-    begin_life(scene.tables, worker, BORN_MS + 1, 10.0, NOW + 0.1)
+    record_worker_end(scene.tables, worker, NOW + 0.1)
+    begin_incarnation(scene.tables, worker, BORN_MS + 1, 10.0, NOW + 0.1)
     assert get_task(job).crashes.total == 1
     run.stop_confirmed_at = NOW + 0.2
     take_listing(scene.tables, worker, [], [], NOW + 0.3, NOW + 0.3)
@@ -318,6 +318,6 @@
     start(scene)
     task = get_task(job)
     task.done = True
-    task.crashes = CrashTally(total=MOST_CRASHES - 1)
+    task.crashes = CrashTally(total=MAX_CRASHES - 1)
     crash(scene, worker, NOW + 0.1)
     assert job.outcome is None
--- a/packages/systems/tests/scheduling/test_trials.py
+++ b/packages/systems/tests/scheduling/test_isolation.py
@@ -40,7 +40,7 @@
     start(scene)
     task = get_task(suspect(scene))
     assert start(scene, NOW + 0.2) == []
-    assert find_wait_cause(scene.tables, task, NOW + 0.2) is WaitCause.TRIAL
+    assert find_wait_cause(scene.tables, task, NOW + 0.2) is WaitCause.ISOLATION
     (run,) = start(scene, NOW + 1.1)
     assert run.task is task
     assert other.outcome is None
@@ -112,7 +112,7 @@
 
 def test_suspected_task_avoids_unsteady_vms_and_company(scene: Scene):
     unsteady, busy, best = (scene.add_worker(number) for number in (1, 2, 3))
-    unsteady.unsteady_until = NOW + 30.0
+    unsteady.unstable_until = NOW + 30.0
     for worker in (unsteady, best):
         worker.reserved = True
     scene.add_job("other", create_step())
@@ -134,7 +134,7 @@
     scene: Scene, total: int, wait: float, starts: bool
 ):
     """Guards against giving up sound tasks that VMs which flap take down again."""
-    scene.add_worker(1).unsteady_until = NOW + 30.0
+    scene.add_worker(1).unstable_until = NOW + 30.0
     get_task(suspect(scene)).crashes = CrashTally(total=total, suspected=1)
     assert bool(start(scene, NOW + wait)) is starts
 
--- a/packages/systems/tests/scheduling/test_lease_plan.py
+++ b/packages/systems/tests/scheduling/test_lease_plan.py
@@ -10,7 +10,7 @@
     plan_wait,
 )
 from medlarspring_systems.scheduling.rounds import plan_round
-from medlarspring_systems.scheduling.workers import note_clock
+from medlarspring_systems.scheduling.workers import record_clock
 from medlarspring_tables import PoolId
 from medlarspring_tables.scheduling import RunState
 
@@ -46,7 +46,7 @@
 
 
 def unsettle(worker: Worker, run: Run) -> None:
-    worker.settled = False
+    worker.reconciled = False
 
 
 @pytest.mark.parametrize(
@@ -76,14 +76,14 @@
 
 def test_leases_are_asked_for_below_the_longest(scene: Scene):
     worker = scene.add_worker(1)
-    note_clock(worker, CLOCK_MS, NOW)
+    record_clock(worker, CLOCK_MS, NOW)
     assert extend_lease(worker, LONGEST, NOW + 1.0) == CLOCK_MS + 10_500
     assert worker.lease_ms == CLOCK_MS + 10_500
 
 
 def test_start_extends_no_lease_that_is_longer(scene: Scene):
     worker = scene.add_worker(1)
-    note_clock(worker, CLOCK_MS, NOW)
+    record_clock(worker, CLOCK_MS, NOW)
     extend_lease(worker, LONGEST, NOW)
     assert limit_start(worker, NOW) == CLOCK_MS + 1_500
     assert worker.lease_ms == CLOCK_MS + 9_500
@@ -95,7 +95,7 @@
     keep its runs alive for longer than this controller knows.
     """
     worker = scene.add_worker(1)
-    note_clock(worker, CLOCK_MS, NOW)
+    record_clock(worker, CLOCK_MS, NOW)
     worker.unanswered_since = NOW
     assert extend_lease(worker, LONGEST, NOW) == 0
     assert worker.lease_ms == 0
--- a/packages/systems/tests/scheduling/test_pool_sizing.py
+++ b/packages/systems/tests/scheduling/test_pool_sizing.py
@@ -6,17 +6,17 @@
 
 import pytest
 
-from medlarspring_systems.scheduling.evidence import doubt_worker
 from medlarspring_systems.scheduling.fleet import FleetTables, MoveVM, note_operation
 from medlarspring_systems.scheduling.fleet_plan import plan_operations
 from medlarspring_systems.scheduling.pool_needs import find_need
+from medlarspring_systems.scheduling.quarantine import quarantine_worker
 from medlarspring_tables import PoolId
 from medlarspring_tables.scheduling import (
     FleetLimits,
     PoolPolicy,
+    QuarantineReason,
     QueueId,
     StepSpec,
-    WorkerDoubt,
 )
 
 if TYPE_CHECKING:
@@ -176,7 +176,7 @@
 
 
 def set_aside(worker: Worker) -> None:
-    doubt_worker(worker, WorkerDoubt.FAILING, NOW)
+    quarantine_worker(worker, QuarantineReason.FAILING, NOW)
 
 
 def fill_with_batch(worker: Worker) -> None:
--- a/packages/systems/tests/scheduling/test_evidence.py
+++ b/packages/systems/tests/scheduling/test_quarantine.py
@@ -6,17 +6,17 @@
 
 import pytest
 
-from medlarspring_systems.scheduling.evidence import (
-    DOUBT_SECONDS,
-    doubt_worker,
-    note_accepted,
-    note_refusal,
+from medlarspring_systems.scheduling.quarantine import (
+    QUARANTINE_SECONDS,
+    quarantine_worker,
+    record_acceptance,
+    record_refusal,
 )
 from medlarspring_systems.scheduling.repair import plan_repairs
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_systems.scheduling.runs import confirm_run, detach_run, end_run
 from medlarspring_tables import PoolId
-from medlarspring_tables.scheduling import RunEnd, StepSpec, WorkerDoubt
+from medlarspring_tables.scheduling import QuarantineReason, RunEnd, StepSpec
 
 if TYPE_CHECKING:
     from medlarspring_tables.scheduling import Run, Worker
@@ -38,15 +38,15 @@
 
 
 def refuse(worker: Worker, now: float) -> None:
-    note_refusal(worker, now)
+    record_refusal(worker, now)
 
 
 def fail(worker: Worker, now: float) -> None:
-    doubt_worker(worker, WorkerDoubt.FAILING, now)
+    quarantine_worker(worker, QuarantineReason.FAILING, now)
 
 
 def stall(worker: Worker, now: float) -> None:
-    doubt_worker(worker, WorkerDoubt.STALLED, now)
+    quarantine_worker(worker, QuarantineReason.STALLED, now)
 
 
 @pytest.mark.parametrize("set_aside", [refuse, fail, stall])
@@ -61,7 +61,7 @@
     set_aside(worker, NOW)
     scene.add_job("second", LASTING)
     assert plan_round(scene.tables, POOL, NOW + 0.5) == []
-    (run,) = plan_round(scene.tables, POOL, worker.doubted_until + 0.1)
+    (run,) = plan_round(scene.tables, POOL, worker.quarantined_until + 0.1)
     assert run.worker is worker
 
 
@@ -73,7 +73,7 @@
     worker = scene.add_worker(1)
     fail(worker, NOW)
     scene.add_job("j", BATCH)
-    later = worker.doubted_until + 0.1
+    later = worker.quarantined_until + 0.1
     (run,) = plan_round(scene.tables, POOL, later)
     assert plan_round(scene.tables, POOL, later + 0.1) == []
     end_run(scene.tables, run, RunEnd.FAILED, "", later + 0.2)
@@ -87,21 +87,21 @@
     """
     worker = scene.add_worker(1)
     stall(worker, NOW)
-    later = worker.doubted_until + 0.1
+    later = worker.quarantined_until + 0.1
     start_lasting(scene, "j", later)
     worker.answered_at = later + 1.0
     plan_repairs(scene.tables, later + 1.0)
-    assert worker.doubt is WorkerDoubt.STALLED
+    assert worker.doubt is QuarantineReason.STALLED
     plan_repairs(scene.tables, later + 2.1)
-    assert worker.doubt is WorkerDoubt.NONE
+    assert worker.doubt is QuarantineReason.NONE
 
 
 def test_lasting_task_from_before_the_doubt_says_nothing(scene: Scene):
     worker = scene.add_worker(1)
     start_lasting(scene, "j")
     stall(worker, NOW + 1.0)
-    plan_repairs(scene.tables, worker.doubted_until + 5.0)
-    assert worker.doubt is WorkerDoubt.STALLED
+    plan_repairs(scene.tables, worker.quarantined_until + 5.0)
+    assert worker.doubt is QuarantineReason.STALLED
 
 
 def test_worker_that_takes_an_order_again_is_open(scene: Scene):
@@ -109,7 +109,7 @@
     refuse(worker, NOW)
     scene.add_job("j", BATCH)
     (run,) = plan_round(scene.tables, POOL, NOW + 1.1)
-    note_accepted(run.worker)
+    record_acceptance(run.worker)
     assert (
         len(plan_round(scene.tables, POOL, NOW + 1.2)) == len(run.task.step.tasks) - 1
     )
@@ -139,7 +139,7 @@
     worker = scene.add_worker(1)
     for _ in range(4):
         fail(worker, NOW)
-    assert worker.doubted_until == pytest.approx(NOW + DOUBT_SECONDS)
-    again = worker.doubted_until + 0.5
+    assert worker.quarantined_until == pytest.approx(NOW + QUARANTINE_SECONDS)
+    again = worker.quarantined_until + 0.5
     fail(worker, again)
-    assert worker.doubted_until == pytest.approx(again + 2 * DOUBT_SECONDS)
+    assert worker.quarantined_until == pytest.approx(again + 2 * QUARANTINE_SECONDS)
--- a/packages/systems/tests/scheduling/test_repair.py
+++ b/packages/systems/tests/scheduling/test_repair.py
@@ -6,7 +6,7 @@
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_systems.scheduling.runs import confirm_run
 from medlarspring_tables import PoolId
-from medlarspring_tables.scheduling import StepSpec, WorkerDoubt
+from medlarspring_tables.scheduling import QuarantineReason, StepSpec
 
 if TYPE_CHECKING:
     from medlarspring_tables.scheduling import Run
@@ -36,7 +36,7 @@
     worker.answered_at = NOW + 2.0
     repairs = plan_repairs(scene.tables, NOW + 2.0)
     assert [run for run, _ in repairs.stops] == runs
-    assert worker.doubt is WorkerDoubt.STALLED
+    assert worker.doubt is QuarantineReason.STALLED
 
 
 def test_pause_of_this_process_is_no_standstill_of_the_runs(scene: Scene):
--- a/packages/systems/tests/scheduling/test_rounds.py
+++ b/packages/systems/tests/scheduling/test_rounds.py
@@ -4,21 +4,21 @@
 
 import pytest
 
-from medlarspring_systems.scheduling.evidence import doubt_worker
+from medlarspring_systems.scheduling.quarantine import quarantine_worker
 from medlarspring_systems.scheduling.rounds import (
     SAME_RACK_WAIT_SECONDS,
     find_preemptible,
     plan_round,
 )
 from medlarspring_systems.scheduling.runs import (
+    allocate_resources,
     confirm_run,
     detach_run,
     end_run,
-    take_room,
 )
-from medlarspring_systems.scheduling.workers import end_life
+from medlarspring_systems.scheduling.workers import end_incarnation
 from medlarspring_tables import PoolId
-from medlarspring_tables.scheduling import RunEnd, WorkerDoubt
+from medlarspring_tables.scheduling import QuarantineReason, RunEnd
 
 from .conftest import create_step
 
@@ -66,7 +66,7 @@
 
 
 def spoil_unsettled(worker: Worker) -> None:
-    worker.settled = False
+    worker.reconciled = False
 
 
 def spoil_silent(worker: Worker) -> None:
@@ -74,7 +74,7 @@
 
 
 def spoil_doubted(worker: Worker) -> None:
-    doubt_worker(worker, WorkerDoubt.FAILING, NOW)
+    quarantine_worker(worker, QuarantineReason.FAILING, NOW)
 
 
 @pytest.mark.parametrize(
@@ -179,7 +179,7 @@
     fresh = scene.add_job("new", create_step())
     for each in fresh.occurrences_by_index[0]:
         each.objective_at += 3.0
-        each.given_up_at += 3.0
+        each.useful_until += 3.0
     worker.answered_at = later
     (run,) = plan_round(scene.tables, POOL, later)
     assert run.task.step.job.id == "new"
@@ -259,9 +259,9 @@
     assert [run.worker for run in runs] == [first, first]
     detach_run(scene.tables, runs[0], NOW)
     if gone:
-        end_life(scene.tables, first, NOW)
+        end_incarnation(scene.tables, first, NOW)
     else:
-        take_room(first, runs[0].task.step)
+        allocate_resources(first, runs[0].task.step)
     later = NOW + SAME_RACK_WAIT_SECONDS + 0.1
     assert {run.worker.rack_id for run in plan_round(scene.tables, POOL, later)} == {
         "r1-2"
--- a/packages/systems/tests/scheduling/test_waiting.py
+++ b/packages/systems/tests/scheduling/test_waiting.py
@@ -10,7 +10,7 @@
     WaitCause,
     count_waiting,
     find_wait_cause,
-    list_forgotten,
+    list_unqueued_tasks,
 )
 from medlarspring_tables import PoolId
 from medlarspring_tables.scheduling import RunEnd
@@ -27,8 +27,8 @@
 @pytest.mark.parametrize(
     ("cpu", "rules", "cause"),
     [
-        (0, {}, WaitCause.NO_OPEN_WORKER),
-        (1_000, {}, WaitCause.ROOM),
+        (0, {}, WaitCause.NO_SCHEDULABLE_WORKER),
+        (1_000, {}, WaitCause.RESOURCES),
         (4_000, {}, WaitCause.NEXT_ROUND),
         (4_000, {"required_label": "gpu"}, WaitCause.NOT_ALLOWED),
         (4_000, {"count": 3, "gang": True}, WaitCause.OTHER_MEMBERS),
@@ -80,7 +80,7 @@
     scene.add_job("j", create_step())
     (run,) = plan_round(scene.tables, POOL, NOW)
     detach_run(scene.tables, run, NOW)
-    assert list_forgotten(scene.tables) == []
+    assert list_unqueued_tasks(scene.tables) == []
     scene.tables.ready_by_pool[POOL].clear()
-    assert list_forgotten(scene.tables) == [run.task]
-    assert find_wait_cause(scene.tables, run.task, NOW) is WaitCause.FORGOTTEN
+    assert list_unqueued_tasks(scene.tables) == [run.task]
+    assert find_wait_cause(scene.tables, run.task, NOW) is WaitCause.NOT_QUEUED
--- a/packages/systems/tests/scheduling/test_worker_choice.py
+++ b/packages/systems/tests/scheduling/test_worker_ranking.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from medlarspring_systems.scheduling.placement import WorkerChoice, choose_worker
+from medlarspring_systems.scheduling.placement import WorkerRanking, choose_worker
 from medlarspring_systems.scheduling.runs import intend_run
 
 from .conftest import create_step
@@ -53,7 +53,7 @@
     job = scene.add_job("j", spec)
     step = job.occurrences_by_index[0][0]
     workers = list(scene.tables.workers_by_id.values())
-    choice = WorkerChoice(step, workers, NOW)
+    choice = WorkerRanking(step, workers, NOW)
     for task in list(step.waiting):
         if rng.random() < 0.2:
             task.failed_on.add(rng.choice(workers).vm_id)
--- a/packages/systems/tests/scheduling/test_workers.py
+++ b/packages/systems/tests/scheduling/test_workers.py
@@ -11,19 +11,19 @@
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_systems.scheduling.runs import confirm_run
 from medlarspring_systems.scheduling.workers import (
-    begin_life,
-    end_life,
+    apply_entry,
+    apply_vm_list,
+    begin_incarnation,
+    end_incarnation,
     is_lease_over,
-    is_other_life,
-    is_overfull,
-    note_clock,
-    take_entry,
-    take_vms,
+    is_other_incarnation,
+    is_overcommitted,
+    record_clock,
 )
 from medlarspring_tables import PoolId, RackId, VMId, ZoneId
 from medlarspring_tables.scheduling import (
     EndedRow,
-    Room,
+    Resources,
     RunEnd,
     RunningRow,
     RunState,
@@ -53,7 +53,7 @@
     zone_id=ZoneId("z"),
     address="10.0.0.1:80",
     condition=WorkerCondition.READY,
-    room=Room(16_000, 32_768, 0),
+    resources=Resources(16_000, 32_768, 0),
     labels=("a", "r1-1"),
     rack_id=RackId("r1-1"),
     clock_ms=1_000,
@@ -64,48 +64,48 @@
 def end_life_by_vm_list(scene: Scene) -> None:
     """Let the VM list show the VM of the entry as down."""
     vm = replace(scene.add_vm(1, POOL), phase=VMPhase.DOWN)
-    (worker,) = take_vms(scene.tables, (vm,), NOW + 1.0)
-    end_life(scene.tables, worker, NOW + 1.0)
+    (worker,) = apply_vm_list(scene.tables, (vm,), NOW + 1.0)
+    end_incarnation(scene.tables, worker, NOW + 1.0)
 
 
-def shrink(scene: Scene, room: Room) -> Worker:
+def shrink(scene: Scene, resources: Resources) -> Worker:
     """Let the worker of the entry tell another room, in the same life."""
-    worker = take_entry(scene.tables, replace(ENTRY, room=room), NOW)
+    worker = apply_entry(scene.tables, replace(ENTRY, resources=resources), NOW)
     assert worker is not None
-    worker.settled = True
+    worker.reconciled = True
     return worker
 
 
 @pytest.mark.parametrize(
     ("room", "free", "starts"),
     [
-        (Room(16_000, 32_768, 0), (12_000, 30_768, 0), 1),
-        (Room(6_000, 32_768, 0), (2_000, 30_768, 0), 1),
-        (Room(5_000, 32_768, 0), (1_000, 30_768, 0), 0),
-        (Room(1_000, 32_768, 0), (-3_000, 30_768, 0), 0),
-        (Room(16_000, 2_500, 0), (12_000, 500, 0), 0),
-        (Room(32_000, 65_536, 8), (28_000, 63_536, 8), 1),
+        (Resources(16_000, 32_768, 0), (12_000, 30_768, 0), 1),
+        (Resources(6_000, 32_768, 0), (2_000, 30_768, 0), 1),
+        (Resources(5_000, 32_768, 0), (1_000, 30_768, 0), 0),
+        (Resources(1_000, 32_768, 0), (-3_000, 30_768, 0), 0),
+        (Resources(16_000, 2_500, 0), (12_000, 500, 0), 0),
+        (Resources(32_000, 65_536, 8), (28_000, 63_536, 8), 1),
     ],
     ids=["the same", "just enough", "too small", "overfull", "memory", "larger"],
 )
 def test_room_that_a_worker_tells_later_counts(
-    scene: Scene, room: Room, free: tuple[int, int, int], starts: int
+    scene: Scene, resources: Resources, free: tuple[int, int, int], starts: int
 ):
     """Guards against starts by the room that a worker had when it was first listed."""
-    shrink(scene, ENTRY.room)
+    shrink(scene, ENTRY.resources)
     scene.add_job("first", create_step(count=2))
     for run in plan_round(scene.tables, POOL, NOW):
         confirm_run(run, NOW)
-    worker = shrink(scene, room)
+    worker = shrink(scene, resources)
     assert (worker.cpu_free, worker.memory_free, worker.accelerators_free) == free
-    assert is_overfull(worker) == (free[0] < 0)
+    assert is_overcommitted(worker) == (free[0] < 0)
     scene.add_job("second", create_step())
     assert len(plan_round(scene.tables, POOL, NOW)) == starts
 
 
 def test_room_that_shrank_and_grew_again_is_whole(scene: Scene):
-    for room in (ENTRY.room, Room(1_000, 1_000, 0), ENTRY.room):
-        worker = shrink(scene, room)
+    for resources in (ENTRY.resources, Resources(1_000, 1_000, 0), ENTRY.resources):
+        worker = shrink(scene, resources)
     assert (worker.cpu_free, worker.memory_free) == (16_000, 32_768)
 
 
@@ -122,29 +122,29 @@
     is an old entry, and an order sent there would wait for nothing; another life
     is empty and takes tasks.
     """
-    take_entry(scene.tables, ENTRY, NOW)
+    apply_entry(scene.tables, ENTRY, NOW)
     end_life_by_vm_list(scene)
-    worker = take_entry(scene.tables, replace(ENTRY, born_ms=born_ms), NOW + 2.0)
+    worker = apply_entry(scene.tables, replace(ENTRY, born_ms=born_ms), NOW + 2.0)
     assert (worker is not None) is is_taken
     if worker is not None:
-        worker.settled = True
+        worker.reconciled = True
         scene.add_job("j", create_step(), now=NOW + 2.0)
         assert len(plan_round(scene.tables, POOL, NOW + 2.0)) == 1
 
 
 def test_worker_that_tells_no_start_has_one_life(scene: Scene):
     entry = replace(ENTRY, born_ms=0)
-    take_entry(scene.tables, entry, NOW)
+    apply_entry(scene.tables, entry, NOW)
     end_life_by_vm_list(scene)
-    assert take_entry(scene.tables, entry, NOW + 2.0) is None
+    assert apply_entry(scene.tables, entry, NOW + 2.0) is None
 
 
 def start_runs(scene: Scene, *states: RunState) -> tuple[Worker, list[Run]]:
     """Return a worker with a run in each state, as its first life knows them."""
-    worker = take_entry(scene.tables, ENTRY, NOW)
+    worker = apply_entry(scene.tables, ENTRY, NOW)
     assert worker is not None
-    worker.settled = True
-    note_clock(worker, 5_000, NOW)
+    worker.reconciled = True
+    record_clock(worker, 5_000, NOW)
     scene.add_job("j", create_step(count=len(states)))
     runs = plan_round(scene.tables, POOL, NOW)
     for run, state in zip(runs, states, strict=True):
@@ -165,7 +165,7 @@
         scene, RunState.RUNNING, RunState.INTENDED, RunState.ORDERED
     )
     list_runs(scene, worker, [listed], NOW + 0.1)
-    over = begin_life(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
+    over = begin_incarnation(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
     assert over == [listed, intended]
     assert list(worker.runs.values()) == [ordered]
 
@@ -179,7 +179,7 @@
         scene, RunState.UNKNOWN, RunState.UNKNOWN
     )
     refused.stop_confirmed_at = NOW + 0.5
-    begin_life(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
+    begin_incarnation(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
     list_runs(scene, worker, [unanswered], NOW + 1.1)
     assert unanswered.state is RunState.RUNNING
     # The stop was confirmed by the former life; the next one may begin it yet.
@@ -190,7 +190,7 @@
     worker, (first, second) = start_runs(scene, RunState.RUNNING, RunState.UNKNOWN)
     end = EndedRow(40, first.task.id, 1, RunEnd.DONE, "")
     take_listing(scene.tables, worker, [], [end], NOW + 0.1, NOW + 0.1)
-    begin_life(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
+    begin_incarnation(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
     end = EndedRow(1, second.task.id, 1, RunEnd.DONE, "")
     outcome = take_listing(scene.tables, worker, [], [end], NOW + 1.1, NOW + 1.1)
     assert [run for run, _ in outcome.ended] == [second]
@@ -202,22 +202,22 @@
     it has listed what runs there, it gets nothing.
     """
     worker, _ = start_runs(scene, RunState.RUNNING)
-    begin_life(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
+    begin_incarnation(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
     scene.add_job("k", create_step(), now=NOW + 1.0)
     assert plan_round(scene.tables, POOL, NOW + 1.0) == []
-    entry = replace(ENTRY, born_ms=NEXT_MS, room=Room(8_000, 32_768, 0))
-    assert take_entry(scene.tables, entry, NOW + 1.1) is worker
+    entry = replace(ENTRY, born_ms=NEXT_MS, resources=Resources(8_000, 32_768, 0))
+    assert apply_entry(scene.tables, entry, NOW + 1.1) is worker
     assert plan_round(scene.tables, POOL, NOW + 1.1) == []
     list_runs(scene, worker, [], NOW + 1.2)
-    worker.settled = True
+    worker.reconciled = True
     assert len(plan_round(scene.tables, POOL, NOW + 1.3)) == 2
     assert worker.cpu_free == 8_000 - 2 * create_step().cpu_millis
 
 
 def test_old_entry_does_not_bring_a_former_life_back(scene: Scene):
     worker, _ = start_runs(scene, RunState.RUNNING)
-    begin_life(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
-    assert take_entry(scene.tables, ENTRY, NOW + 1.1) is None
+    begin_incarnation(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
+    assert apply_entry(scene.tables, ENTRY, NOW + 1.1) is None
     assert worker.born_ms == NEXT_MS
 
 
@@ -228,7 +228,7 @@
     known; its task is free once that is over, and not before.
     """
     worker, _ = start_runs(scene, RunState.ORDERED)
-    begin_life(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
+    begin_incarnation(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
     assert not is_lease_over(worker, NOW + 1.0 + LONGEST_LEASE)
     assert is_lease_over(worker, NOW + 1.5 + LONGEST_LEASE)
 
@@ -246,6 +246,6 @@
 def test_lives_are_told_apart_by_their_starts(
     scene: Scene, known_ms: int, told_ms: int, is_other: bool
 ):
-    worker = take_entry(scene.tables, replace(ENTRY, born_ms=known_ms), NOW)
+    worker = apply_entry(scene.tables, replace(ENTRY, born_ms=known_ms), NOW)
     assert worker is not None
-    assert is_other_life(worker, told_ms) is is_other
+    assert is_other_incarnation(worker, told_ms) is is_other
--- a/packages/tables/src/medlarspring_tables/scheduling/__init__.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/__init__.py
@@ -5,7 +5,7 @@
 from medlarspring_tables.scheduling.fleet import (
     OperatorConfig,
     PoolPolicy,
-    Room,
+    Resources,
     Route,
     VMEntry,
     VMPhase,
@@ -46,6 +46,7 @@
     SUSPECT_AFTER,
     ActiveJob,
     ArrivalMeter,
+    QuarantineReason,
     Run,
     RunEnd,
     RunState,
@@ -54,7 +55,6 @@
     Ticket,
     Worker,
     WorkerCrash,
-    WorkerDoubt,
     WorkTables,
 )
 
@@ -81,7 +81,7 @@
     "ProgressRecord",
     "QueueId",
     "QueuePolicy",
-    "Room",
+    "Resources",
     "Route",
     "Run",
     "RunEnd",
@@ -102,7 +102,7 @@
     "Worker",
     "WorkerCondition",
     "WorkerCrash",
-    "WorkerDoubt",
+    "QuarantineReason",
     "WorkerEntry",
     "WorkerId",
 ]
--- a/packages/tables/src/medlarspring_tables/scheduling/fleet.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/fleet.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class Resources:
     """Processors, memory and accelerators of a worker, or asked of it."""
 
     cpu_millis: int = 0
@@ -38,7 +38,7 @@
     zone_id: ZoneId
     address: str
     condition: WorkerCondition
-    room: Room
+    resources: Resources
     labels: tuple[str, ...]
     rack_id: RackId
     clock_ms: Milliseconds
@@ -67,7 +67,7 @@
     phase: VMPhase
     zone_id: ZoneId
     rack_id: RackId
-    room: Room
+    resources: Resources
     worker_id: WorkerId | None
     """The VM's present life; None while it is off or not up."""
 
@@ -77,7 +77,7 @@
     """What the operator's configuration says of a pool."""
 
     id: PoolId
-    guards_room: bool = True
+    enforces_resources: bool = True
     """Its workers refuse tasks that do not fit."""
     standby: bool = False
     """Its VMs are off and cost nothing."""
@@ -120,7 +120,7 @@
 __all__ = [
     "OperatorConfig",
     "PoolPolicy",
-    "Room",
+    "Resources",
     "Route",
     "VMEntry",
     "VMPhase",
--- a/packages/tables/src/medlarspring_tables/scheduling/work.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/work.py
@@ -9,7 +9,7 @@
 from medlarspring_tables.ids import JobId, PoolId, RackId, Revision, Seconds, VMId
 from medlarspring_tables.scheduling.fleet import (
     OperatorConfig,
-    Room,
+    Resources,
     VMEntry,
 )
 from medlarspring_tables.scheduling.records import CrashTally
@@ -43,9 +43,9 @@
     FAILED = "failed"
     STOPPED = "stopped"
     LAPSED = "lapsed"
-    BROKEN = "broken"
+    GANG_BROKEN = "broken"
     """Another member of the gang ended."""
-    ALONE = "alone"
+    GANG_INCOMPLETE = "alone"
     """The other members of the gang did not come."""
 
 
@@ -85,11 +85,11 @@
     """A stop was decided; it is repeated until the end is known."""
     stop_reason: str = ""
     stop_confirmed_at: Seconds = 0.0
-    listed_life_ms: Milliseconds = 0
+    listed_born_ms: Milliseconds = 0
     """Start of the worker's life that listed it; 0 before the first listing."""
     absent_since: Seconds = 0.0
     """First listing of its worker without it, after the order; 0 for none."""
-    blamed: bool = False
+    stall_counted: bool = False
     """Whether its standing still already counted against the worker."""
     crash_counted: bool = False
     """Whether the end of its worker's life already counted against the task."""
@@ -155,7 +155,7 @@
     ready_at: Seconds = 0.0
     objective_at: Seconds = 0.0
     """Local time by which the occurrence should be complete."""
-    given_up_at: Seconds = 0.0
+    useful_until: Seconds = 0.0
     """Local time after which completing it is of no more use to the customer."""
     counted_until: Seconds = 0.0
     """Until when the occurrence counts as incoming work of its pool."""
@@ -165,11 +165,11 @@
     """What one task is expected to take."""
     remaining_work: float = 0.0
     """Core-seconds expected of this step and those that follow it."""
-    room: Room = field(default_factory=Room)
+    resources: Resources = field(default_factory=Resources)
     """What one task asks of a worker."""
     per_worker: dict[WorkerId, int] = field(default_factory=dict)
     """Runs by worker, where the step limits them."""
-    seen_ms: float = 0.0
+    mean_duration_ms: float = 0.0
     """Mean duration of the step's own tasks that ended; 0 before the first."""
     ended_runs: int = 0
     reserved: Worker | None = None
@@ -218,7 +218,7 @@
     writing: bool = False
 
 
-class WorkerDoubt(Enum):
+class QuarantineReason(Enum):
     """Why a worker gets no new tasks, or fewer."""
 
     NONE = "none"
@@ -239,11 +239,11 @@
     rack_id: RackId
     zone_id: str
     address: str
-    room: Room
+    resources: Resources
     labels: frozenset[str]
     born_ms: Milliseconds = 0
     """When this life began, in Unix time by its own word; 0 while it is not known."""
-    described_life_ms: Milliseconds = 0
+    entry_born_ms: Milliseconds = 0
     """Start of the life whose entry told what the worker offers."""
     draining: bool = False
     listed: bool = True
@@ -252,7 +252,7 @@
     """Kept free for maintenance or a move; gets no new tasks."""
     leaving: bool = False
     """Whether a move or maintenance of its VM was sent."""
-    settled: bool = False
+    reconciled: bool = False
     """Whether this controller knows all that runs there."""
     gone: bool = False
     """Whether this life of the VM is certainly over."""
@@ -270,25 +270,25 @@
     clock_at: Seconds = 0.0
     lease_ms: Milliseconds = 0
     """Latest lease end that any order asked for, on the worker's clock."""
-    listed_through: int = 0
+    last_end_number: int = 0
     """Number of the last end taken over."""
     unanswered_since: Seconds = 0.0
     """First call in a row without an answer; 0 when the last one was answered."""
     answered_at: Seconds = 0.0
-    doubt: WorkerDoubt = WorkerDoubt.NONE
-    doubted_until: Seconds = 0.0
-    doubts: int = 0
+    doubt: QuarantineReason = QuarantineReason.NONE
+    quarantined_until: Seconds = 0.0
+    quarantine_count: int = 0
     failures_by_job: dict[JobId, int] = field(default_factory=dict)
     """Jobs that failed here since the last success."""
     slowness: float = 1.0
     """Smoothed duration of its tasks against that of their siblings."""
     ready_at: Seconds = 0.0
     """When a worker that just started is at full speed."""
-    seen_at: Seconds = 0.0
+    first_seen_at: Seconds = 0.0
     """When its entry in the registry was first seen."""
-    trial: Run | None = field(default=None, repr=False)
+    isolated_run: Run | None = field(default=None, repr=False)
     """Latest run here of a task that is suspected of crashing its workers."""
-    unsteady_until: Seconds = 0.0
+    unstable_until: Seconds = 0.0
     """Its VM crashed for no known reason; until then another crash proves nothing."""
 
 
@@ -325,7 +325,7 @@
     jobs_by_id: dict[JobId, ActiveJob] = field(default_factory=dict)
     workers_by_id: dict[WorkerId, Worker] = field(default_factory=dict)
     workers_by_pool: dict[PoolId, dict[WorkerId, Worker]] = field(default_factory=dict)
-    ended_lives: set[tuple[WorkerId, Milliseconds]] = field(default_factory=set)
+    ended_incarnations: set[tuple[WorkerId, Milliseconds]] = field(default_factory=set)
     """Lives that are over, by worker and start; a lagging registry may still list
     them. The worker may be back under its id, which only the start tells."""
     unanswered_orders: dict[WorkerId, dict[tuple[str, int], Seconds]] = field(
@@ -334,7 +334,7 @@
     """When starts got no answer, by worker, task id and run number."""
     recent_crashes: list[WorkerCrash] = field(default_factory=list)
     """Those of the last moment, the latest last."""
-    unsteady_until_by_vm: dict[VMId, Seconds] = field(default_factory=dict)
+    unstable_until_by_vm: dict[VMId, Seconds] = field(default_factory=dict)
     ended_job_ids: dict[JobId, Seconds] = field(default_factory=dict)
     """Jobs whose end was recorded lately, and when; a listing that was read
     before that still holds them."""
@@ -361,6 +361,6 @@
     "Ticket",
     "Worker",
     "WorkerCrash",
-    "WorkerDoubt",
+    "QuarantineReason",
     "WorkTables",
 ]
