--- a/packages/systems/src/medlarspring_systems/scheduling/crashes.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/crashes.py
@@ -72,7 +72,7 @@
     suspects = _find_suspects(worker, now)
     outage = _is_outage(tables, worker, now)
     alone = not outage and _is_attributable(worker, suspects, now)
-    _record_crash(tables, worker, now, idle=not suspects, explained=alone)
+    _record_crash(tables, worker, now, idle=not suspects, attributed=alone)
     for run in worker.runs.values():
         if _has_run_healthily(run, now):
             run.task.crashes = CrashTally()
@@ -214,22 +214,22 @@
 
 def _is_outage(tables: WorkTables, worker: Worker, now: Seconds) -> bool:
     """Tell whether other workers of the zone end now that no task can have crashed."""
-    near = [
+    same_zone = [
         crash
         for crash in tables.recent_crashes
         if crash.zone_id == worker.zone_id and now - crash.at <= OUTAGE_SECONDS
     ]
-    return len(near) >= OUTAGE_WORKERS or any(crash.idle for crash in near)
+    return len(same_zone) >= OUTAGE_WORKERS or any(crash.idle for crash in same_zone)
 
 
 def _record_crash(
-    tables: WorkTables, worker: Worker, now: Seconds, *, idle: bool, explained: bool
+    tables: WorkTables, worker: Worker, now: Seconds, *, idle: bool, attributed: bool
 ) -> None:
     tables.recent_crashes = [
         crash for crash in tables.recent_crashes if now - crash.at <= OUTAGE_SECONDS
     ]
     tables.recent_crashes.append(WorkerCrash(now, worker.zone_id, idle=idle))
-    if explained:
+    if attributed:
         return
     worker.unstable_until = now + UNSTABLE_SECONDS
     tables.unstable_until_by_vm = {
--- a/packages/systems/src/medlarspring_systems/scheduling/isolation.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/isolation.py
@@ -37,7 +37,7 @@
         return True
     if (
         _needs_attributable_crash(task)
-        and _measure_wait(task, now) <= STABLE_VM_WAIT_SECONDS
+        and _measure_waiting_time(task, now) <= STABLE_VM_WAIT_SECONDS
     ):
         return _would_crash_be_attributable(worker, job, now)
     if _may_skip_isolation(task, now):
@@ -116,10 +116,10 @@
     step = task.step
     if task.crashes.suspected > 1 and not step.spec.gang:
         return False
-    return _measure_wait(task, now) > ISOLATION_WAIT_SECONDS
+    return _measure_waiting_time(task, now) > ISOLATION_WAIT_SECONDS
 
 
-def _measure_wait(task: Task, now: Seconds) -> Seconds:
+def _measure_waiting_time(task: Task, now: Seconds) -> Seconds:
     return now - max(task.waiting_since, task.step.ready_at)
 
 
--- a/packages/systems/src/medlarspring_systems/scheduling/placement.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/placement.py
@@ -93,15 +93,24 @@
     spec = step.spec
     failed = float(worker.vm_id in task.failed_on)
     rack = step.rack_id if spec.same_rack else spec.data_rack
-    far = float(bool(rack) and worker.rack_id != rack)
+    remote = float(bool(rack) and worker.rack_id != rack)
     slow = float(worker.slowness >= SLOW_RATIO)
-    crowding = float(spec.uses_leftover and _has_latency_target(worker))
-    releasable = float(not worker.long_runs)
+    interferes = float(spec.uses_leftover and _has_latency_target(worker))
+    not_releasable = float(not worker.long_runs)
     if spec.long_running:
-        return (failed, far, slow, crowding, releasable, worker.cpu_free)
-    empty = float(not worker.runs)
+        return (failed, remote, slow, interferes, not_releasable, worker.cpu_free)
+    idle = float(not worker.runs)
     other_zone = _rate_zone(step, worker)
-    return (failed, far, slow, crowding, releasable, empty, other_zone, worker.cpu_free)
+    return (
+        failed,
+        remote,
+        slow,
+        interferes,
+        not_releasable,
+        idle,
+        other_zone,
+        worker.cpu_free,
+    )
 
 
 def _rate_zone(step: StepRun, worker: Worker) -> float:
@@ -183,21 +192,21 @@
         if self._heap is None:
             self._heap = self._build(task)
         while self._heap:
-            score, place = self._heap[0]
-            worker = self._workers[place]
+            score, index = self._heap[0]
+            worker = self._workers[index]
             if not can_start_on(self._step, task, worker, self._now):
                 heapq.heappop(self._heap)
                 continue
             present = score_worker(self._step, task, worker)
             if present == score:
                 return worker
-            heapq.heapreplace(self._heap, (present, place))
+            heapq.heapreplace(self._heap, (present, index))
         return None
 
     def _build(self, task: Task) -> list[tuple[Score, int]]:
         heap = [
-            (score_worker(self._step, task, worker), place)
-            for place, worker in enumerate(self._workers)
+            (score_worker(self._step, task, worker), index)
+            for index, worker in enumerate(self._workers)
             if can_start_on(self._step, task, worker, self._now)
         ]
         heapq.heapify(heap)
--- a/packages/systems/src/medlarspring_systems/scheduling/rounds.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/rounds.py
@@ -215,8 +215,8 @@
     ]
     if not allowed or len(workers) == 1:
         return
-    nearest = max(allowed, key=lambda worker: (worker.cpu_free, worker.memory_free))
-    workers.remove(nearest)
+    emptiest = max(allowed, key=lambda worker: (worker.cpu_free, worker.memory_free))
+    workers.remove(emptiest)
 
 
 def _keep_free_for_isolation(
--- a/packages/systems/tests/scheduling/test_burst_overload.py
+++ b/packages/systems/tests/scheduling/test_burst_overload.py
@@ -17,8 +17,8 @@
 SEEDS = range(3)
 
 
-def measure(kind: JobKind, per_second: float, rule=rank_step) -> float:  # type: ignore[no-untyped-def]
-    outcomes = [replay_turn(kind, seed, VMS, per_second, rule) for seed in SEEDS]
+def measure(kind: JobKind, jobs_per_second: float, rank=rank_step) -> float:  # type: ignore[no-untyped-def]
+    outcomes = [replay_turn(kind, seed, VMS, jobs_per_second, rank) for seed in SEEDS]
     return sum(outcome.worth for outcome in outcomes) / len(outcomes)
 
 
@@ -31,21 +31,21 @@
     ],
     ids=["short-1.5", "short-2.2", "long-1.7"],
 )
-def test_overloaded_turn_serves_what_it_can(
-    kind: JobKind, per_second: float, at_least: float, gain: float
+def test_overloaded_burst_yields_more_value_than_by_latest_start(
+    kind: JobKind, jobs_per_second: float, at_least: float, gain: float
 ):
     """
     More jobs come than the pool can do in time. Ordered by their latest start
     alone, each is started at its last moment and half of them too late: all the
     pool's time goes into jobs that miss their objective by a little.
     """
-    worth = measure(kind, per_second)
-    before = measure(kind, per_second, rank_by_latest_start)
+    worth = measure(kind, jobs_per_second)
+    baseline = measure(kind, jobs_per_second, rank_by_latest_start)
     assert worth >= at_least
-    assert worth - before >= gain
+    assert worth - baseline >= gain
 
 
-def test_pool_that_is_just_full_serves_as_before():
+def test_full_pool_yields_no_less_than_by_latest_start():
     worth = measure(SHORT_JOBS, 30.0)
-    before = measure(SHORT_JOBS, 30.0, rank_by_latest_start)
-    assert worth >= before - 0.02
+    baseline = measure(SHORT_JOBS, 30.0, rank_by_latest_start)
+    assert worth >= baseline - 0.02
--- a/packages/systems/tests/scheduling/test_crashes.py
+++ b/packages/systems/tests/scheduling/test_crashes.py
@@ -53,9 +53,9 @@
 
 
 def crash(scene: Scene, worker: Worker, now: float) -> CrashAssessment:
-    verdict = record_worker_end(scene.tables, worker, now)
+    assessment = record_worker_end(scene.tables, worker, now)
     end_incarnation(scene.tables, worker, now)
-    return verdict
+    return assessment
 
 
 def crash_once(scene: Scene, number: int, now: float) -> CrashAssessment:
@@ -65,7 +65,7 @@
     return crash(scene, worker, now + 0.1)
 
 
-def test_job_that_crashes_its_workers_alone_is_given_up(scene: Scene):
+def test_job_fails_after_repeated_attributable_crashes(scene: Scene):
     job = scene.add_job("j", create_step())
     for number in range(1, MAX_ATTRIBUTABLE_CRASHES):
         crash_once(scene, number, NOW + 10.0 * number)
@@ -75,13 +75,13 @@
     assert "3 workers crashed under task j.0.0.0" in job.reason
 
 
-def test_tasks_that_start_together_are_suspected_together_and_prove_nothing(
+def test_crash_after_simultaneous_starts_is_not_attributed(
     scene: Scene,
 ):
     """Guards against failing a job whose tasks ran beside the one at fault."""
     first, second = (scene.add_job(name, create_step()) for name in "ab")
-    verdict = crash_once(scene, 1, NOW)
-    assert verdict.jobs == [first, second]
+    assessment = crash_once(scene, 1, NOW)
+    assert assessment.jobs == [first, second]
     for job in (first, second):
         assert get_task(job).crashes == CrashTally(total=1, suspected=1)
 
@@ -117,7 +117,7 @@
     ],
     ids=["proven", "never at work", "just begun"],
 )
-def test_long_running_task_that_worked_is_cleared_of_former_crashes(
+def test_healthy_long_running_task_has_its_crash_counts_reset(
     scene: Scene, percent: int, worked_seconds: float, expected: CrashTally
 ):
     worker = scene.add_worker(1)
@@ -130,29 +130,27 @@
     assert task.crashes == expected
 
 
-def leave_after_notice(scene: Scene, worker: Worker) -> None:
+def drain_worker(scene: Scene, worker: Worker) -> None:
     worker.draining = True
 
 
-def be_operated_on(scene: Scene, worker: Worker) -> None:
+def operate_on_vm(scene: Scene, worker: Worker) -> None:
     worker.leaving = True
 
 
-def be_maintained(scene: Scene, worker: Worker) -> None:
+def maintain_vm(scene: Scene, worker: Worker) -> None:
     vm = scene.tables.vms_by_id[worker.vm_id]
     maintained = replace(vm, phase=VMPhase.MAINTENANCE, worker_id=None)
     scene.tables.vms_by_id[vm.id] = maintained
 
 
-def be_moved(scene: Scene, worker: Worker) -> None:
+def move_vm(scene: Scene, worker: Worker) -> None:
     vm = scene.tables.vms_by_id[worker.vm_id]
     scene.tables.vms_by_id[vm.id] = replace(vm, pool_id=PoolId("survey"))
 
 
-@pytest.mark.parametrize(
-    "end", [leave_after_notice, be_operated_on, be_maintained, be_moved]
-)
-def test_planned_end_of_a_worker_counts_against_nobody(
+@pytest.mark.parametrize("end", [drain_worker, operate_on_vm, maintain_vm, move_vm])
+def test_planned_end_of_a_worker_is_not_counted_as_a_crash(
     scene: Scene, end: Callable[[Scene, Worker], None]
 ):
     worker = scene.add_worker(1)
@@ -163,7 +161,7 @@
     assert get_task(job).crashes == CrashTally()
 
 
-def test_outage_of_a_zone_proves_nothing(scene: Scene):
+def test_zone_outage_is_not_attributed_to_tasks(scene: Scene):
     """Guards against failing jobs whose zone was lost again and again."""
     idle = scene.add_worker(1)
     busy = scene.add_worker(2)
@@ -176,7 +174,7 @@
     assert get_task(job).crashes == CrashTally(total=1)
 
 
-def test_vm_that_crashes_again_for_no_known_reason_is_no_witness(scene: Scene):
+def test_crash_of_an_unstable_vm_is_not_attributed(scene: Scene):
     """Guards against failing jobs whose tasks meet VMs that go up and down."""
     worker = scene.add_worker(1)
     record_worker_end(scene.tables, worker, NOW)
@@ -187,7 +185,7 @@
     assert get_task(job).crashes == CrashTally(total=1, suspected=1)
 
 
-def test_crashes_that_prove_nothing_end_a_task_after_all(scene: Scene):
+def test_crashes_that_are_not_attributed_fail_a_task_at_the_limit(scene: Scene):
     """Guards against a task that is never seen alone on a worker it crashes."""
     job = scene.add_job("j", create_step())
     task = get_task(job)
@@ -196,7 +194,7 @@
     assert job.outcome is JobOutcome.FAILED
 
 
-def test_task_that_crashes_its_workers_late_is_given_up(scene: Scene):
+def test_task_that_crashes_its_workers_late_fails(scene: Scene):
     """Guards against a task beside fresh starts that its crashes are blamed on."""
     late = scene.add_job("late", create_step(cpu_millis=1_000))
     for number in range(1, MAX_CRASHES + 1):
@@ -213,20 +211,20 @@
     assert late.outcome is JobOutcome.FAILED
 
 
-def test_crash_beside_a_task_that_was_beside_others_is_no_proof(scene: Scene):
+def test_crash_beside_a_task_with_earlier_crashes_is_not_attributed(scene: Scene):
     """Guards against blaming fresh starts for a task that crashes its workers late."""
     worker = scene.add_worker(1)
-    rival = scene.add_job("rival", create_step(cpu_millis=1_000))
+    earlier = scene.add_job("rival", create_step(cpu_millis=1_000))
     start(scene)
-    get_task(rival).crashes = CrashTally(total=1)
+    get_task(earlier).crashes = CrashTally(total=1)
     fresh = scene.add_job("fresh", create_step(cpu_millis=1_000))
     start(scene, NOW + 5.0)
     crash(scene, worker, NOW + 5.1)
     assert get_task(fresh).crashes == CrashTally(total=1, suspected=1)
-    assert get_task(rival).crashes == CrashTally(total=2)
+    assert get_task(earlier).crashes == CrashTally(total=2)
 
 
-def test_vm_is_a_witness_once(scene: Scene):
+def test_second_crash_of_one_vm_is_not_attributed(scene: Scene):
     """Guards against a VM that goes down and up while one task returns to it."""
     job = scene.add_job("j", create_step())
     worker = scene.add_worker(1)
@@ -236,7 +234,7 @@
     assert get_task(job).crashes == CrashTally(total=1, suspected=1)
 
 
-def test_start_without_an_answer_counts_once(scene: Scene):
+def test_crash_under_an_unanswered_start_is_counted_once(scene: Scene):
     """
     The answer is lost, and the worker is back under its id. The order may be carried
     out by the next life yet, so that the run stays until that has been settled.
@@ -255,7 +253,7 @@
     assert get_task(job).runs == []
 
 
-def test_start_that_only_a_record_tells_is_no_proof(scene: Scene):
+def test_crash_under_a_restored_start_is_not_attributed(scene: Scene):
     """Guards against failing jobs for workers that left while nobody controlled."""
     worker = scene.add_worker(1)
     job = scene.add_job("j", create_step())
@@ -268,7 +266,7 @@
 @pytest.mark.parametrize(
     ("life_ms", "total"), [(BORN_MS, 1), (BORN_MS + 1, 0)], ids=["former", "present"]
 )
-def test_successor_counts_a_run_in_a_life_that_it_never_knew(
+def test_next_controller_counts_a_run_of_an_ended_incarnation(
     scene: Scene, life_ms: int, total: int
 ):
     worker = scene.add_worker(1)
@@ -280,7 +278,7 @@
     assert get_task(job).crashes.total == total
 
 
-def test_counts_and_lives_are_recorded_and_restored(scene: Scene):
+def test_crash_counts_and_incarnations_are_recorded_and_restored(scene: Scene):
     """Guards against counts of crashes that start anew at each takeover."""
     worker = scene.add_worker(1)
     worker.born_ms = BORN_MS
@@ -311,7 +309,7 @@
     assert (run.number, run.worker_id, run.life_ms) == (3, WorkerId("i-7"), 0)
 
 
-def test_task_that_is_done_is_not_held_against_its_job(scene: Scene):
+def test_crashes_of_a_completed_task_do_not_fail_its_job(scene: Scene):
     """Guards against failing a job for a copy, or a gang's member, of a task done."""
     worker = scene.add_worker(1)
     job = scene.add_job("j", create_step(count=2))
--- a/packages/systems/tests/scheduling/test_isolation.py
+++ b/packages/systems/tests/scheduling/test_isolation.py
@@ -22,7 +22,7 @@
 NOW = 1_000.0
 
 
-def suspect(scene: Scene, name: str = "s", **changes: object) -> ActiveJob:
+def add_suspect_job(scene: Scene, name: str = "s", **changes: object) -> ActiveJob:
     """Add a job whose first task was beside a crash."""
     job = scene.add_job(name, create_step(**changes))
     get_task(job).crashes = CrashTally(total=1, suspected=1)
@@ -30,7 +30,7 @@
     return job
 
 
-def test_suspected_task_starts_apart_from_fresh_starts_of_other_jobs(scene: Scene):
+def test_suspected_task_starts_apart_from_recent_starts_of_other_jobs(scene: Scene):
     """
     Tasks that lost their worker together wait together, and were started side by
     side again: each crash hit the same ones, and nothing told them apart.
@@ -38,7 +38,7 @@
     scene.add_worker(1)
     other = scene.add_job("other", create_step())
     start(scene)
-    task = get_task(suspect(scene))
+    task = get_task(add_suspect_job(scene))
     assert start(scene, NOW + 0.2) == []
     assert find_wait_cause(scene.tables, task, NOW + 0.2) is WaitCause.ISOLATION
     (run,) = start(scene, NOW + 1.1)
@@ -46,9 +46,9 @@
     assert other.outcome is None
 
 
-def test_nothing_starts_beside_a_trial_until_it_is_over(scene: Scene):
+def test_nothing_starts_beside_an_isolated_run(scene: Scene):
     scene.add_worker(1)
-    suspect(scene)
+    add_suspect_job(scene)
     start(scene)
     waiting = scene.add_job("other", create_step())
     assert start(scene, NOW + 0.5) == []
@@ -60,7 +60,7 @@
     """Guards against a suspected task that waits while each gap is filled anew."""
     for number in (1, 2):
         scene.add_worker(number)
-    task = get_task(suspect(scene))
+    task = get_task(add_suspect_job(scene))
     step = task.step
     now = NOW
     scene.tables.ready_by_pool[POOL].pop(step)
@@ -75,13 +75,13 @@
         start(scene, now)
 
 
-def test_worker_whose_trial_is_over_is_cleared_for_another(scene: Scene):
+def test_worker_is_kept_free_for_another_isolated_run(scene: Scene):
     """Guards against suspected tasks that wait beside long runs of tried ones."""
     worker = scene.add_worker(1)
-    suspect(scene, "first", long_running=True)
+    add_suspect_job(scene, "first", long_running=True)
     start(scene)
     now = NOW + 1.5
-    task = get_task(suspect(scene, "second"))
+    task = get_task(add_suspect_job(scene, "second"))
     task.crashes = CrashTally(total=2, suspected=2)
     scene.tables.ready_by_pool[POOL].pop(task.step)
     scene.add_job("other", create_step(), now=now)
@@ -94,9 +94,9 @@
     assert task.runs[0].worker is worker
 
 
-def test_suspected_task_waits_for_a_worker_of_its_own_only_so_long(scene: Scene):
+def test_suspected_task_waits_for_isolation_for_a_limited_time(scene: Scene):
     worker = scene.add_worker(1)
-    task = get_task(suspect(scene))
+    task = get_task(add_suspect_job(scene))
     other = scene.add_job("other", create_step())
     step = task.step
     scene.tables.ready_by_pool[POOL].pop(step)
@@ -110,16 +110,16 @@
     assert run.worker is worker
 
 
-def test_suspected_task_avoids_unsteady_vms_and_company(scene: Scene):
-    unsteady, busy, best = (scene.add_worker(number) for number in (1, 2, 3))
-    unsteady.unstable_until = NOW + 30.0
-    for worker in (unsteady, best):
+def test_suspected_task_prefers_a_stable_and_idle_vm(scene: Scene):
+    unstable, busy, best = (scene.add_worker(number) for number in (1, 2, 3))
+    unstable.unstable_until = NOW + 30.0
+    for worker in (unstable, best):
         worker.reserved = True
     scene.add_job("other", create_step())
     start(scene, NOW - 5.0)
-    for worker in (unsteady, best):
+    for worker in (unstable, best):
         worker.reserved = False
-    suspect(scene)
+    add_suspect_job(scene)
     (run,) = start(scene)
     assert run.worker is best
     assert busy.runs
@@ -130,32 +130,32 @@
     [(1, 0.0, True), (3, 0.0, False), (3, 8.1, True)],
     ids=["first crash", "several", "after its patience"],
 )
-def test_task_under_several_crashes_waits_for_a_steady_vm(
+def test_task_with_several_crashes_waits_for_a_stable_vm(
     scene: Scene, total: int, wait: float, starts: bool
 ):
     """Guards against giving up sound tasks that VMs which flap take down again."""
     scene.add_worker(1).unstable_until = NOW + 30.0
-    get_task(suspect(scene)).crashes = CrashTally(total=total, suspected=1)
+    get_task(add_suspect_job(scene)).crashes = CrashTally(total=total, suspected=1)
     assert bool(start(scene, NOW + wait)) is starts
 
 
 @pytest.mark.parametrize(("seconds", "starts"), [(3.9, 0), (4.1, 1)])
-def test_task_under_several_crashes_has_its_worker_to_itself(
+def test_task_with_several_crashes_is_isolated_for_longer(
     scene: Scene, seconds: float, starts: int
 ):
     """Guards against a sound task that the next one at fault takes down with it."""
     scene.add_worker(1)
-    get_task(suspect(scene)).crashes = CrashTally(total=3, suspected=1)
+    get_task(add_suspect_job(scene)).crashes = CrashTally(total=3, suspected=1)
     start(scene)
     scene.add_job("other", create_step())
     assert len(start(scene, NOW + seconds)) == starts
 
 
-def test_task_under_several_crashes_avoids_other_suspects(scene: Scene):
+def test_task_with_several_crashes_avoids_other_suspects(scene: Scene):
     scene.add_worker(1)
-    suspect(scene, "other")
+    add_suspect_job(scene, "other")
     start(scene, NOW - 5.0)
-    get_task(suspect(scene)).crashes = CrashTally(total=3, suspected=1)
+    get_task(add_suspect_job(scene)).crashes = CrashTally(total=3, suspected=1)
     assert start(scene) == []
 
 
@@ -163,7 +163,7 @@
     """Guards against two starts at once of a task that crashes its workers."""
     for number in (1, 2):
         scene.add_worker(number)
-    job = suspect(scene, speculative=True)
+    job = add_suspect_job(scene, speculative=True)
     (run,) = start(scene)
     run.worker.unanswered_since = NOW
     assert plan_repairs(scene.tables, NOW + 1.0).copies == []
--- a/packages/systems/tests/scheduling/test_quarantine.py
+++ b/packages/systems/tests/scheduling/test_quarantine.py
@@ -25,12 +25,12 @@
 
 POOL = PoolId("consent")
 NOW = 1_000.0
-LASTING = StepSpec(count=1, cpu_millis=1_000, memory_mb=1_000, long_running=True)
+LONG_RUNNING = StepSpec(count=1, cpu_millis=1_000, memory_mb=1_000, long_running=True)
 BATCH = StepSpec(count=4, cpu_millis=1_000, memory_mb=1_000, estimate_ms=500)
 
 
-def start_lasting(scene: Scene, name: str, now: float = NOW) -> Run:
-    scene.add_job(name, LASTING, now=now)
+def start_long_running(scene: Scene, name: str, now: float = NOW) -> Run:
+    scene.add_job(name, LONG_RUNNING, now=now)
     (run,) = plan_round(scene.tables, POOL, now)
     confirm_run(run, now)
     run.percent = 100
@@ -50,22 +50,22 @@
 
 
 @pytest.mark.parametrize("set_aside", [refuse, fail, stall])
-def test_worker_with_a_lasting_task_is_tried_again(scene: Scene, set_aside):  # type: ignore[no-untyped-def]
+def test_worker_with_a_long_running_task_gets_a_probe(scene: Scene, make_unavailable):  # type: ignore[no-untyped-def]
     """
     The only worker of an idle pool serves a lasting task and is set aside. Tried
     again only when nothing ran there, it stayed closed for good: a second lasting
     task waited for ever beside free room.
     """
     worker = scene.add_worker(1)
-    start_lasting(scene, "first")
-    set_aside(worker, NOW)
-    scene.add_job("second", LASTING)
+    start_long_running(scene, "first")
+    make_unavailable(worker, NOW)
+    scene.add_job("second", LONG_RUNNING)
     assert plan_round(scene.tables, POOL, NOW + 0.5) == []
     (run,) = plan_round(scene.tables, POOL, worker.quarantined_until + 0.1)
     assert run.worker is worker
 
 
-def test_worker_set_aside_is_tried_with_one_task_at_a_time(scene: Scene):
+def test_quarantined_worker_gets_one_probe_at_a_time(scene: Scene):
     """
     A worker fails all that it starts. Tried with all that waits, it would use up an
     attempt of each of them.
@@ -80,7 +80,7 @@
     assert len(plan_round(scene.tables, POOL, later + 0.5)) == 1
 
 
-def test_lasting_task_at_work_clears_its_worker(scene: Scene):
+def test_healthy_long_running_probe_ends_the_quarantine(scene: Scene):
     """
     The task that tries a worker lasts, so that its end will never be heard. At work
     for a while, it speaks for the worker as an end would.
@@ -88,7 +88,7 @@
     worker = scene.add_worker(1)
     stall(worker, NOW)
     later = worker.quarantined_until + 0.1
-    start_lasting(scene, "j", later)
+    start_long_running(scene, "j", later)
     worker.answered_at = later + 1.0
     plan_repairs(scene.tables, later + 1.0)
     assert worker.doubt is QuarantineReason.STALLED
@@ -96,15 +96,15 @@
     assert worker.doubt is QuarantineReason.NONE
 
 
-def test_lasting_task_from_before_the_doubt_says_nothing(scene: Scene):
+def test_long_running_task_from_before_the_quarantine_does_not_end_it(scene: Scene):
     worker = scene.add_worker(1)
-    start_lasting(scene, "j")
+    start_long_running(scene, "j")
     stall(worker, NOW + 1.0)
     plan_repairs(scene.tables, worker.quarantined_until + 5.0)
     assert worker.doubt is QuarantineReason.STALLED
 
 
-def test_worker_that_takes_an_order_again_is_open(scene: Scene):
+def test_worker_that_accepts_an_order_is_schedulable_again(scene: Scene):
     worker = scene.add_worker(1)
     refuse(worker, NOW)
     scene.add_job("j", BATCH)
@@ -115,7 +115,7 @@
     )
 
 
-def test_worker_that_refuses_again_is_left_alone_again(scene: Scene):
+def test_repeated_refusal_renews_the_backoff(scene: Scene):
     """
     A worker refuses whatever it is told for seconds. Left alone only after its
     first refusal, it was asked again each 0.15 s from then on.
@@ -130,7 +130,7 @@
     assert len(plan_round(scene.tables, POOL, NOW + 2.2)) == 1
 
 
-def test_ends_of_one_moment_count_as_one_doubt(scene: Scene):
+def test_simultaneous_failures_count_as_one_quarantine(scene: Scene):
     """
     A worker fails what runs on it, and its ends come in one listing. Each doubled the
     wait: three of them set the only VM of an idle pool aside for 16 s in place of 4 s,
--- a/packages/systems/tests/scheduling/test_repair.py
+++ b/packages/systems/tests/scheduling/test_repair.py
@@ -25,7 +25,7 @@
     return runs
 
 
-def test_runs_that_stand_still_are_stopped_and_accuse_their_worker(scene: Scene):
+def test_stalled_runs_are_stopped_and_their_worker_is_quarantined(scene: Scene):
     """
     A worker answers every call, and nothing on it advances. Its tasks would wait
     for ever, and new ones would join them.
@@ -39,7 +39,7 @@
     assert worker.doubt is QuarantineReason.STALLED
 
 
-def test_pause_of_this_process_is_no_standstill_of_the_runs(scene: Scene):
+def test_pause_of_this_process_is_not_taken_for_a_stall(scene: Scene):
     """
     This process was paused for seconds. The last progress it knows is as old as
     its pause, and so is the last answer; runs that went on must not be stopped.
@@ -51,22 +51,22 @@
     assert plan_repairs(scene.tables, NOW + 6.0).stops == []
 
 
-def test_copy_of_a_task_on_a_silent_worker_where_copies_are_allowed(scene: Scene):
-    silent = scene.add_worker(1, cpu=4_000)
+def test_speculative_task_on_an_unresponsive_worker_gets_a_copy(scene: Scene):
+    unresponsive = scene.add_worker(1, cpu=4_000)
     scene.add_job("j", StepSpec(count=1, cpu_millis=2_000, speculative=True))
     (run,) = run_all(scene)
     scene.add_worker(2)
-    silent.unanswered_since = NOW
+    unresponsive.unanswered_since = NOW
     repairs = plan_repairs(scene.tables, NOW + 1.0)
     (copy,) = repairs.copies
     assert (copy.task, copy.worker.id, copy.number) == (run.task, "i-2", 2)
 
 
-def test_long_running_tasks_leave_a_worker_that_leaves(scene: Scene):
-    leaving = scene.add_worker(1, cpu=4_000)
+def test_long_running_tasks_are_evicted_from_a_draining_worker(scene: Scene):
+    draining_worker = scene.add_worker(1, cpu=4_000)
     scene.add_job("j", StepSpec(count=1, cpu_millis=2_000, long_running=True))
     (run,) = run_all(scene)
-    leaving.draining = True
+    draining_worker.draining = True
     assert plan_repairs(scene.tables, NOW).stops == []
     scene.add_worker(2)
     assert [each for each, _ in plan_repairs(scene.tables, NOW).stops] == [run]
--- a/packages/systems/tests/scheduling/test_rounds.py
+++ b/packages/systems/tests/scheduling/test_rounds.py
@@ -33,7 +33,7 @@
 NOW = 1_000.0
 
 
-def test_tasks_start_within_the_room_of_the_workers(scene: Scene):
+def test_tasks_start_within_the_free_resources_of_the_workers(scene: Scene):
     scene.add_worker(1, cpu=4_000)
     scene.add_worker(2, cpu=2_000)
     scene.add_job("j", create_step(count=5))
@@ -53,45 +53,45 @@
     assert [run.task.id for run in plan_round(scene.tables, POOL, NOW)] == ["j.0.1.0"]
 
 
-def spoil_draining(worker: Worker) -> None:
+def make_draining(worker: Worker) -> None:
     worker.draining = True
 
 
-def spoil_reserved(worker: Worker) -> None:
+def make_reserved(worker: Worker) -> None:
     worker.reserved = True
 
 
-def spoil_unlisted(worker: Worker) -> None:
+def make_unlisted(worker: Worker) -> None:
     worker.listed = False
 
 
-def spoil_unsettled(worker: Worker) -> None:
+def make_unreconciled(worker: Worker) -> None:
     worker.reconciled = False
 
 
-def spoil_silent(worker: Worker) -> None:
+def make_unresponsive(worker: Worker) -> None:
     worker.unanswered_since = NOW
 
 
-def spoil_doubted(worker: Worker) -> None:
+def make_quarantined(worker: Worker) -> None:
     quarantine_worker(worker, QuarantineReason.FAILING, NOW)
 
 
 @pytest.mark.parametrize(
     "spoil",
     [
-        spoil_draining,
-        spoil_reserved,
-        spoil_unlisted,
-        spoil_unsettled,
-        spoil_silent,
-        spoil_doubted,
+        make_draining,
+        make_reserved,
+        make_unlisted,
+        make_unreconciled,
+        make_unresponsive,
+        make_quarantined,
     ],
 )
-def test_no_task_goes_to_a_worker_that_takes_none(
-    scene: Scene, spoil: Callable[[Worker], None]
+def test_no_task_starts_on_an_unschedulable_worker(
+    scene: Scene, make_unschedulable: Callable[[Worker], None]
 ):
-    spoil(scene.add_worker(1))
+    make_unschedulable(scene.add_worker(1))
     scene.add_job("j", create_step())
     assert plan_round(scene.tables, POOL, NOW) == []
 
@@ -106,7 +106,7 @@
         ({"data_rack": "r2-1"}, ["i-2", "i-2", "i-2", "i-2"]),
     ],
 )
-def test_rules_of_a_step_on_where_it_runs(
+def test_placement_constraints_of_a_step(
     scene: Scene, rules: dict[str, object], allowed: list[str]
 ):
     scene.add_worker(1, cpu=8_000)
@@ -116,7 +116,7 @@
     assert sorted(run.worker.id for run in runs) == allowed
 
 
-def test_tasks_that_should_share_a_rack_do(scene: Scene):
+def test_tasks_share_a_rack_if_requested(scene: Scene):
     for number, rack in ((1, "r1-1"), (2, "r1-1"), (3, "r2-1")):
         scene.add_worker(number, cpu=4_000, rack=rack)
     scene.add_job("j", create_step(count=5, same_rack=True))
@@ -124,7 +124,7 @@
     assert [run.worker.rack_id for run in runs] == ["r1-1"] * 4
 
 
-def test_gang_starts_whole_or_not_at_all(scene: Scene):
+def test_gang_starts_completely_or_not_at_all(scene: Scene):
     """
     Members that start without the others wait, hold their room, and end alone
     after some seconds; the gang then begins again from nothing.
@@ -154,7 +154,7 @@
     assert (again.worker.id, again.number) == ("i-2", 2)
 
 
-def test_job_fails_with_its_last_attempt_and_starts_no_more(scene: Scene):
+def test_job_fails_with_its_last_attempt_and_starts_no_more_tasks(scene: Scene):
     for number in (1, 2, 3):
         scene.add_worker(number)
     job = scene.add_job("j", create_step(), create_step(after=(0,)), max_attempts=2)
@@ -168,7 +168,7 @@
     assert plan_round(scene.tables, POOL, now) == []
 
 
-def test_jobs_that_can_make_their_objective_go_before_those_that_can_not(scene: Scene):
+def test_jobs_that_can_meet_their_objective_go_first(scene: Scene):
     """
     At the peak of a queue's turn the oldest jobs are late already. Served first,
     they would make each next one late as well, and nobody would be in time.
@@ -185,7 +185,7 @@
     assert run.task.step.job.id == "new"
 
 
-def test_large_task_is_not_passed_by_small_ones_for_ever(scene: Scene):
+def test_large_task_is_not_starved_by_small_ones(scene: Scene):
     """
     Small tasks fill each gap as it comes; a task as large as a worker would wait
     until the queue is empty. After a while it keeps the emptiest worker free.
@@ -201,7 +201,7 @@
     assert plan_round(scene.tables, POOL, NOW + 0.3) == []
 
 
-def test_long_running_task_takes_room_from_batch_work_of_least_progress(scene: Scene):
+def test_long_running_task_preempts_the_batch_run_with_least_progress(scene: Scene):
     worker = scene.add_worker(1, cpu=4_000)
     scene.add_job("batch", create_step(count=2))
     first, second = plan_round(scene.tables, POOL, NOW)
@@ -209,14 +209,14 @@
         confirm_run(run, NOW)
         run.percent = percent
     job = scene.add_job("lasting", create_step(long_running=True))
-    (lasting,) = job.occurrences_by_index[0]
-    assert find_preemptible(lasting, [worker], NOW) == [second]
+    (service_step,) = job.occurrences_by_index[0]
+    assert find_preemptible(service_step, [worker], NOW) == [second]
 
 
 ZONES = ("z-a", "z-b", "z-c", "z-d")
 
 
-def test_tasks_of_a_job_share_a_zone_while_it_has_room(scene: Scene):
+def test_tasks_of_a_job_share_a_zone_while_it_has_capacity(scene: Scene):
     """
     A zone is cut off, and what runs there is not heard of for seconds. A job is late
     when one task is: spread over all zones nearly every job had a task there.
@@ -234,7 +234,7 @@
     assert in_one_zone >= len(zones) // 2
 
 
-def test_job_takes_room_in_another_zone_before_it_waits(scene: Scene):
+def test_job_uses_another_zone_rather_than_wait(scene: Scene):
     for number in range(2):
         worker = scene.add_worker(number, cpu=4_000)
         worker.zone_id = ZONES[number]  # type: ignore[assignment]
@@ -244,7 +244,7 @@
 
 
 @pytest.mark.parametrize("gone", [True, False], ids=["gone", "full"])
-def test_step_leaves_the_rack_that_its_tasks_share_if_it_must(scene: Scene, gone: bool):
+def test_step_changes_racks_if_its_rack_is_gone_or_full(scene: Scene, gone: bool):
     """
     The tasks of a step share a rack; theirs lost its workers, or filled up with
     work that lasts. Bound to it, a lost task waited for good beside free racks.
--- a/packages/systems/tests/scheduling/test_waiting.py
+++ b/packages/systems/tests/scheduling/test_waiting.py
@@ -44,7 +44,7 @@
     assert find_wait_cause(scene.tables, task, NOW) is cause
 
 
-def test_what_a_task_waits_for_over_its_life(scene: Scene):
+def test_what_a_task_waits_for_over_its_lifetime(scene: Scene):
     scene.add_worker(1)
     job = scene.add_job("j", create_step(), create_step(after=(0,)))
     first, second = (each.tasks[0] for each in job.occurrences_by_index[0])
@@ -71,7 +71,7 @@
     assert count_waiting(scene.tables, NOW) == counts
 
 
-def test_task_that_fell_out_of_the_line_is_found(scene: Scene):
+def test_task_missing_from_its_queue_is_found(scene: Scene):
     """
     A run is lost and its task goes back into the line. Were the line cleared behind
     its back, its pool could stand idle and the task would wait for good.
--- a/packages/systems/tests/scheduling/test_worker_ranking.py
+++ b/packages/systems/tests/scheduling/test_worker_ranking.py
@@ -27,19 +27,19 @@
 )
 
 
-def fill(scene: Scene, rng: random.Random) -> None:
+def add_varied_workers(scene: Scene, rng: random.Random) -> None:
     """Fill the tables with workers of different room, load and kind."""
     for number in range(12):
-        worker = scene.add_worker(number, rack=rng.choice(RACKS))
+        worker = scene.add_worker(number, rack=rng.ranking(RACKS))
         worker.cpu_free = rng.randrange(0, 16_000, 500)
-        worker.long_runs = rng.choice((0, 0, 1))
-        worker.slowness = rng.choice((1.0, 1.0, 2.0))
-        worker.zone_id = rng.choice(ZONES)
+        worker.long_runs = rng.ranking((0, 0, 1))
+        worker.slowness = rng.ranking((1.0, 1.0, 2.0))
+        worker.zone_id = rng.ranking(ZONES)
 
 
 @pytest.mark.parametrize("rules", RULES, ids=str)
 @pytest.mark.parametrize("seed", range(6))
-def test_chosen_together_is_chosen_one_by_one(
+def test_ranking_agrees_with_single_choices(
     scene: Scene, seed: int, rules: dict[str, object]
 ):
     """
@@ -48,17 +48,17 @@
     on one that has no room.
     """
     rng = random.Random(seed)
-    fill(scene, rng)
+    add_varied_workers(scene, rng)
     spec = create_step(count=14, cpu_millis=2_500, memory_mb=100, **rules)
     job = scene.add_job("j", spec)
     step = job.occurrences_by_index[0][0]
     workers = list(scene.tables.workers_by_id.values())
-    choice = WorkerRanking(step, workers, NOW)
+    ranking = WorkerRanking(step, workers, NOW)
     for task in list(step.waiting):
         if rng.random() < 0.2:
-            task.failed_on.add(rng.choice(workers).vm_id)
+            task.failed_on.add(rng.ranking(workers).vm_id)
         expected = choose_worker(step, task, workers, NOW)
-        chosen = choice.choose(task)
+        chosen = ranking.choose(task)
         assert chosen is expected
         if chosen is None:
             break
--- a/packages/systems/tests/scheduling/test_workers.py
+++ b/packages/systems/tests/scheduling/test_workers.py
@@ -61,14 +61,14 @@
 )
 
 
-def end_life_by_vm_list(scene: Scene) -> None:
+def end_incarnation_by_vm_list(scene: Scene) -> None:
     """Let the VM list show the VM of the entry as down."""
     vm = replace(scene.add_vm(1, POOL), phase=VMPhase.DOWN)
     (worker,) = apply_vm_list(scene.tables, (vm,), NOW + 1.0)
     end_incarnation(scene.tables, worker, NOW + 1.0)
 
 
-def shrink(scene: Scene, resources: Resources) -> Worker:
+def apply_resources(scene: Scene, resources: Resources) -> Worker:
     """Let the worker of the entry tell another room, in the same life."""
     worker = apply_entry(scene.tables, replace(ENTRY, resources=resources), NOW)
     assert worker is not None
@@ -88,24 +88,24 @@
     ],
     ids=["the same", "just enough", "too small", "overfull", "memory", "larger"],
 )
-def test_room_that_a_worker_tells_later_counts(
+def test_changed_resources_of_a_worker_are_applied(
     scene: Scene, resources: Resources, free: tuple[int, int, int], starts: int
 ):
     """Guards against starts by the room that a worker had when it was first listed."""
-    shrink(scene, ENTRY.resources)
+    apply_resources(scene, ENTRY.resources)
     scene.add_job("first", create_step(count=2))
     for run in plan_round(scene.tables, POOL, NOW):
         confirm_run(run, NOW)
-    worker = shrink(scene, resources)
+    worker = apply_resources(scene, resources)
     assert (worker.cpu_free, worker.memory_free, worker.accelerators_free) == free
     assert is_overcommitted(worker) == (free[0] < 0)
     scene.add_job("second", create_step())
     assert len(plan_round(scene.tables, POOL, NOW)) == starts
 
 
-def test_room_that_shrank_and_grew_again_is_whole(scene: Scene):
+def test_resources_that_shrank_and_grew_again_are_all_free(scene: Scene):
     for resources in (ENTRY.resources, Resources(1_000, 1_000, 0), ENTRY.resources):
-        worker = shrink(scene, resources)
+        worker = apply_resources(scene, resources)
     assert (worker.cpu_free, worker.memory_free) == (16_000, 32_768)
 
 
@@ -114,8 +114,8 @@
     [(BORN_MS, False), (BORN_MS + 1, True), (BORN_MS - 1, True)],
     ids=["the same life", "a later one", "its clock was set back"],
 )
-def test_worker_whose_life_was_over_is_taken_again_in_another_life(
-    scene: Scene, born_ms: int, is_taken: bool
+def test_ended_worker_is_accepted_in_a_new_incarnation(
+    scene: Scene, born_ms: int, is_accepted: bool
 ):
     """
     The VM list shows a VM down, then its worker's entry comes again. The same life
@@ -123,19 +123,19 @@
     is empty and takes tasks.
     """
     apply_entry(scene.tables, ENTRY, NOW)
-    end_life_by_vm_list(scene)
+    end_incarnation_by_vm_list(scene)
     worker = apply_entry(scene.tables, replace(ENTRY, born_ms=born_ms), NOW + 2.0)
-    assert (worker is not None) is is_taken
+    assert (worker is not None) is is_accepted
     if worker is not None:
         worker.reconciled = True
         scene.add_job("j", create_step(), now=NOW + 2.0)
         assert len(plan_round(scene.tables, POOL, NOW + 2.0)) == 1
 
 
-def test_worker_that_tells_no_start_has_one_life(scene: Scene):
+def test_worker_that_reports_no_start_has_one_incarnation(scene: Scene):
     entry = replace(ENTRY, born_ms=0)
     apply_entry(scene.tables, entry, NOW)
-    end_life_by_vm_list(scene)
+    end_incarnation_by_vm_list(scene)
     assert apply_entry(scene.tables, entry, NOW + 2.0) is None
 
 
@@ -160,7 +160,7 @@
     take_listing(scene.tables, worker, rows, [], at, at + 0.01)
 
 
-def test_what_a_former_life_listed_is_over_with_it(scene: Scene):
+def test_runs_listed_by_an_ended_incarnation_are_over(scene: Scene):
     worker, (listed, intended, ordered) = start_runs(
         scene, RunState.RUNNING, RunState.INTENDED, RunState.ORDERED
     )
@@ -170,7 +170,7 @@
     assert list(worker.runs.values()) == [ordered]
 
 
-def test_order_that_the_next_life_carried_out_is_found_there(scene: Scene):
+def test_order_executed_by_the_next_incarnation_is_found(scene: Scene):
     """
     An order names its worker by id only. It reached the next life before its entry
     did; counted as over with the former life, its task would run twice.
@@ -186,7 +186,7 @@
     assert refused.task.runs == [refused]
 
 
-def test_ends_of_the_next_life_are_counted_from_one(scene: Scene):
+def test_ends_of_the_next_incarnation_are_numbered_from_one(scene: Scene):
     worker, (first, second) = start_runs(scene, RunState.RUNNING, RunState.UNKNOWN)
     end = EndedRow(40, first.task.id, 1, RunEnd.DONE, "")
     take_listing(scene.tables, worker, [], [end], NOW + 0.1, NOW + 0.1)
@@ -196,7 +196,7 @@
     assert [run for run, _ in outcome.ended] == [second]
 
 
-def test_next_life_takes_tasks_once_its_entry_and_its_listing_are_there(scene: Scene):
+def test_next_incarnation_gets_tasks_after_its_entry_and_listing(scene: Scene):
     """
     The next life of a VM may be of another kind. Until its entry tells, and until
     it has listed what runs there, it gets nothing.
@@ -214,14 +214,14 @@
     assert worker.cpu_free == 8_000 - 2 * create_step().cpu_millis
 
 
-def test_old_entry_does_not_bring_a_former_life_back(scene: Scene):
+def test_old_entry_does_not_restore_an_ended_incarnation(scene: Scene):
     worker, _ = start_runs(scene, RunState.RUNNING)
     begin_incarnation(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
     assert apply_entry(scene.tables, ENTRY, NOW + 1.1) is None
     assert worker.born_ms == NEXT_MS
 
 
-def test_orders_to_a_next_life_that_stays_silent_lapse(scene: Scene):
+def test_orders_to_an_unresponsive_next_incarnation_lapse(scene: Scene):
     """
     A worker starts again behind a cut, as its entry tells, and answers nobody. An
     order that it may have taken runs for one lease at most, on a clock that is not
@@ -243,9 +243,9 @@
         (BORN_MS, 0, False),
     ],
 )
-def test_lives_are_told_apart_by_their_starts(
-    scene: Scene, known_ms: int, told_ms: int, is_other: bool
+def test_incarnations_are_distinguished_by_their_starts(
+    scene: Scene, known_ms: int, reported_ms: int, is_other: bool
 ):
     worker = apply_entry(scene.tables, replace(ENTRY, born_ms=known_ms), NOW)
     assert worker is not None
-    assert is_other_incarnation(worker, told_ms) is is_other
+    assert is_other_incarnation(worker, reported_ms) is is_other
