--- a/packages/systems/src/medlarspring_systems/scheduling/crashes.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/crashes.py
@@ -1,8 +1,9 @@
-"""Which runs may have crashed the worker that they were on, and what follows.
+"""Counts crashes of workers against the tasks that may have caused them.
 
-A worker that crashes tells nothing about its end. A task that crashes each worker
-that starts it does so soon, so that the latest starts on a worker are suspected first.
-A task is given up once nothing else explains the crashes under it.
+A worker that crashes does not report why. A task that crashes its workers usually
+does so soon after its start, so that the latest starts on a worker are suspected
+first. A job fails once enough crashes are attributable to one of its tasks, that is,
+have no other explanation.
 """
 
 from __future__ import annotations
@@ -30,42 +31,47 @@
     )
 
 RECENT_START_SECONDS = 2.0
-"""A crash so soon after a start may be its doing; part of this passes until the crash
-is noticed."""
+"""A start is suspected of a crash that is noticed within this time.
+
+It includes the delay until the crash is noticed.
+"""
 SIMULTANEOUS_SECONDS = 1.0
-"""Starts so close to each other are suspected together."""
+"""Starts at most this far apart are suspected together."""
 HEALTHY_RUN_SECONDS = 2.0
-"""A long-running task at work for so long does not crash its worker."""
+"""A long-running task that has served for this long is not suspected of a crash."""
 MAX_ATTRIBUTABLE_CRASHES = 3
-"""Crashes that nothing but the task's own job explains before it is given up."""
+"""Crashes attributable to the task's own job alone at which the job fails."""
 MAX_CRASHES = 5
-"""Crashes of any kind before a task is given up; the platform allows two starts more
-after the third."""
+"""Crashes of any kind at which the job fails.
+
+The platform permits two more starts after the third crash.
+"""
 OUTAGE_SECONDS = 1.0
-"""Workers of a zone that end so close to each other end for one reason."""
+"""Workers of a zone that end at most this far apart are taken to have one cause."""
 OUTAGE_WORKERS = 4
-"""So many of them are an outage, even if each had a fresh start."""
+"""This many of them count as an outage, even if each had a recent start."""
 UNSTABLE_SECONDS = 30.0
-"""A VM that crashed without an explanation is no witness for so long."""
+"""Time for which a VM counts as unstable after a crash that was not attributable."""
 
 
 @dataclass(slots=True)
 class CrashAssessment:
-    """What the end of a worker's life says about its runs."""
+    """Assessment of the end of a worker's incarnation."""
 
     planned: bool
-    """It was moved, maintained, or left after its notice."""
+    """The VM was moved or maintained, or the worker left after notice."""
     suspects: list[Run] = field(default_factory=list)
+    """Runs that may have crashed the worker."""
     jobs: list[ActiveJob] = field(default_factory=list)
-    """Jobs against which it counts, each once; some may have failed by it."""
+    """Jobs against which the crash counts, without repeats; some may have failed."""
 
 
 def record_worker_end(
     tables: WorkTables, worker: Worker, now: Seconds
 ) -> CrashAssessment:
-    """Count the end of a worker's life against the tasks that were on it.
+    """Count the end of a worker's incarnation against the tasks that were on it.
 
-    Called while its runs are still entered.
+    Must be called while its runs are still attached to the worker.
     """
     if _is_planned_end(tables, worker):
         return CrashAssessment(planned=True)
@@ -88,9 +94,10 @@
 
 
 def record_vanished_run(run: Run) -> None:
-    """Count a run that is over without an end or a known end of its worker's life.
+    """Count a run that is over although neither its end nor its worker's is known.
 
-    Its worker may have crashed unseen; nothing there is suspected for it.
+    Its worker may have crashed without this controller noticing. The crash counts
+    towards the limit for crashes of any kind; the task is not suspected for it.
     """
     if not run.crash_counted:
         _count_crash(run, suspected=False, alone=False)
@@ -101,7 +108,7 @@
     task, job = run.task, run.task.step.job
     if task.done:
         return
-    # A VM that goes up and down proves nothing by crashing under the same task again.
+    # Another crash of the same VM under this task may be due to an unstable VM.
     alone = alone and run.worker.vm_id not in task.failed_on
     known = task.crashes
     task.crashes = CrashTally(
@@ -119,10 +126,10 @@
 
 
 def _has_too_many_crashes(task: Task) -> bool:
-    """Tell whether a task is not started again for the workers that it crashed.
+    """Return whether a task has so many crashes that its job has to fail.
 
-    Crashes beside other jobs' fresh starts, in an outage or on an unsteady VM prove
-    nothing; the limit for them keeps a task from going on without end.
+    Crashes beside recent starts of other jobs, in an outage or on an unstable VM are
+    not attributable. Without a limit for these, a task could be restarted forever.
     """
     return (
         task.crashes.alone >= MAX_ATTRIBUTABLE_CRASHES
@@ -131,7 +138,7 @@
 
 
 def _is_planned_end(tables: WorkTables, worker: Worker) -> bool:
-    """Tell whether a worker's life ended by an operation or after its notice."""
+    """Return whether an incarnation ended by an operation on its VM or after notice."""
     if worker.draining or worker.leaving:
         return True
     vm = tables.vms_by_id.get(worker.vm_id)
@@ -145,8 +152,8 @@
 def _find_suspects(worker: Worker, now: Seconds) -> list[Run]:
     """Return the runs that may have crashed their worker.
 
-    These are the latest starts. If none was fresh when the worker fell silent, all
-    runs that have not proven themselves are suspected.
+    These are the latest starts. If there was no recent start when the worker stopped
+    answering, all runs are suspected except those with a healthy record.
     """
     runs = [run for run in worker.runs.values() if may_have_caused_crash(run, now)]
     if not runs:
@@ -160,8 +167,8 @@
 def _list_counted_runs(worker: Worker, now: Seconds) -> list[Run]:
     """Return the runs against which a crash counts, suspected or not.
 
-    A task that crashes its workers late is never suspected beside fresh starts, and
-    would go on without end.
+    A task that crashes its workers late is never suspected beside recent starts. If
+    only suspects were counted, it could be restarted forever.
     """
     return [
         run
@@ -171,12 +178,12 @@
 
 
 def may_have_caused_crash(run: Run, now: Seconds) -> bool:
-    """Tell whether a run was perhaps started and has not proven itself."""
+    """Return whether a run may have been started and has no healthy record."""
     return run.state is not RunState.INTENDED and not _has_run_healthily(run, now)
 
 
 def _has_run_healthily(run: Run, now: Seconds) -> bool:
-    """Tell whether a long-running task has worked long enough to be trusted."""
+    """Return whether a long-running task has served long enough not to be suspected."""
     if not run.task.step.spec.long_running or not is_serving(run):
         return False
     return _find_last_contact(run.worker, now) - run.confirmed_at >= HEALTHY_RUN_SECONDS
@@ -187,15 +194,17 @@
 
 
 def _find_last_contact(worker: Worker, now: Seconds) -> Seconds:
-    """Return since when a worker does not answer; ``now`` if it still does."""
+    """Return when a worker stopped answering; ``now`` if it still answers."""
     return worker.unanswered_since or now
 
 
 def _is_attributable(worker: Worker, suspects: list[Run], now: Seconds) -> bool:
-    """Tell whether a crash speaks against the only job that had fresh starts there.
+    """Return whether only the job of the suspected runs can explain a crash.
 
-    Of a start that only a record tells, nobody knows how fresh it was. A task that
-    crashes its workers late is not among the suspects, but has been beside crashes.
+    The crash is not attributable if the suspects belong to several jobs, if the VM
+    is unstable, or if another job's task there has earlier crashes and might be one
+    that crashes its workers late. Nor is it if no suspect is known to have started
+    recently; for runs restored from records the time of the start is not known.
     """
     jobs = {run.task.step.job for run in suspects}
     if len(jobs) != 1 or now < worker.unstable_until:
@@ -213,7 +222,11 @@
 
 
 def _is_outage(tables: WorkTables, worker: Worker, now: Seconds) -> bool:
-    """Tell whether other workers of the zone end now that no task can have crashed."""
+    """Return whether a crash is part of an outage of its zone.
+
+    It is if many workers of the zone have just ended, or one that no task can have
+    crashed.
+    """
     same_zone = [
         crash
         for crash in tables.recent_crashes
--- a/packages/systems/src/medlarspring_systems/scheduling/isolation.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/isolation.py
@@ -1,7 +1,7 @@
-"""Keeps tasks that may crash their workers apart from other jobs' fresh starts.
+"""Isolates tasks that may crash their workers from recent starts of other jobs.
 
-Started side by side again, a task that crashes its workers and the tasks beside it
-have the same history, and none can be told from the others.
+When tasks that lost their worker together are started together again, they all get
+the same crash counts, and the one that causes the crashes can't be identified.
 """
 
 from __future__ import annotations
@@ -16,18 +16,22 @@
     from medlarspring_tables.scheduling import ActiveJob, Run, StepRun, Task, Worker
 
 ISOLATION_WAIT_SECONDS = 2.0
-"""A task suspected once waits no longer for a worker without other fresh starts."""
+"""Longest wait of a task suspected once for a worker without other recent starts."""
 STABLE_VM_WAIT_SECONDS = 2.5
-"""A task under which several workers crashed waits no longer for a steady VM: beside
-idle ones it would seem lost."""
+"""Longest wait of a task with several crashes for a stable VM.
+
+While it waits other VMs are idle, and a longer wait would look like a lost task.
+"""
 EXTENDED_ISOLATION_SECONDS = 4.0
-"""Such a task has its worker to itself for so long: it may crash it late."""
+"""Isolation of a task with several crashes, which may crash its worker late."""
 
 
 def preserves_isolation(task: Task, worker: Worker, now: Seconds) -> bool:
-    """Tell whether a task may start on a worker without hiding who crashes it.
+    """Return whether a task can start on a worker without breaking an isolation.
 
-    No suspected task gets beside another job's fresh start, nor the other way round.
+    A suspected task does not start beside a recent start of another job, nor does
+    another job's task start beside an isolated run. Otherwise it would not be known
+    which of them crashed the worker.
     """
     job = task.step.job
     isolated_run = find_isolated_run(worker, now)
@@ -49,16 +53,17 @@
 
 
 def _needs_attributable_crash(task: Task) -> bool:
-    """Tell whether one more crash under a task has to prove something.
+    """Return whether the next crash under a task should be attributable.
 
-    On VMs that go up and down, or beside others at fault, a sound task loses one worker
-    after the other, and would be given up like one that crashes them.
+    A sound task loses several workers on VMs that keep restarting, or beside tasks
+    that crash them. Without this rule its job would fail like that of a task that
+    causes the crashes.
     """
     return task.crashes.total >= SUSPECT_AFTER
 
 
 def _would_crash_be_attributable(worker: Worker, job: ActiveJob, now: Seconds) -> bool:
-    """Tell whether nothing but the job itself would explain a crash of the worker."""
+    """Return whether only the job itself could explain a crash of the worker."""
     if measure_unstable_time(worker, now):
         return False
     return not any(
@@ -68,12 +73,12 @@
 
 
 def has_suspected_task(step: StepRun) -> bool:
-    """Tell whether a task of a step waits that has to be kept apart."""
+    """Return whether a suspected task of the step is waiting."""
     return step.job.suspected and any(task.is_suspect for task in step.waiting)
 
 
 def find_isolated_run(worker: Worker, now: Seconds) -> Run | None:
-    """Return the suspected run of a worker that has not shown yet what it does."""
+    """Return the suspected run of a worker that still has to be isolated, or None."""
     isolated_run = worker.isolated_run
     if isolated_run is None or not (
         _is_recent(isolated_run, now) or _is_in_extended_isolation(isolated_run, now)
@@ -89,16 +94,20 @@
 
 
 def rate_for_isolation(worker: Worker, now: Seconds) -> tuple[Seconds, Seconds]:
-    """Rate a worker for the trial of a suspected task; the lowest is the best.
+    """Return the score of a worker for an isolated run; the lowest is the best.
 
-    The rating is how long its VM still counts as unsteady, then its latest start.
+    It consists of the time for which the VM still counts as unstable and of the
+    worker's latest start.
     """
     last_start = max((run.started_at for run in worker.runs.values()), default=0.0)
     return (measure_unstable_time(worker, now), last_start)
 
 
 def measure_unstable_time(worker: Worker, now: Seconds) -> Seconds:
-    """Return how long a crash of a worker's VM proves nothing yet; 0 if it does."""
+    """Return for how long a worker's VM still counts as unstable; 0 if it is stable.
+
+    A crash of an unstable VM is not attributed to any task.
+    """
     return max(worker.unstable_until - now, 0.0)
 
 
@@ -109,9 +118,10 @@
 
 
 def _may_skip_isolation(task: Task, now: Seconds) -> bool:
-    """Tell whether a task has waited too long for a worker of its own.
+    """Return whether a task has waited long enough to start without isolation.
 
-    A gang needs many at once, and may never find them in a full pool.
+    A task suspected more than once never may, unless it belongs to a gang: a gang
+    needs many workers at once and might never find them in a full pool.
     """
     step = task.step
     if task.crashes.suspected > 1 and not step.spec.gang:
--- a/packages/systems/src/medlarspring_systems/scheduling/ordering.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/ordering.py
@@ -1,15 +1,15 @@
-"""In which order steps get the workers of their pool.
-
-The load it answers: a queue's turn asks for more than its pool holds for some
-seconds, and a job is worth nearly all within its objective and little after it.
-While everything fits, the earliest latest start goes first. Under overload that
-order alone is the worst there is: each job is started at its last moment, and half
-of them a little later than that. So the more work waits, the more a step's size
-counts against it: the pool's time goes to the jobs of which it can serve most.
-
-A turn of 4 s of short jobs that ask for 1.0, 1.5 and 2.2 times a pool's processors
-earned 0.99, 0.73 and 0.53 of its worth, with the latest start alone 0.99, 0.53 and
-0.29 (``measure turns``; the first three seeds also in the tests).
+"""Order in which ready steps are placed on the workers of their pool.
+
+In a burst, a queue needs more than its pool has for some seconds. A job completed
+within its objective has nearly its full value, a later one little. While the pool
+can serve everything, the step with the earliest latest start goes first. Under
+overload that order alone is the worst possible: each job is started at the last
+moment, and half of them a little too late. So the more work waits, the more the size
+of a step lowers its rank, and the pool completes as many jobs as it can in time.
+
+Bursts of 4 s of short jobs that need 1.0, 1.5 and 2.2 times a pool's processors
+yield 0.99, 0.73 and 0.53 of their value, and 0.99, 0.53 and 0.29 if ordered by the
+latest start alone (``measure turns``; the tests replay the first three seeds).
 """
 
 from __future__ import annotations
@@ -23,8 +23,11 @@
     from medlarspring_tables.scheduling import StepRun, Worker
 
 Rank = tuple[int, int, float]
-"""Tier, priority of the queue, latest start with the step's size; the smallest goes
-first."""
+"""Tier, priority of the queue, and a time or size; the lowest rank goes first.
+
+The last element is the latest start plus a penalty for size in ``TIER_ON_TIME``, the
+remaining work in ``TIER_LATE``, else the time when the step became ready.
+"""
 
 TIER_LONG_RUNNING = 0
 TIER_ON_TIME = 1
@@ -32,25 +35,30 @@
 TIER_OVERDUE = 3
 
 FEASIBILITY_SLACK = 0.3
-"""Part of the remaining path by which an estimate may be too long.
+"""Fraction of the remaining path by which estimates may be too long.
 
-A job is not put last for a miss that its estimate's error may explain.
+A job that would miss its objective only by this error is not ranked as late.
 """
 LIGHT_BACKLOG_SECONDS = 0.5
-"""Up to so much waiting work sizes do not count: it is done within what a short job's
-objective leaves it to wait. With 0 a pool that was just full lost 0.04 of its worth."""
+"""Backlog up to which the sizes of steps do not count.
+
+It is done within the time that a short job's objective leaves for waiting. With 0, a
+pool that was just full lost 0.04 of the value of its jobs.
+"""
 FULL_OVERLOAD_SECONDS = 1.5
-"""A pool with so much waiting work counts as overloaded in full."""
+"""Backlog at which the sizes of steps count in full."""
 SIZE_PENALTY = 2.0
-"""Under full overload a step goes back so many seconds for each second of a whole VM
-that it takes. With 1.0 the replayed turn of short jobs gave 0.02 less of the worth."""
+"""Seconds added in full overload to the latest start, per second of a whole VM.
+
+With 1.0 instead, the replayed burst of short jobs yielded 0.02 less of its value.
+"""
 
 
 def measure_size_weight(ready: Iterable[StepRun], workers: Iterable[Worker]) -> float:
-    """Return the seconds that each core-second of a step counts against it.
+    """Return the seconds to add to a step's latest start per core-second of its work.
 
-    It grows with the pool's backlog: the time in which its processors could do
-    all that waits.
+    The weight grows with the pool's backlog, which is the time that its processors
+    need for all waiting work.
     """
     cores = largest = 0.0
     for worker in workers:
@@ -72,7 +80,7 @@
 
 
 def rank_step(step: StepRun, now: Seconds, size_weight: float = 0.0) -> Rank:
-    """Return the rank of a step with waiting tasks."""
+    """Return the rank of a step with waiting tasks; the lowest goes first."""
     priority = step.job.queue.priority
     if step.spec.long_running:
         return (TIER_LONG_RUNNING, priority, step.ready_at)
--- a/packages/systems/src/medlarspring_systems/scheduling/placement.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Which worker a task goes to: what rules it out, and what is best of the rest."""
+"""Selects the worker for a task: filters the workers and scores those that remain."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
     )
 
 Score = tuple[float, ...]
-"""The smallest is best."""
+"""Compared element by element; the lowest score is the best."""
 
 
 def is_schedulable(worker: Worker, now: Seconds) -> bool:
-    """Tell whether a worker takes new tasks at all."""
+    """Return whether a worker may get new tasks at all."""
     if not worker.listed or worker.draining or worker.reserved:
         return False
     if worker.gone or not worker.reconciled or worker.unanswered_since:
@@ -42,13 +42,13 @@
 def list_schedulable_workers(
     tables: WorkTables, pool_id: PoolId, now: Seconds
 ) -> list[Worker]:
-    """Return the workers of a pool that take new tasks."""
+    """Return the workers of a pool that may get new tasks."""
     pool = tables.workers_by_pool.get(pool_id, {}).values()
     return [worker for worker in pool if is_schedulable(worker, now)]
 
 
 def fits(step: StepRun, worker: Worker) -> bool:
-    """Tell whether a worker has room for one more task of the step."""
+    """Return whether a worker has the free resources for one more task of the step."""
     resources = step.resources
     return (
         resources.cpu_millis <= worker.cpu_free
@@ -58,7 +58,7 @@
 
 
 def is_allowed(step: StepRun, worker: Worker, now: Seconds) -> bool:
-    """Tell whether the step's own rules let it run on a worker."""
+    """Return whether the step's own constraints permit it to run on a worker."""
     spec = step.spec
     if spec.required_label and spec.required_label not in worker.labels:
         return False
@@ -71,24 +71,25 @@
 
 
 def has_ticket(step: StepRun, worker: Worker, now: Seconds) -> bool:
-    """Tell whether the adviser lets the step run on a worker now."""
+    """Return whether the adviser permits the step to run on a worker now."""
     ticket = find_ticket(step, worker)
     return ticket is not None and bool(ticket.text) and now < ticket.valid_until
 
 
 def find_ticket(step: StepRun, worker: Worker) -> Ticket | None:
-    """Return the adviser's word on a worker, if it is on its present life."""
+    """Return the adviser's ticket for a worker's present incarnation, if any."""
     ticket = step.tickets.get(worker.id)
     return ticket if ticket is not None and ticket.life_ms == worker.born_ms else None
 
 
 def score_worker(step: StepRun, task: Task, worker: Worker) -> Score:
-    """Return how good a worker is for a task; the smallest is best.
+    """Return the score of a worker for a task; the lowest is the best.
 
     A task that failed on a VM goes elsewhere, so that a failing worker does not
-    use up its attempts. Data far away costs half the time again or more. Packing
-    leaves whole workers empty, for large tasks and for the standby pool; workers
-    with long-running tasks can't go there, so they are filled first.
+    use up its attempts. On a rack without its data a task takes half as long again
+    or longer. Packing leaves whole workers idle, for large tasks and for the
+    standby pool; workers with long-running tasks can't be moved to the standby
+    pool, so they are filled first.
     """
     spec = step.spec
     failed = float(worker.vm_id in task.failed_on)
@@ -114,31 +115,32 @@
 
 
 def _rate_zone(step: StepRun, worker: Worker) -> float:
-    """Rate a worker outside the availability zone that the job's tasks share.
+    """Return 1 for a worker outside the availability zone that the job's tasks share.
 
-    A job is late when one of its tasks is. Spread at random over six zones, three of
-    four jobs of eight tasks have one in a zone that is cut off. Sharing one served 0.4
-    to 0.8% more of a day on three days with a cut (272 VMs, without processor time).
+    A job is late when one of its tasks is. With tasks spread at random over six
+    zones, three of four jobs of eight tasks have one in a zone that is partitioned.
+    Sharing a zone served 0.4 to 0.8% more of the work on days with a partition (272
+    VMs, simulated without processor time).
     """
     zone_id = step.job.zone_id
     return float(bool(zone_id) and worker.zone_id != zone_id)
 
 
 def _has_latency_target(worker: Worker) -> bool:
-    """Tell whether a task that fills would sit beside one with a latency target."""
+    """Return whether a worker runs a long-running task that has a latency target."""
     return worker.long_runs > 0 and any(
         run.task.step.spec.latency_target_ms for run in worker.runs.values()
     )
 
 
 SLOW_RATIO = 1.5
-"""A worker whose tasks take this many times as long as their siblings."""
+"""A worker is slow if its tasks take this many times as long as their siblings."""
 
 
 def choose_worker(
     step: StepRun, task: Task, workers: Iterable[Worker], now: Seconds
 ) -> Worker | None:
-    """Return the best of the open workers that may take the task now."""
+    """Return the best of the schedulable workers that the task can start on now."""
     best: Worker | None = None
     best_score: Score = ()
     for worker in workers:
@@ -153,12 +155,16 @@
 
 
 def _rate_for_suspect(worker: Worker, now: Seconds) -> Score:
-    """Rate what a crash on a worker would tell, and whom it would hit."""
+    """Return the part of the score that is for suspected tasks only.
+
+    It prefers workers whose crash could be attributed, then those with the fewest
+    runs that a crash would affect.
+    """
     return (measure_unstable_time(worker, now), float(len(worker.runs)))
 
 
 def can_start_on(step: StepRun, task: Task, worker: Worker, now: Seconds) -> bool:
-    """Tell whether an open worker may take the task now."""
+    """Return whether a task can start on a schedulable worker now."""
     if not fits(step, worker) or not is_allowed(step, worker, now):
         return False
     if any(run.worker is worker for run in task.runs):
@@ -167,12 +173,11 @@
 
 
 class WorkerRanking:
-    """The open workers for the tasks of one step, the best first.
+    """The schedulable workers for the tasks of one step, ordered by score.
 
-    Tasks of a step resemble each other: what is best for one is best for the next,
-    but for the worker that just took one. Compared anew for each task, a step of
-    eight looked at every worker of its pool eight times: 6% of the controller's own
-    time at 80 jobs a second on 200 workers, by a profiler.
+    The tasks of a step are alike, so that a start changes the score of one worker
+    only. Scoring all workers again for each task took 6% of the controller's own
+    time with 80 jobs of eight tasks a second on 200 workers.
     """
 
     def __init__(self, step: StepRun, workers: Iterable[Worker], now: Seconds) -> None:
@@ -180,13 +185,13 @@
         self._workers = list(workers)
         self._now = now
         self._heap: list[tuple[Score, int]] | None = None
-        """Scores with places in the list of workers; made for the first task."""
+        """Scores and indexes into the list of workers; built with the first task."""
 
     def choose(self, task: Task) -> Worker | None:
-        """Return what ``choose_worker`` would; the caller enters the run."""
+        """Return the result of ``choose_worker``; the caller records the run."""
         if task.failed_on or task.runs or task.is_suspect:
-            # The worker it goes to becomes better for the next one, wherever it is
-            # in the heap.
+            # Such a task may start on a worker anywhere in the heap. The start
+            # improves that worker's score, so that the heap has to be rebuilt.
             self._heap = None
             return choose_worker(self._step, task, self._workers, self._now)
         if self._heap is None:
--- a/packages/systems/src/medlarspring_systems/scheduling/quarantine.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/quarantine.py
@@ -1,8 +1,8 @@
-"""Which workers are bad: they fail, stall or slow down what they are given.
+"""Quarantine of workers that fail, stall or refuse the tasks that they are given.
 
-A worker may answer every call and still harm all that it starts. The tasks of
-different jobs are the witnesses: one job that fails everywhere is at fault
-itself, different jobs that fail on one worker accuse the worker.
+A worker may answer every call and still fail all that it starts. Failures of
+different jobs in a row on one worker count against the worker. Failures of one job
+on different workers count against the job.
 """
 
 from __future__ import annotations
@@ -17,23 +17,28 @@
     from medlarspring_tables.scheduling import Run, Worker, WorkTables
 
 FAILED_JOBS_TO_QUARANTINE = 2
-"""Different jobs that fail in a row on a worker before it is set aside.
+"""Different jobs that fail in a row on a worker before it is quarantined.
 
-One in thirty jobs can never be done, so two in a row on a sound worker are rare;
-each further one would cost another attempt of a job that can be done.
+One in thirty jobs is unrunnable, so that two in a row on a sound worker are rare.
+Each further job before the quarantine would cost an attempt of a runnable job.
 """
 QUARANTINE_SECONDS = 4.0
-"""How long a worker is set aside at first; doubles each time, to the maximum."""
+"""First quarantine of a worker; it doubles each time up to the maximum."""
 MAX_QUARANTINE_SECONDS = 16.0
 REFUSAL_BACKOFF_SECONDS = 1.0
-"""How long a worker is left alone that refused an order as overloaded."""
+"""Time without new orders for a worker that refused one because of overload."""
 HEALTHY_RUN_SECONDS = 2.0
-"""A lasting task at work for so long speaks for its worker; workers that fail or
-stall what they start show it within a second."""
+"""A long-running probe that has served for this long ends its worker's quarantine.
+
+Workers that fail or stall their tasks do so within a second.
+"""
 
 
 def record_success(worker: Worker) -> None:
-    """Clear a worker by a run that ended well."""
+    """Record a successful run: clears the worker's failures and its quarantine.
+
+    A worker marked as unreachable stays so.
+    """
     worker.failures_by_job.clear()
     if worker.doubt is not QuarantineReason.UNREACHABLE:
         worker.doubt = QuarantineReason.NONE
@@ -41,10 +46,10 @@
 
 
 def record_failure(tables: WorkTables, run: Run, now: Seconds) -> bool:
-    """Weigh a failed run against its worker; tell whether it is set aside.
+    """Record a failed run; returns whether its worker was newly quarantined.
 
-    A task that already failed on another VM accuses itself: its evidence is
-    taken back, so that hopeless jobs do not empty a pool.
+    If the task already failed on another VM, the fault is taken to be the job's: its
+    failures are withdrawn, so that unrunnable jobs do not quarantine a whole pool.
     """
     worker, task = run.worker, run.task
     job_id = task.step.job.id
@@ -58,7 +63,7 @@
 
 
 def withdraw_failures(tables: WorkTables, job_id: JobId) -> None:
-    """Take back what a job's failures said against workers."""
+    """Remove a job's failures from all workers, and quarantines based on them alone."""
     for worker in tables.workers_by_id.values():
         if worker.failures_by_job.pop(job_id, None) is None:
             continue
@@ -67,11 +72,11 @@
 
 
 def quarantine_worker(worker: Worker, doubt: QuarantineReason, now: Seconds) -> bool:
-    """Set a worker aside; the wait doubles with each doubt in a row.
+    """Quarantine a worker, twice as long with each quarantine in a row.
 
-    What ended while it was set aside had begun before that and tells nothing new;
-    counted, the ends of one moment set a worker aside for 16 s in place of 4 s.
-    Returns whether the worker was not set aside already.
+    Runs that end during the quarantine were started before it and are no new reason.
+    If they counted, several ends in one listing would extend the quarantine from
+    4 s to 16 s. Returns False if the worker is already quarantined for this reason.
     """
     if worker.doubt is doubt and now < worker.quarantined_until:
         return False
@@ -83,7 +88,7 @@
 
 
 def record_refusal(worker: Worker, now: Seconds) -> None:
-    """Leave a worker alone for a moment that took an order back as overloaded."""
+    """Record that a worker refused an order as overloaded; it gets none for a while."""
     if worker.doubt is QuarantineReason.NONE:
         worker.doubt = QuarantineReason.REFUSING
     worker.quarantined_until = max(
@@ -92,17 +97,17 @@
 
 
 def record_acceptance(worker: Worker) -> None:
-    """Open a worker again that refused orders and now took one."""
+    """Record that a worker accepted an order; ends a quarantine for refusals."""
     if worker.doubt is QuarantineReason.REFUSING:
         worker.doubt = QuarantineReason.NONE
 
 
 def is_probe_due(worker: Worker, now: Seconds) -> bool:
-    """Tell whether a worker set aside may be tried with a single run.
+    """Return whether a quarantined worker may get a single run as a probe.
 
-    What ran there before says nothing. Waiting for the worker to be empty closed
-    those with long-running tasks for good: they never are, and a task that was
-    lost beside them waited for ever next to free room.
+    Only one probe may run at a time. Runs from before the quarantine don't matter:
+    a worker with long-running tasks never becomes idle, and if it had to be, it
+    would stay in quarantine and tasks would wait forever beside free resources.
     """
     if now < worker.quarantined_until:
         return False
@@ -114,9 +119,10 @@
 
 
 def end_proven_quarantine(worker: Worker, now: Seconds) -> None:
-    """Clear a worker on which a long-running task works that was to try it.
+    """End a worker's quarantine if a long-running probe serves there.
 
-    Such a task never ends well, and without this its worker would get no other.
+    A long-running task has no successful end. Without this check the worker would
+    get no further task.
     """
     if worker.doubt is QuarantineReason.NONE or not worker.long_runs:
         return
--- a/packages/systems/src/medlarspring_systems/scheduling/repair.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/repair.py
@@ -1,4 +1,9 @@
-"""What to do about runs that do not get on: stalled, unreachable, crowded out."""
+"""Plans how to handle runs that make no progress.
+
+Stops stalled runs and quarantines their workers, starts copies of tasks whose worker
+is unresponsive, evicts long-running tasks from draining workers and preempts batch
+runs for long-running tasks.
+"""
 
 from __future__ import annotations
 
@@ -25,30 +30,34 @@
     from medlarspring_tables.scheduling import Run, StepRun, Task, Worker, WorkTables
 
 STALL_SECONDS = 1.2
-"""A run whose progress stands still for so long is looked at."""
+"""A run without progress for longer than this may be stalled."""
 STALL_FRACTION = 0.4
-"""Long tasks advance by a percent only so often: this part of their duration."""
+"""Fraction of a task's expected duration that it may be without progress.
+
+It applies to long tasks, which report each percent of progress less often.
+"""
 SINGLE_STALL_FACTOR = 2.5
-"""A single stalled run on a worker waits so many times longer than several."""
+"""A single stalled run on a worker is stopped after this many times the usual time."""
 COPY_AFTER_SECONDS = 0.5
-"""A run on a worker that is silent for so long gets a copy, if it may have one."""
+"""A speculative task gets a copy if its worker is unresponsive for this long."""
 PREEMPT_AFTER_SECONDS = 0.5
-"""A long-running task without room waits so long before batch work yields."""
+"""Time that a long-running task waits for resources before batch runs are stopped."""
 FULL_PACE_PERCENT = 100
 
 
 @dataclass(slots=True)
 class Repairs:
-    """What one tick decided."""
+    """Actions decided in one pass."""
 
     stops: list[tuple[Run, str]] = field(default_factory=list)
+    """Runs to stop, with the reason."""
     copies: list[Run] = field(default_factory=list)
     quarantined: list[Worker] = field(default_factory=list)
     paces: list[tuple[Run, int]] = field(default_factory=list)
 
 
 def plan_repairs(tables: WorkTables, now: Seconds) -> Repairs:
-    """Return what has to be stopped, copied or slowed down."""
+    """Return the runs to stop, to copy and to throttle, and the quarantined workers."""
     repairs = Repairs()
     for worker in tables.workers_by_id.values():
         _look_for_stalls(tables, worker, now, repairs)
@@ -63,10 +72,10 @@
 def _look_for_stalls(
     tables: WorkTables, worker: Worker, now: Seconds, repairs: Repairs
 ) -> None:
-    """Find runs whose progress stands still, and blame workers with several.
+    """Stop the stalled runs of a worker; quarantine it if there are several.
 
-    A worker may keep answering while nothing on it advances. One run may stand
-    still by itself; two at once accuse the worker.
+    A worker may keep answering while its runs make no progress. A single run may
+    stall by itself, but two at once indicate a fault of the worker.
     """
     if worker.unanswered_since or worker.draining:
         return
@@ -84,10 +93,10 @@
 
 
 def _measure_stall(tables: WorkTables, run: Run, now: Seconds) -> float:
-    """Return how long a run stands still, in units of what is usual for it.
+    """Return the time without progress of a run, relative to what is usual for it.
 
-    Counted up to its worker's last answer: after a pause of this process, or of
-    the link, nothing has been heard, and that is not the run's standing still.
+    The time ends with the worker's last answer. After a pause of this process or of
+    the connection, missing reports don't mean that the run has stalled.
     """
     step = run.task.step
     if run.state is not RunState.RUNNING or run.stopping or step.spec.gang:
@@ -107,10 +116,9 @@
 
 
 def _evict_from_draining(tables: WorkTables, now: Seconds, repairs: Repairs) -> None:
-    """Move long-running tasks off workers that leave, while others have room.
+    """Stop long-running tasks on draining workers if they can start elsewhere.
 
-    Left there, they would end with the worker at a moment of its choosing, and all
-    at once.
+    Otherwise they would all be stopped at once when the worker ends.
     """
     for worker in tables.workers_by_id.values():
         if not worker.draining or worker.unanswered_since:
@@ -121,11 +129,11 @@
             if not step.spec.long_running or run.stopping:
                 continue
             if choose_worker(step, run.task, others, now) is not None:
-                repairs.stops.append((run, "its worker leaves"))
+                repairs.stops.append((run, "worker is draining"))
 
 
 def _copy_from_unresponsive(tables: WorkTables, now: Seconds, repairs: Repairs) -> None:
-    """Start copies of tasks whose worker is silent, where copies are allowed."""
+    """Start copies of speculative tasks whose worker is unresponsive."""
     for worker in list(tables.workers_by_id.values()):
         unresponsive_since = worker.unanswered_since
         if not unresponsive_since or now - unresponsive_since < COPY_AFTER_SECONDS:
@@ -150,14 +158,14 @@
 
 
 def _preempt_batch_runs(tables: WorkTables, now: Seconds, repairs: Repairs) -> None:
-    """Stop batch work where a long-running task waits for room."""
+    """Stop batch runs where a long-running task waits for resources."""
     for pool_id, ready in tables.ready_by_pool.items():
         for step in list(ready):
             if not _needs_preemption(step, now):
                 continue
             workers = list(tables.workers_by_pool.get(pool_id, {}).values())
             for run in find_preemptible(step, workers, now):
-                repairs.stops.append((run, "room for a long-running task"))
+                repairs.stops.append((run, "preempted by a long-running task"))
             break
 
 
--- a/packages/systems/src/medlarspring_systems/scheduling/rounds.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/rounds.py
@@ -1,4 +1,9 @@
-"""One scheduling round of a pool: waiting tasks to workers with room."""
+"""Scheduling rounds: assign the waiting tasks of a pool to workers.
+
+A round takes the pool's ready steps in order of rank and places their tasks on
+schedulable workers with enough free resources. It also selects the batch runs to
+preempt for a long-running task.
+"""
 
 from __future__ import annotations
 
@@ -46,17 +51,17 @@
     RankRule = Callable[[StepRun, Seconds, float], Rank]
 
 MAX_STARTS_PER_ROUND = 200
-"""Starts decided in one round; more are left to the next one."""
+"""Bound on the starts of one round; the rest is left to the next round."""
 RESERVE_AFTER_SECONDS = 0.25
-"""A step that waits so long for room keeps the emptiest worker to itself.
+"""Time that a step waits for resources before a worker is reserved for it.
 
-Small tasks that fill each gap would otherwise keep large ones waiting for ever.
+Without the reservation, small tasks that fill each gap would starve large ones.
 """
 
 SAME_RACK_WAIT_SECONDS = 1.0
-"""A task waits so long for the rack that its step shares while others stand idle."""
+"""Time that a task waits for its step's shared rack while other racks are idle."""
 IDLE_CPU_FRACTION = 0.5
-"""Part of a pool's processors that is free when others stand idle."""
+"""Fraction of a pool's CPU that must be free for the pool to count as idle."""
 
 
 def plan_round(
@@ -65,9 +70,9 @@
     now: Seconds,
     rank: RankRule = rank_step,
 ) -> list[Run]:
-    """Return the runs that can be started now, already entered in the tables.
+    """Return the runs to start now; they are already recorded in the tables.
 
-    ``rank`` is for measurements that compare orders.
+    ``rank`` can be replaced to measure other orders of the steps.
     """
     ready = tables.ready_by_pool.get(pool_id)
     if not ready:
@@ -95,10 +100,10 @@
 
 
 def _needs_at_least(resources: Resources, unplaceable: Resources) -> bool:
-    """Tell whether a task needs as much of everything as one that fits nowhere.
+    """Return whether a task needs at least the resources of one that fits nowhere.
 
-    In a turn's peak hundreds of steps wait for a full pool; each of them looked at
-    every worker in every round.
+    At the peak of a burst, hundreds of steps wait for a full pool. Without this
+    check each of them would be compared with every worker in every round.
     """
     return (
         resources.cpu_millis >= unplaceable.cpu_millis
@@ -118,7 +123,8 @@
         steps.append(step)
     size_weight = measure_size_weight(steps, workers)
     steps.sort(key=lambda step: rank(step, now, size_weight))
-    # Behind others, suspected tasks would never find a worker without fresh starts.
+    # Suspected tasks go first: after other steps were placed, they would never find
+    # a worker without recent starts.
     steps.sort(key=lambda step: not has_suspected_task(step))
     return steps
 
@@ -130,9 +136,10 @@
     now: Seconds,
     intents: list[Run],
 ) -> None:
-    """Place a step's waiting tasks; workers kept from later steps leave the list.
+    """Place the waiting tasks of a step.
 
-    Trials of suspected tasks leave ``least_workers`` to the others.
+    Removes from ``workers`` those that later steps must not use. At least
+    ``min_workers`` remain when workers are kept free for suspected tasks.
     """
     if step.spec.gang:
         _place_gang(step, workers, now, intents)
@@ -152,20 +159,22 @@
             return
         intents.append(intend_run(task, worker, task.last_run + 1, now))
         if worker.doubt is not QuarantineReason.NONE:
-            # This run tries the worker; others wait for what becomes of it.
+            # This run is the worker's probe; no other may start until it has ended.
             workers.remove(worker)
             choice = WorkerRanking(step, _list_rack_workers(step, workers), now)
 
 
 def _list_rack_workers(step: StepRun, workers: list[Worker]) -> list[Worker]:
-    """Return the workers of the rack that a step's tasks share, if they should.
+    """Return the workers of the rack that a step's tasks share, else all workers.
 
-    The rack is that of its first task; the one with most room is chosen for it.
+    The rack is chosen with the first task: the data's rack if it has workers, else
+    the rack with the most free CPU.
     """
     if not step.spec.same_rack:
         return workers
     if not any(worker.rack_id == step.rack_id for worker in workers):
-        # Bound to a rack that has lost its workers, the step would wait for good.
+        # Also chooses a new rack when the former one has lost its workers; the step
+        # would wait forever otherwise.
         resources: dict[RackId, int] = {}
         for worker in workers:
             resources[worker.rack_id] = (
@@ -183,10 +192,11 @@
 def _may_leave_rack(
     step: StepRun, task: Task, workers: list[Worker], now: Seconds
 ) -> bool:
-    """Tell whether a task may go to another rack than its siblings.
+    """Return whether a task may start on another rack than its siblings.
 
-    It takes longer there, so not while the pool has other work for that room. But a
-    rack may be full of tasks that last: waiting for it would have no end.
+    It takes longer there, so it may not while the pool can use the resources for
+    other work. Waiting without limit is no option either, since the rack may be
+    full of long-running tasks.
     """
     if not step.spec.same_rack:
         return False
@@ -201,7 +211,7 @@
 def _reserve_worker(
     step: StepRun, task: Task, workers: list[Worker], now: Seconds
 ) -> None:
-    """Keep the worker nearest to having room away from steps of lower rank."""
+    """Reserve the worker with the most free CPU: steps of lower rank can't use it."""
     if now - max(task.waiting_since, step.ready_at) < RESERVE_AFTER_SECONDS:
         return
     if rank_step(step, now)[0] > TIER_ON_TIME:
@@ -222,7 +232,7 @@
 def _keep_free_for_isolation(
     step: StepRun, workers: list[Worker], min_workers: int, now: Seconds
 ) -> None:
-    """Keep new starts away from a worker, so that a suspected task can go there."""
+    """Keep other starts off a worker so that a suspected task can start there later."""
     if len(workers) <= min_workers:
         return
     allowed = [
@@ -239,7 +249,7 @@
 def _place_gang(
     step: StepRun, workers: list[Worker], now: Seconds, intents: list[Run]
 ) -> None:
-    """Place all tasks of a gang, or none: a part of it would wait and end alone."""
+    """Place all tasks of a gang or none: an incomplete gang would time out and end."""
     members = step.tasks
     if len(step.waiting) < len(members):
         return
@@ -272,7 +282,7 @@
 def _assign_gang(
     step: StepRun, workers: list[Worker], now: Seconds
 ) -> list[Worker] | None:
-    """Return a worker for each member, or None; leaves the tables as they were."""
+    """Return a worker for each member, or None; the tables are left unchanged."""
     chosen: list[Worker] = []
     for member in step.tasks:
         worker = choose_worker(step, member, workers, now)
@@ -288,10 +298,10 @@
 
 
 def find_preemptible(step: StepRun, workers: list[Worker], now: Seconds) -> list[Run]:
-    """Return batch runs to stop so that a long-running task finds room.
+    """Return the batch runs to stop so that a long-running task can be placed.
 
-    Long-running tasks serve users all the time; a pool full of batch work would
-    keep a lost one away for as long as the longest task takes.
+    Long-running tasks serve users continuously. In a pool full of batch work, one
+    that was lost would otherwise stay down until enough batch tasks have ended.
     """
     best: list[Run] = []
     best_cost = float("inf")
@@ -308,7 +318,10 @@
 
 
 def _find_stops(step: StepRun, worker: Worker) -> list[Run]:
-    """Return the fewest runs of little progress that make room, or none."""
+    """Return the batch runs with the least progress that free enough resources.
+
+    The list is empty if stopping all batch runs would not be enough.
+    """
     cpu = step.resources.cpu_millis - worker.cpu_free
     memory = step.resources.memory_mb - worker.memory_free
     stops: list[Run] = []
--- a/packages/systems/src/medlarspring_systems/scheduling/runs.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/runs.py
@@ -1,4 +1,4 @@
-"""Runs of tasks on workers: intent, order, confirmation and end."""
+"""Life cycle of a task's runs on workers: intent, order, confirmation and end."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
     from medlarspring_tables.scheduling import StepRun, Task, Worker, WorkTables
 
 RETRY_SECONDS = 0.1
-"""Pause before a failed task starts again; a failing worker shows meanwhile."""
+"""Pause before a failed task starts again, in which a failing worker is detected."""
 SERVING_PERCENT = 100
-"""A long-running task is at work when it reports this."""
+"""Progress at which a long-running task reports that it serves."""
 LONG_RETRY_SECONDS = 0.2
-"""The same for long-running tasks, which have no limit of attempts."""
+"""Pause before a failed long-running task starts again, without limit of attempts."""
 
 
 def allocate_resources(worker: Worker, step: StepRun) -> None:
-    """Set aside what one task of the step asks for."""
+    """Subtract the request of one task of the step from a worker's free resources."""
     worker.cpu_free -= step.resources.cpu_millis
     worker.memory_free -= step.resources.memory_mb
     worker.accelerators_free -= step.resources.accelerators
 
 
 def release_resources(worker: Worker, step: StepRun) -> None:
-    """Free what one task of the step held."""
+    """Add the request of one task of the step to a worker's free resources."""
     worker.cpu_free += step.resources.cpu_millis
     worker.memory_free += step.resources.memory_mb
     worker.accelerators_free += step.resources.accelerators
@@ -37,7 +37,7 @@
 def intend_run(
     task: Task, worker: Worker, number: int, now: Seconds, *, copy: bool = False
 ) -> Run:
-    """Decide to start a task on a worker; the order follows once it is recorded."""
+    """Create a run to be started; it is ordered once the intent has been recorded."""
     run = Run(
         task=task,
         number=number,
@@ -56,7 +56,7 @@
 
 
 def attach_run(run: Run) -> None:
-    """Enter a run at its task and its worker."""
+    """Attach a run to its task, its job and its worker."""
     task, worker = run.task, run.worker
     step = task.step
     task.last_run = max(task.last_run, run.number)
@@ -79,7 +79,7 @@
 
 
 def detach_run(tables: WorkTables, run: Run, now: Seconds) -> None:
-    """Take a run that is certainly over off its task and worker."""
+    """Detach a run that is certainly over; its task is queued again if not done."""
     task, worker = run.task, run.worker
     step = task.step
     if worker.runs.pop((task.id, run.number), None) is None:
@@ -105,7 +105,7 @@
 
 
 def confirm_run(run: Run, now: Seconds) -> None:
-    """Note that the worker has the run."""
+    """Record that the worker has the run."""
     if run.state is not RunState.RUNNING:
         run.state = RunState.RUNNING
         run.confirmed_at = now
@@ -117,7 +117,7 @@
 def end_run(
     tables: WorkTables, run: Run, end: RunEnd, checkpoint: str, now: Seconds
 ) -> None:
-    """Take over how a run ended, and decide what becomes of its task."""
+    """Record the end of a run; its task is then done, retried or fails its job."""
     task = run.task
     if checkpoint:
         task.checkpoint = checkpoint
@@ -137,7 +137,7 @@
 
 
 def record_task_or_gang_done(tables: WorkTables, task: Task, now: Seconds) -> None:
-    """Mark what an end as done stands for: a task, or all members of its gang."""
+    """Mark a task as done; for a gang, a run's successful end completes all members."""
     members = list(task.step.tasks) if task.step.spec.gang else [task]
     for member in members:
         note_task_done(tables, member, now)
@@ -157,12 +157,12 @@
 
 
 def is_serving(run: Run) -> bool:
-    """Tell whether a long-running task's run serves, by its worker's word."""
+    """Return whether a run of a long-running task serves, as its worker reports."""
     return run.state is RunState.RUNNING and run.percent >= SERVING_PERCENT
 
 
 def count_failures(task: Task) -> int:
-    """Return the failures that count against the task, or against its gang."""
+    """Return the failures of the task, or of all members of its gang."""
     if not task.step.spec.gang:
         return task.failures
     return sum(member.failures for member in task.step.tasks)
--- a/packages/systems/src/medlarspring_systems/scheduling/waiting.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/waiting.py
@@ -1,4 +1,4 @@
-"""Why a task waits, and which tasks wait for nothing that could ever come."""
+"""Determines why tasks wait, and finds waiting tasks that no round can place."""
 
 from __future__ import annotations
 
@@ -20,30 +20,33 @@
 
 
 class WaitCause(Enum):
-    """What a task waits for."""
+    """Reason for which a task waits."""
 
     EARLIER_STEPS = "earlier-steps"
-    """Steps that it comes after are not done."""
+    """Steps on which its step depends are not complete."""
     RETRY_PAUSE = "retry-pause"
-    """It just failed or was refused."""
+    """It has just failed or was refused."""
     NO_SCHEDULABLE_WORKER = "no-open-worker"
-    """Each worker of the pool leaves, is silent, set aside or kept for maintenance."""
+    """No worker of the pool may get new tasks.
+
+    Each one is draining, unresponsive, quarantined or reserved for maintenance.
+    """
     NOT_ALLOWED = "not-allowed"
-    """Label, advice or the limit for one worker rule out each open worker."""
+    """Label, advice or the limit per worker exclude each schedulable worker."""
     RESOURCES = "room"
-    """No open worker that it may use has room."""
+    """No schedulable worker that it may use has enough free resources."""
     ISOLATION = "trial"
-    """There is room, but only beside fresh starts from which it is kept apart."""
+    """Resources are free only where the isolation of a suspected task excludes it."""
     OTHER_MEMBERS = "other-members"
-    """There is room for it, but not for its whole gang."""
+    """Resources are free for it, but not for its whole gang."""
     NEXT_ROUND = "next-round"
-    """There is room; the next round of placement takes it."""
+    """Resources are free; the next scheduling round places it."""
     NOT_QUEUED = "forgotten"
-    """A defect: no round will ever look at it."""
+    """A defect: it is not queued, and no scheduling round will place it."""
 
 
 def find_wait_cause(tables: WorkTables, task: Task, now: Seconds) -> WaitCause | None:
-    """Return what a task waits for; None if it runs, is done or not wanted."""
+    """Return why a task waits; None if it runs, is done or its job has an outcome."""
     step = task.step
     if task.runs or task.done or step.job.outcome is not None:
         return None
@@ -78,16 +81,16 @@
 
 
 def measure_wait(step: StepRun, now: Seconds) -> Seconds:
-    """Return how long a step's tasks have waited; the longest counts.
+    """Return how long the longest waiting task of a step has waited.
 
-    Some of its tasks must be waiting.
+    At least one of its tasks must be waiting.
     """
     since = min(task.waiting_since for task in step.waiting)
     return now - max(since, step.ready_at)
 
 
 def count_waiting(tables: WorkTables, now: Seconds) -> tuple[int, int]:
-    """Return how many tasks wait for a worker, and how many in pools without one."""
+    """Return how many tasks wait, and how many of these have no schedulable worker."""
     waiting = unplaceable = 0
     for pool_id, queue in tables.ready_by_pool.items():
         tasks = sum(len(step.waiting) for step in queue if step.job.outcome is None)
@@ -98,11 +101,11 @@
 
 
 def list_unqueued_tasks(tables: WorkTables) -> list[Task]:
-    """Return the tasks that wait and that no round of placement will look at.
+    """Return the waiting tasks that no scheduling round will place.
 
-    There should never be any. A task gets into the line and out of it in many places
-    (a run that ends, is lost, refused, adopted); one missed place, and it would wait
-    for good while its pool stands idle.
+    There should be none. Tasks are queued and removed from the queue in many places
+    (when a run ends, is lost, refused or adopted). If one of them failed to do so,
+    the task would wait forever while its pool is idle.
     """
     return [
         task
--- a/packages/systems/src/medlarspring_systems/scheduling/workers.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/workers.py
@@ -1,4 +1,8 @@
-"""Workers as the registry and the VM list tell of them."""
+"""Maintains the known workers from the registry, the VM list and their answers.
+
+It keeps the incarnations of a worker apart and decides when all that ran in one is
+certainly over, so that its tasks can start elsewhere.
+"""
 
 from __future__ import annotations
 
@@ -27,17 +31,17 @@
     )
 
 NEW_VM_SECONDS = 3.0
-"""A worker may be in the registry so long before its VM is in the list."""
+"""Time that a worker may be in the registry before its VM appears in the VM list."""
 CLOCK_ERROR = 0.02
-"""A worker's clock may run so much slower than ours."""
+"""Fraction by which a worker's clock may run slower than the controller's."""
 
 
 def apply_entry(tables: WorkTables, entry: WorkerEntry, now: Seconds) -> Worker | None:
-    """Take over a worker's own entry; None if its life is known to be over.
+    """Update a worker from its registry entry; None if the incarnation is over.
 
-    A life is told by the worker's id and its start. Passed over by the id alone, a
-    worker that was away for a moment got no task any more once it was back, and its
-    pool ran out of workers beside free room.
+    An incarnation is identified by the worker's id and its start. If ended ones were
+    ignored by id alone, a worker that was away for a moment would never get a task
+    again, and its pool would run out of workers.
     """
     if is_ended_incarnation(tables, entry.id, entry.born_ms):
         return None
@@ -72,7 +76,7 @@
 
 
 def _fill_in_from_entry(tables: WorkTables, worker: Worker, entry: WorkerEntry) -> None:
-    """Fill in a worker known only by recorded runs, or by its former life's entry."""
+    """Set the attributes of a worker known only from records or an older entry."""
     tables.workers_by_pool.get(worker.pool_id, {}).pop(worker.id, None)
     worker.vm_id = entry.vm_id
     worker.pool_id = entry.pool_id
@@ -86,7 +90,7 @@
 
 
 def _set_resources(worker: Worker, resources: Resources) -> None:
-    """Take over what a worker offers; nothing is free while its runs hold more."""
+    """Set what a worker offers; the free part is negative if its runs use more."""
     used = [run.task.step.resources for run in worker.runs.values()]
     worker.resources = resources
     worker.cpu_free = resources.cpu_millis - sum(each.cpu_millis for each in used)
@@ -97,7 +101,7 @@
 
 
 def is_overcommitted(worker: Worker) -> bool:
-    """Tell whether the runs of a worker hold more than it offers."""
+    """Return whether the runs of a worker use more resources than it offers."""
     free = min(worker.cpu_free, worker.memory_free, worker.accelerators_free)
     return free < 0
 
@@ -105,12 +109,15 @@
 def is_ended_incarnation(
     tables: WorkTables, worker_id: WorkerId, born_ms: Milliseconds
 ) -> bool:
-    """Tell whether this life of a worker is known to be over."""
+    """Return whether this incarnation of a worker is known to be over."""
     return (worker_id, born_ms) in tables.ended_incarnations
 
 
 def is_other_incarnation(worker: Worker, born_ms: Milliseconds) -> bool:
-    """Tell whether a worker speaks from another life than the one that is known."""
+    """Return whether a start time belongs to another incarnation than the known one.
+
+    False if either of the two starts is not known.
+    """
     return bool(worker.born_ms and born_ms) and worker.born_ms != born_ms
 
 
@@ -121,27 +128,27 @@
     longest_lease: Seconds,
     now: Seconds,
 ) -> list[Run]:
-    """Note that a worker started again under its id; returns the runs that are over.
+    """Record that a worker restarted under its id; returns the runs that are over.
 
-    What its former life listed is over, and what was not ordered yet goes elsewhere.
-    Other orders stay: they name only the id, so the new life may have carried one
-    out, or may do so yet. Its first listing settles them.
+    These are the runs that the former incarnation listed and those not ordered yet.
+    Other orders stay: they name only the worker's id, so that the new incarnation may
+    have executed one or may still do so. Its first listing decides.
     """
     over = [run for run in worker.runs.values() if _ended_with_incarnation(run, worker)]
     tables.ended_incarnations.add((worker.id, worker.born_ms))
     worker.born_ms = born_ms
     worker.first_seen_at = now
-    # Its entry says what it offers now; until then it may be of another kind.
+    # What the worker offers now is not known before its new entry is read.
     worker.listed = False
     worker.reconciled = False
     worker.draining = False
     worker.leaving = False
-    # Ends are counted from 1 again. Measured by the former life's numbers they
-    # were passed over, and tasks that were done ran again.
+    # Each incarnation numbers its ends from 1. Compared with the former numbers they
+    # would be ignored, and completed tasks would run again.
     worker.last_end_number = 0
     if worker.clock_at:
-        # The lease of an order that the new life took is on another clock, and
-        # could not be seen to lapse; none is longer than this.
+        # An order accepted by the new incarnation has its lease on another clock,
+        # whose end can't be determined; this is the longest possible lease.
         worker.lease_ms = round(read_clock(worker, now) + longest_lease * 1_000)
     worker.doubt = QuarantineReason.NONE
     worker.quarantined_until = 0.0
@@ -151,7 +158,7 @@
     for run in over:
         detach_run(tables, run, now)
     for run in worker.runs.values():
-        # A stop that the former life confirmed means nothing to the new one.
+        # A stop confirmed by the former incarnation does not bind the new one.
         run.stop_confirmed_at = 0.0
     return over
 
@@ -165,7 +172,7 @@
 def find_or_create_worker(
     tables: WorkTables, worker_id: WorkerId, now: Seconds
 ) -> Worker:
-    """Return a worker that records name, although no registry may list it."""
+    """Return a worker named in a record; creates it if it is not known."""
     worker = tables.workers_by_id.get(worker_id)
     if worker is None:
         worker = Worker(
@@ -185,7 +192,7 @@
 
 
 def record_entry_gone(tables: WorkTables, worker_id: WorkerId) -> None:
-    """Note that the registry no longer lists a worker; it may still run."""
+    """Record that the registry no longer lists a worker, which may still run."""
     worker = tables.workers_by_id.get(worker_id)
     if worker is not None:
         worker.listed = False
@@ -194,10 +201,10 @@
 def apply_vm_list(
     tables: WorkTables, vms: tuple[VMEntry, ...], asked_at: Seconds
 ) -> list[Worker]:
-    """Take over the VM list; returns the workers whose life is certainly over.
+    """Record the VM list; returns the workers whose incarnation is certainly over.
 
-    ``asked_at`` is when the list was asked for. A worker that registered only
-    after that may be missing from an older list without being gone.
+    ``asked_at`` is when the list was requested. A worker that registered after that
+    may be missing from the list and still be running.
     """
     tables.vms_by_id = {vm.id: vm for vm in vms}
     tables.vms_read_at = asked_at
@@ -209,22 +216,23 @@
 
 
 def is_incarnation_over(tables: WorkTables, worker: Worker) -> bool:
-    """Tell whether the VM list proves that this life of a VM has ended.
+    """Return whether the VM list proves that a worker's incarnation has ended.
 
-    A VM has one life at a time. Silence proves nothing, since a worker that is
-    cut off runs on; but a VM that is down, or lives as another worker, has lost
-    all that ran in this life. Waiting for the lease would take up to 10 s.
+    An unresponsive worker may be partitioned and still run its tasks. But a VM that
+    is down, or that runs another worker, has lost all runs of this incarnation,
+    because a VM runs one worker at a time. Waiting for the leases to end instead
+    would take up to 10 s.
     """
     if worker.first_seen_at >= tables.vms_read_at:
-        # The list may have been made before this life began.
+        # The list may have been made before this incarnation started.
         return False
     if not worker.vm_id:
         lives = {vm.worker_id for vm in tables.vms_by_id.values()}
         return bool(lives) and worker.id not in lives
     vm = tables.vms_by_id.get(worker.vm_id)
     if vm is None:
-        # A VM that is gone for good is no longer listed; one that just came up
-        # may not be listed yet.
+        # A removed VM is no longer listed; one that just came up may not be listed
+        # yet.
         return tables.vms_read_at > worker.first_seen_at + NEW_VM_SECONDS
     if vm.worker_id == worker.id:
         return vm.phase in (VMPhase.DOWN, VMPhase.MAINTENANCE, VMPhase.MOVING)
@@ -234,7 +242,7 @@
 
 
 def end_incarnation(tables: WorkTables, worker: Worker, now: Seconds) -> list[Run]:
-    """Drop a worker whose life is over; returns the runs that were lost."""
+    """Remove a worker whose incarnation is over; returns the runs that were lost."""
     worker.gone = True
     worker.listed = False
     tables.ended_incarnations.add((worker.id, worker.born_ms))
@@ -252,7 +260,7 @@
 
 
 def record_clock(worker: Worker, clock_ms: int, received_at: Seconds) -> None:
-    """Learn the worker's clock from an answer."""
+    """Record the worker's clock, in ms, from an answer; 0 or less is ignored."""
     if clock_ms <= 0:
         return
     worker.clock_ms = float(clock_ms)
@@ -260,14 +268,14 @@
 
 
 def read_clock(worker: Worker, now: Seconds) -> float:
-    """Return the worker's clock, in ms, as far as it is known."""
+    """Return the estimated time of the worker's clock, in ms."""
     return worker.clock_ms + (now - worker.clock_at) * 1_000.0
 
 
 def is_lease_over(worker: Worker, now: Seconds) -> bool:
-    """Tell whether all that ran there has certainly lapsed by the worker's clock.
+    """Return whether all runs of a worker have certainly lapsed by its own clock.
 
-    The clock may be slower than ours, so time is counted with that error.
+    The elapsed time is reduced by ``CLOCK_ERROR``, as the worker's clock may be slow.
     """
     if not worker.lease_ms or not worker.clock_at:
         return False
@@ -278,12 +286,12 @@
 def have_recorded_runs_lapsed(
     worker: Worker, longest_lease: Seconds, now: Seconds
 ) -> bool:
-    """Tell whether all runs of a worker known from records only have lapsed.
+    """Return whether all runs of a worker known only from records have lapsed.
 
-    A worker that has not answered since a takeover, or whose entry is missing or
-    unreadable, tells no clock, and its VM may live on. Its tasks would wait for
-    ever; but nobody has extended its leases since the takeover, and no lease is
-    longer than the platform grants.
+    If a worker has not answered since a takeover, or its entry is missing or
+    unreadable, its clock is not known and its VM may still run. Without this check
+    its tasks would wait forever. Their leases have not been extended since the
+    takeover, and none is longer than ``longest_lease``.
     """
     if worker.clock_at or not worker.runs:
         return False
@@ -292,7 +300,7 @@
 
 
 def has_unknown_runs(worker: Worker) -> bool:
-    """Tell whether a run's order has an unknown outcome."""
+    """Return whether the order of any run on the worker has an unknown outcome."""
     return any(run.state is RunState.UNKNOWN for run in worker.runs.values())
 
 
--- a/packages/systems/tests/scheduling/test_burst_overload.py
+++ b/packages/systems/tests/scheduling/test_burst_overload.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "per_second", "at_least", "gain"),
+    ("kind", "jobs_per_second", "at_least", "gain"),
     [
         (SHORT_JOBS, 50.0, 0.65, 0.12),
         (SHORT_JOBS, 73.0, 0.48, 0.15),
--- a/packages/systems/tests/scheduling/test_quarantine.py
+++ b/packages/systems/tests/scheduling/test_quarantine.py
@@ -49,7 +49,7 @@
     quarantine_worker(worker, QuarantineReason.STALLED, now)
 
 
-@pytest.mark.parametrize("set_aside", [refuse, fail, stall])
+@pytest.mark.parametrize("make_unavailable", [refuse, fail, stall])
 def test_worker_with_a_long_running_task_gets_a_probe(scene: Scene, make_unavailable):  # type: ignore[no-untyped-def]
     """
     The only worker of an idle pool serves a lasting task and is set aside. Tried
--- a/packages/systems/tests/scheduling/test_rounds.py
+++ b/packages/systems/tests/scheduling/test_rounds.py
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "make_unschedulable",
     [
         make_draining,
         make_reserved,
--- a/packages/systems/tests/scheduling/test_workers.py
+++ b/packages/systems/tests/scheduling/test_workers.py
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    ("born_ms", "is_taken"),
+    ("born_ms", "is_accepted"),
     [(BORN_MS, False), (BORN_MS + 1, True), (BORN_MS - 1, True)],
     ids=["the same life", "a later one", "its clock was set back"],
 )
@@ -234,7 +234,7 @@
 
 
 @pytest.mark.parametrize(
-    ("known_ms", "told_ms", "is_other"),
+    ("known_ms", "reported_ms", "is_other"),
     [
         (BORN_MS, BORN_MS, False),
         (BORN_MS, NEXT_MS, True),
