--- a/packages/systems/src/medlarspring_systems/scheduling/ordering.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/ordering.py
@@ -47,7 +47,7 @@
 """
 FULL_OVERLOAD_SECONDS = 1.5
 """Backlog at which the sizes of steps count in full."""
-SIZE_PENALTY = 2.0
+PENALTY_SECONDS_PER_VM_SECOND = 2.0
 """Seconds added in full overload to the latest start, per second of a whole VM.
 
 With 1.0 instead, the replayed burst of short jobs yielded 0.02 less of its value.
@@ -76,7 +76,7 @@
         FULL_OVERLOAD_SECONDS - LIGHT_BACKLOG_SECONDS
     )
     overload = min(max(excess, 0.0), 1.0)
-    return overload * SIZE_PENALTY / largest
+    return overload * PENALTY_SECONDS_PER_VM_SECOND / largest
 
 
 def rank_step(step: StepRun, now: Seconds, size_weight: float = 0.0) -> Rank:
--- a/packages/systems/src/medlarspring_systems/scheduling/rounds.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/rounds.py
@@ -310,14 +310,14 @@
             continue
         if fits(step, worker):
             return []
-        stops = _find_stops(step, worker)
+        stops = _find_runs_to_stop(step, worker)
         cost = sum(run.percent * run.task.step.resources.cpu_millis for run in stops)
         if stops and cost < best_cost:
             best, best_cost = stops, cost
     return best
 
 
-def _find_stops(step: StepRun, worker: Worker) -> list[Run]:
+def _find_runs_to_stop(step: StepRun, worker: Worker) -> list[Run]:
     """Return the batch runs with the least progress that free enough resources.
 
     The list is empty if stopping all batch runs would not be enough.
--- a/packages/systems/src/medlarspring_systems/scheduling/workers.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/workers.py
@@ -227,8 +227,8 @@
         # The list may have been made before this incarnation started.
         return False
     if not worker.vm_id:
-        lives = {vm.worker_id for vm in tables.vms_by_id.values()}
-        return bool(lives) and worker.id not in lives
+        worker_ids = {vm.worker_id for vm in tables.vms_by_id.values()}
+        return bool(worker_ids) and worker.id not in worker_ids
     vm = tables.vms_by_id.get(worker.vm_id)
     if vm is None:
         # A removed VM is no longer listed; one that just came up may not be listed
