--- a/packages/tables/src/medlarspring_tables/scheduling/__init__.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""Rows of the scheduling of jobs on workers: specs, records, work and fleet."""
+"""Data types for scheduling jobs on workers: specs, records, work and fleet."""
 
 from __future__ import annotations
 
--- a/packages/tables/src/medlarspring_tables/scheduling/fleet.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/fleet.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resources:
-    """Processors, memory and accelerators of a worker, or asked of it."""
+    """CPU, memory and accelerators that a worker offers or that a task requests."""
 
     cpu_millis: int = 0
     memory_mb: int = 0
@@ -22,7 +22,7 @@
 
 
 class WorkerCondition(Enum):
-    """What a worker says of itself in the registry."""
+    """State that a worker reports in its registry entry."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """A worker's own entry in the platform's registry; may lag by seconds."""
+    """A worker's own entry in the platform's registry; may be seconds out of date."""
 
     id: WorkerId
     vm_id: VMId
@@ -44,23 +44,26 @@
     clock_ms: Milliseconds
     warmup_ms: Milliseconds = 0
     born_ms: Milliseconds = 0
-    """When this life of the worker began, in Unix time; 0 if it does not say."""
+    """Start of this incarnation of the worker, in Unix time; 0 if not reported."""
 
 
 class VMPhase(Enum):
-    """What the platform's VM control says of a VM."""
+    """State of a VM as reported by the platform's VM control."""
 
     UP = "up"
     MOVING = "moving"
     MAINTENANCE = "maintenance"
     DOWN = "down"
     UNKNOWN = "unknown"
-    """A word of a newer platform: no ground to use the VM, and no proof of an end."""
+    """A state that this version does not know, reported by a newer platform.
+
+    The VM is not used, and its worker does not count as ended.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class VMEntry:
-    """A VM in the platform's list."""
+    """A VM in the platform's VM list."""
 
     id: VMId
     pool_id: PoolId
@@ -69,23 +72,23 @@
     rack_id: RackId
     resources: Resources
     worker_id: WorkerId | None
-    """The VM's present life; None while it is off or not up."""
+    """The worker that now runs on the VM; None while the VM is off or not up."""
 
 
 @dataclass(frozen=True, slots=True)
 class PoolPolicy:
-    """What the operator's configuration says of a pool."""
+    """Settings of a pool in the operator's configuration."""
 
     id: PoolId
     enforces_resources: bool = True
-    """Its workers refuse tasks that do not fit."""
+    """Its workers refuse tasks that exceed their free resources."""
     standby: bool = False
     """Its VMs are off and cost nothing."""
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Host and path prefix that lead to a queue."""
+    """Host and path prefix of the requests for a queue."""
 
     host: str
     prefix: str
@@ -113,8 +116,9 @@
     id: WaveId
     vm_ids: tuple[VMId, ...]
     deadline_seconds: Seconds
-    """Counted from when the order was written."""
+    """Counted from the time when the order was written."""
     max_at_once: int
+    """VMs in maintenance at the same time, at most."""
 
 
 __all__ = [
--- a/packages/tables/src/medlarspring_tables/scheduling/ids.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/ids.py
@@ -5,13 +5,17 @@
 from typing import NewType
 
 QueueId = NewType("QueueId", str)
-"""A queue of jobs, as the operator's configuration names it."""
+"""A queue of jobs, named in the operator's configuration."""
 
 WorkerId = NewType("WorkerId", str)
-"""One life of a VM as a worker; a VM that restarts becomes another worker."""
+"""A worker on a VM.
+
+A VM that restarts usually gets another worker id. If it keeps the id, its
+incarnations differ by their start.
+"""
 
 CellId = NewType("CellId", str)
-"""A part of the fleet with a controller of its own."""
+"""A part of the fleet that has its own controller."""
 
 Fence = NewType("Fence", int)
 """Fencing token of a controller; workers ignore orders with a smaller one."""
--- a/packages/tables/src/medlarspring_tables/scheduling/limits.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/limits.py
@@ -1,4 +1,4 @@
-"""Times that the platform's contract sets."""
+"""Time limits of the platform's contract."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetLimits:
-    """Times of the platform's contract, in seconds; defaults are its usual ones."""
+    """Time limits of the platform's contract, in seconds, with their usual values."""
 
     config_apply: Seconds = 2.0
-    """A configuration must be in force so soon after its confirmation."""
+    """Longest time from the confirmation of a configuration until it is in force."""
     vm_lease: Seconds = 3.0
-    """Two holders may give orders for one VM only so far apart."""
+    """Shortest time between the orders of two different holders for one VM."""
     grace: Seconds = 6.0
-    """Between the signal to stop and the kill."""
+    """Time between the signal to stop a process and its kill."""
     worker_lease: Seconds = 10.0
     """Longest lease that a worker grants."""
     stop: Seconds = 0.4
     """Longest time that a worker takes to stop a task."""
     cancel: Seconds = 3.0
-    """So soon after a cancellation no task of the job may start any more."""
+    """Time after a cancellation from which no task of the job may start."""
     visible: Seconds = 3.0
-    """So soon an accepted job must be known everywhere."""
+    """Longest time until an accepted job must be known everywhere."""
     status: Seconds = 120.0
-    """How long the outcome of a job must be known."""
+    """Shortest time for which the outcome of a job must remain available."""
     gang: Seconds = 3.0
-    """A member of a gang waits so long for the others."""
+    """Time that a member of a gang waits for the others."""
     notice: Seconds = 4.5
-    """A long-running task that is away for longer counts as unavailable."""
+    """A long-running task that is down for longer counts as unavailable."""
     impact: Seconds = 4.0
-    """So long a task may miss its latency target because of a neighbour."""
+    """Longest time that a task may miss its latency target because of a neighbour."""
     move: Seconds = 1.5
-    """A VM that changes its pool is back so much later."""
+    """Time until a VM is back after a move to another pool."""
     maintenance: Seconds = 2.0
-    """A VM is back from maintenance so much later."""
+    """Time until a VM is back from maintenance."""
     remote_factor: float = 1.5
-    """Tasks away from their data take so many times as long."""
+    """Tasks away from their data take this many times as long."""
 
 
 __all__ = ["FleetLimits"]
--- a/packages/tables/src/medlarspring_tables/scheduling/records.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/records.py
@@ -1,4 +1,4 @@
-"""What the store keeps of jobs and maintenance waves."""
+"""Records of jobs, controllers and maintenance waves in the store."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
     """An accepted job; once it has ended, only its outcome.
 
     Written once by the entry VM that accepts the job, and once more by the
-    controller when the job ends. The key stays for late repeats.
+    controller when the job ends. The key is kept so that late repeats of the
+    submission are recognized.
     """
 
     queue: QueuePolicy
@@ -35,22 +36,22 @@
 
 
 class RunRecord(Struct, frozen=True, array_like=True):
-    """A start of a task that was, or is about to be, ordered."""
+    """A start of a task that was ordered or is about to be."""
 
     number: int
     worker_id: WorkerId
     life_ms: Milliseconds = 0
-    """Start of the worker's life that it was meant for; 0 if that was not known."""
+    """Start of the worker incarnation that it was meant for; 0 if not known."""
 
 
 class CrashTally(Struct, frozen=True, array_like=True):
-    """Workers that ended without notice while a task was, or may have been, there."""
+    """Counts of workers that ended without notice while a task may have run there."""
 
     total: int = 0
     suspected: int = 0
-    """Of these, those that the task may have crashed."""
+    """Crashes that the task may have caused; part of ``total``."""
     alone: int = 0
-    """Of these, those that nothing but its own job explains."""
+    """Crashes attributable to its own job alone; part of ``suspected``."""
 
 
 class StepRecord(Struct, kw_only=True, omit_defaults=True):
@@ -59,37 +60,37 @@
     done: str = ""
     """Indexes of the tasks done, as a bit mask in hexadecimal."""
     runs: dict[int, tuple[RunRecord, ...]] = {}
-    """Runs by task index that may be on a worker."""
+    """Runs that may be on a worker, by task index."""
     last_runs: dict[int, int] = {}
-    """Highest run number by task index, where no run of it is listed."""
+    """Highest run number by task index, for tasks without an entry in ``runs``."""
     failures: dict[int, int] = {}
     crashes: dict[int, CrashTally] = {}
     checkpoints: dict[int, str] = {}
 
 
 class ProgressRecord(Struct, kw_only=True, omit_defaults=True):
-    """Progress of one job that has started: what a new controller must know.
+    """Progress of a started job, from which the next controller restores it.
 
-    Runs are written before the order goes to the worker, so that a successor
-    knows each task that may run on a worker it can't reach.
+    Runs are written before the order is sent to the worker, so that the next
+    controller knows each task that may run on a worker it can't reach.
     """
 
     steps: dict[str, StepRecord] = {}
-    """By occurrence and step, as in ``0.1``; steps not begun are left out."""
+    """By occurrence and step, as in ``0.1``; steps that have not begun are omitted."""
     occurrences_done: int = 0
-    """Occurrences before this one are done and no longer listed."""
+    """Occurrences with a lower index are done and no longer listed."""
     done_beyond: tuple[int, ...] = ()
-    """Later occurrences that are done already."""
+    """Indexes of later occurrences that are done."""
 
 
 class CancelRecord(Struct, frozen=True, kw_only=True):
-    """A customer's wish to cancel a job; the key's presence is what counts."""
+    """A customer's request to cancel a job; the presence of its key has the effect."""
 
     requested_at_ms: Milliseconds = 0
 
 
 class ControllerRecord(Struct, frozen=True, kw_only=True):
-    """Who controls a cell; the key's revision is the fence."""
+    """The controller of a cell; the key's revision is its fencing token."""
 
     entry_vm_id: str
     peer_address: str = ""
@@ -97,30 +98,31 @@
 
 
 class WaveRecord(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Which VMs of a maintenance wave have begun their maintenance."""
+    """The VMs of a maintenance wave whose maintenance has begun."""
 
     begun: tuple[str, ...] = ()
 
 
 class LoadRecord(Struct, frozen=True, kw_only=True):
-    """What a controller tells of its queues, about once a second."""
+    """Load of a controller's queues, written about once a second."""
 
     at_ms: int
     waiting_by_queue: dict[str, int] = {}
-    """Accepted jobs of which no task has started."""
+    """Number of accepted jobs of which no task has started."""
 
 
 class OperationsRecord(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """When each VM was last operated on, as far as that still matters."""
+    """Time of the last operation on each VM, for as long as it is needed."""
 
     sent_ms_by_vm: dict[str, int] = {}
-    """Wall time; written before the operation is sent."""
+    """Wall time in ms; written before the operation is sent."""
 
 
 class SizesRecord(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """VMs of each pool when a controller first saw it; written once."""
+    """Sizes of the pools when a controller first saw them; written once."""
 
     vms_by_pool: dict[str, int] = {}
+    """Number of VMs."""
 
 
 __all__ = [
--- a/packages/tables/src/medlarspring_tables/scheduling/reports.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/reports.py
@@ -1,4 +1,4 @@
-"""What a worker tells of its runs."""
+"""Rows of a worker's report on its runs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningRow:
-    """One run that a worker has."""
+    """A run that is present on a worker."""
 
     task_id: str
     run: int
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedRow:
-    """One run that ended on a worker and is not acknowledged yet."""
+    """A run that ended on a worker and has not been acknowledged yet."""
 
     number: int
-    """Rises with each end in one life of the worker."""
+    """Sequence number of the end within the worker's incarnation."""
     task_id: str
     run: int
     end: RunEnd
--- a/packages/tables/src/medlarspring_tables/scheduling/specs.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/specs.py
@@ -1,4 +1,4 @@
-"""What a submitted job asks for, and the policy of its queue."""
+"""Specifications of submitted jobs, and the policies of their queues."""
 
 from __future__ import annotations
 
@@ -9,54 +9,57 @@
 
 
 class StepSpec(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """A number of like tasks that may run once earlier steps are done."""
+    """A number of identical tasks that may run once earlier steps are done."""
 
     count: int
     cpu_millis: int = 0
-    """Thousandths of a core that each task asks for."""
+    """Thousandths of a core that each task requests."""
     memory_mb: int = 0
     accelerators: int = 0
     estimate_ms: Milliseconds = 0
-    """The submitter's rough estimate of a task's duration; often wrong by half."""
+    """The submitter's rough estimate of a task's duration, often wrong by 50%."""
     after: tuple[int, ...] = ()
-    """Earlier steps, counted from 0, that must be done first."""
+    """Indexes, from 0, of earlier steps that must be done first."""
     checkpoints: bool = False
     gang: bool = False
-    """The tasks work only while all of one run are present, and end together."""
+    """The tasks work only while all members of the same run are present.
+
+    They end together.
+    """
     same_rack: bool = False
     required_label: str = ""
     data_rack: str = ""
-    """Rack that holds the data; tasks take longer on any other."""
+    """Rack that holds the data; tasks take longer on other racks."""
     max_per_worker: int = 0
-    """Most tasks of the step on one worker; 0 for no limit."""
+    """Limit on the tasks of the step on one worker; 0 for no limit."""
     speculative: bool = False
     """Copies of a task may run in parallel; the first to finish counts."""
     long_running: bool = False
     """Runs until the job is cancelled, and is restarted however it ends."""
     max_unavailable: int = 0
-    """Tasks that may be away at once because of this system's own actions."""
+    """Tasks that this system's own actions may make unavailable at the same time."""
     image: str = ""
-    """Tasks of the same image behave alike."""
+    """Tasks with the same image behave alike."""
     latency_target_ms: Milliseconds = 0
-    """Bound on the tail latency of what a long-running task serves; 0 for none."""
+    """Bound on the tail latency of a long-running task's service; 0 for none."""
     uses_leftover: bool = False
-    """Takes the processor time that other tasks leave; not counted as used."""
+    """Best-effort: uses the CPU that other tasks leave; not counted as used."""
 
 
 class JobSpec(Struct, frozen=True, kw_only=True, omit_defaults=True):
     """A job as submitted."""
 
     payload: str
-    """Opaque text that every start of a task carries to the worker."""
+    """Opaque text that is sent to the worker with each start of a task."""
     steps: tuple[StepSpec, ...]
     occurrences: int = 0
-    """How often the steps run; 0 for once, as soon as possible."""
+    """How many times the steps run; 0 for once, as soon as possible."""
     first_at_ms: Milliseconds = 0
     interval_ms: Milliseconds = 0
 
 
 class AdvicePolicy(Struct, frozen=True, kw_only=True):
-    """A queue whose steps may run only on workers that an adviser allows."""
+    """Limits for a queue whose steps may run only on workers an adviser permits."""
 
     decide_ms: Milliseconds = 0
     per_worker_ms: Milliseconds = 0
@@ -64,17 +67,17 @@
 
 
 class QueuePolicy(Struct, frozen=True, kw_only=True):
-    """What the operator's configuration says of a queue."""
+    """Settings of a queue in the operator's configuration."""
 
     id: QueueId
     pool_id: PoolId
     priority: int = 0
-    """0 comes first."""
+    """0 is the highest."""
     max_attempts: int = 1
     stretch: float = 1.0
-    """The objective is this many times the job's critical path, and more."""
+    """The objective is this many times the job's critical path plus the allowance."""
     allowance_ms: Milliseconds = 0
-    """Added to the objective."""
+    """Constant part of the objective."""
     advice: AdvicePolicy | None = None
 
 
--- a/packages/tables/src/medlarspring_tables/scheduling/work.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/work.py
@@ -1,4 +1,4 @@
-"""Jobs, tasks, runs and workers as the controller of a cell sees them."""
+"""The state that the controller of a cell keeps of jobs, tasks, runs and workers."""
 
 from __future__ import annotations
 
@@ -20,41 +20,42 @@
     from medlarspring_tables.scheduling.specs import JobSpec, QueuePolicy, StepSpec
 
 SUSPECT_AFTER = 3
-"""Crashes of any kind after which a task is suspected, whatever explains them."""
+"""Crashes of any kind after which a task is suspected, even if they have a cause."""
 
 
 class RunState(Enum):
-    """How far one start of a task has come."""
+    """State of one start of a task."""
 
     INTENDED = "intended"
-    """To be recorded; the worker has not been told."""
+    """The intent is to be recorded; no order has been sent."""
     ORDERED = "ordered"
-    """The worker was told and has not answered yet."""
+    """The order was sent; the worker has not answered yet."""
     RUNNING = "running"
-    """The worker confirmed or listed it."""
+    """The worker has confirmed or listed the run."""
     UNKNOWN = "unknown"
-    """The order got no answer; it may be carried out later."""
+    """The order got no answer; the worker may still execute it."""
 
 
 class RunEnd(Enum):
-    """How a worker says that a run ended."""
+    """How a run ended, as reported by its worker."""
 
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
     LAPSED = "lapsed"
+    """Its lease ended without an extension."""
     GANG_BROKEN = "broken"
-    """Another member of the gang ended."""
+    """Another member of its gang ended."""
     GANG_INCOMPLETE = "alone"
-    """The other members of the gang did not come."""
+    """The other members of its gang did not start in time."""
 
 
 @dataclass(slots=True, eq=False)
 class Run:
     """One start of a task on one worker.
 
-    Rows that refer back to their owner leave it out of their ``repr``: printed whole,
-    a failed assertion on one run walked all tables along each path and never ended.
+    Fields that refer back to an owner are excluded from ``repr``. Otherwise printing
+    one run, as a failed assertion does, would traverse all tables and never end.
     """
 
     task: Task
@@ -64,14 +65,14 @@
     intended_at: Seconds = 0.0
     ordered_at: Seconds = 0.0
     life_ms: Milliseconds = 0
-    """Start of the worker's life that it was meant for; 0 if that was not known."""
+    """Start of the worker incarnation that it was meant for; 0 if not known."""
     order_ends_ms: Milliseconds = 0
-    """Worker's clock; an order that arrives later is refused as late."""
+    """Time on the worker's clock after which the order is refused as late."""
     confirmed_at: Seconds = 0.0
     version: int = 0
     """Version of the job's record that holds the intent."""
     checkpoint: str = ""
-    """What it was started from."""
+    """Checkpoint from which it was started."""
     percent: int = 0
     advanced_at: Seconds = 0.0
     """When ``percent`` last rose."""
@@ -80,23 +81,23 @@
     pace_percent: int = 100
     paced_at: Seconds = 0.0
     copy: bool = False
-    """A further run of a task that already has one."""
+    """Whether it is a copy, started while the task already had a run."""
     stopping: bool = False
-    """A stop was decided; it is repeated until the end is known."""
+    """Whether it is to be stopped; the stop is repeated until the end is known."""
     stop_reason: str = ""
     stop_confirmed_at: Seconds = 0.0
     listed_born_ms: Milliseconds = 0
-    """Start of the worker's life that listed it; 0 before the first listing."""
+    """Start of the worker incarnation that listed it; 0 before the first listing."""
     absent_since: Seconds = 0.0
-    """First listing of its worker without it, after the order; 0 for none."""
+    """Time of its worker's first listing after the order without it; 0 for none."""
     stall_counted: bool = False
-    """Whether its standing still already counted against the worker."""
+    """Whether its stall has already been counted against the worker."""
     crash_counted: bool = False
-    """Whether the end of its worker's life already counted against the task."""
+    """Whether its worker's end has already been counted against the task."""
 
     @property
     def started_at(self) -> Seconds:
-        """When it was confirmed; as long as it is not, when it was ordered."""
+        """When it was confirmed or, before that, when it was ordered."""
         return self.confirmed_at or self.ordered_at
 
 
@@ -107,7 +108,7 @@
     step: StepRun = field(repr=False)
     index: int
     id: str
-    """The task's name on the workers."""
+    """Id of the task on the workers."""
     done: bool = False
     failures: int = 0
     crashes: CrashTally = CrashTally()
@@ -119,24 +120,24 @@
     failed_on: set[VMId] = field(default_factory=set)
     waiting_since: Seconds = 0.0
     not_before: Seconds = 0.0
-    """A task that just failed is not started again at once."""
+    """Earliest time of the next start; later than now after a failure."""
     last_seen_running: Seconds = 0.0
 
     @property
     def is_suspect(self) -> bool:
-        """Whether it may crash its workers, and starts apart from other jobs' tasks."""
+        """Whether it may crash its workers and has to start in isolation."""
         return self.crashes.suspected > 0 or self.crashes.total >= SUSPECT_AFTER
 
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """The adviser's word on one worker for one step."""
+    """The adviser's answer on whether one step may run on one worker."""
 
     text: str
-    """What starts carry; empty if the step may not run there."""
+    """Text to send with starts; empty if the step may not run there."""
     valid_until: Seconds
     life_ms: Milliseconds = 0
-    """Start of the worker's life that it holds for."""
+    """Start of the worker incarnation that it is valid for."""
 
 
 @dataclass(slots=True, eq=False)
@@ -156,25 +157,25 @@
     objective_at: Seconds = 0.0
     """Local time by which the occurrence should be complete."""
     useful_until: Seconds = 0.0
-    """Local time after which completing it is of no more use to the customer."""
+    """Local time after which completing the occurrence has no value."""
     counted_until: Seconds = 0.0
-    """Until when the occurrence counts as incoming work of its pool."""
+    """Time until which the occurrence counts as incoming work of its pool."""
     remaining_path: Seconds = 0.0
-    """Longest chain of estimates from this step's start to the end."""
+    """Estimated duration of the critical path from this step to the job's end."""
     expected: Seconds = 0.0
-    """What one task is expected to take."""
+    """Expected duration of one task."""
     remaining_work: float = 0.0
-    """Core-seconds expected of this step and those that follow it."""
+    """Expected core-seconds of this step and the steps after it."""
     resources: Resources = field(default_factory=Resources)
-    """What one task asks of a worker."""
+    """Resources that one task requests of a worker."""
     per_worker: dict[WorkerId, int] = field(default_factory=dict)
-    """Runs by worker, where the step limits them."""
+    """Number of runs by worker; maintained only if the step limits them."""
     mean_duration_ms: float = 0.0
-    """Mean duration of the step's own tasks that ended; 0 before the first."""
+    """Mean duration of the step's ended tasks; 0 before the first."""
     ended_runs: int = 0
     reserved: Worker | None = None
     tickets: dict[WorkerId, Ticket] = field(default_factory=dict)
-    """Advice for a queue whose steps may run only on some workers."""
+    """The adviser's tickets, for a queue that needs advice."""
     rack_id: RackId | None = None
     """Rack chosen for a step whose tasks should share one."""
 
@@ -201,9 +202,9 @@
     occurrences_by_index: dict[int, list[StepRun]] = field(default_factory=dict)
     occurrences_done: set[int] = field(default_factory=set)
     runs: dict[Run, None] = field(default_factory=dict, repr=False)
-    """Its runs on all workers."""
+    """Its runs on all workers, as an ordered set."""
     zone_id: str = ""
-    """Availability zone of its first run; the others go there if they can."""
+    """Availability zone of its first run, preferred for its other runs."""
     next_occurrence: int = 0
     started: bool = False
     """Whether any task was ever started."""
@@ -213,13 +214,15 @@
     suspected: bool = False
     """Whether one of its tasks is suspected of crashing its workers."""
     version: int = 0
-    """Counts changes that have to be recorded."""
+    """Number of changes that have to be recorded."""
     written_version: int = 0
+    """Highest ``version`` that has been recorded."""
     writing: bool = False
+    """Whether the progress record is being written."""
 
 
 class QuarantineReason(Enum):
-    """Why a worker gets no new tasks, or fewer."""
+    """Why a worker gets no new tasks, or only probes."""
 
     NONE = "none"
     UNREACHABLE = "unreachable"
@@ -231,7 +234,7 @@
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """A worker as the controller knows it."""
+    """The controller's last known state of a worker."""
 
     id: WorkerId
     vm_id: VMId
@@ -242,20 +245,20 @@
     resources: Resources
     labels: frozenset[str]
     born_ms: Milliseconds = 0
-    """When this life began, in Unix time by its own word; 0 while it is not known."""
+    """Reported start of its present incarnation, in Unix time; 0 if not known."""
     entry_born_ms: Milliseconds = 0
-    """Start of the life whose entry told what the worker offers."""
+    """Start of the incarnation whose registry entry set the other attributes."""
     draining: bool = False
     listed: bool = True
     """Whether the registry still has its entry."""
     reserved: bool = False
     """Kept free for maintenance or a move; gets no new tasks."""
     leaving: bool = False
-    """Whether a move or maintenance of its VM was sent."""
+    """Whether an operation that moves or maintains its VM was sent."""
     reconciled: bool = False
-    """Whether this controller knows all that runs there."""
+    """Whether this controller knows all runs on the worker."""
     gone: bool = False
-    """Whether this life of the VM is certainly over."""
+    """Whether this incarnation is certainly over."""
     cpu_free: int = 0
     memory_free: int = 0
     accelerators_free: int = 0
@@ -266,85 +269,95 @@
     long_runs: int = 0
     idle_since: Seconds = 0.0
     clock_ms: float = 0.0
-    """The worker's clock at ``clock_at``, as last told."""
+    """The worker's clock at ``clock_at``, as last reported."""
     clock_at: Seconds = 0.0
     lease_ms: Milliseconds = 0
-    """Latest lease end that any order asked for, on the worker's clock."""
+    """Latest end of a lease requested by an order, on the worker's clock."""
     last_end_number: int = 0
-    """Number of the last end taken over."""
+    """Number of the last end that was recorded."""
     unanswered_since: Seconds = 0.0
-    """First call in a row without an answer; 0 when the last one was answered."""
+    """First of the consecutive unanswered calls; 0 if the last call was answered."""
     answered_at: Seconds = 0.0
     doubt: QuarantineReason = QuarantineReason.NONE
+    """Reason for its quarantine; ``NONE`` if it is not quarantined."""
     quarantined_until: Seconds = 0.0
     quarantine_count: int = 0
+    """Number of quarantines since the last success."""
     failures_by_job: dict[JobId, int] = field(default_factory=dict)
     """Jobs that failed here since the last success."""
     slowness: float = 1.0
-    """Smoothed duration of its tasks against that of their siblings."""
+    """Smoothed ratio of its tasks' durations to those of their siblings."""
     ready_at: Seconds = 0.0
-    """When a worker that just started is at full speed."""
+    """When the worker, if it has just started, is at full speed."""
     first_seen_at: Seconds = 0.0
-    """When its entry in the registry was first seen."""
+    """When this incarnation was first seen."""
     isolated_run: Run | None = field(default=None, repr=False)
-    """Latest run here of a task that is suspected of crashing its workers."""
+    """Its latest run of a task that is suspected of crashing its workers."""
     unstable_until: Seconds = 0.0
-    """Its VM crashed for no known reason; until then another crash proves nothing."""
+    """Time until which its VM counts as unstable, after a crash without known cause.
+
+    A crash before then is not attributed to a task.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerCrash:
-    """A worker's life that ended without notice."""
+    """An incarnation of a worker that ended without notice."""
 
     at: Seconds
     """When it was noticed."""
     zone_id: str
     idle: bool
-    """Whether no run there can have caused it."""
+    """Whether the worker had no run that can have caused it."""
 
 
 @dataclass(slots=True)
 class ArrivalMeter:
-    """Millicores that a pool's incoming work would use if served at once."""
+    """Millicores that a pool's incoming work would use if it were served at once."""
 
     at: Seconds
     level: float = 0.0
     mean: float = 0.0
-    """Smoothed level, to see whether it rises."""
+    """Smoothed level, from which a rise is detected."""
     short_mean: float = 0.0
-    """Level smoothed over the lumps of single jobs only."""
+    """Level smoothed over a short time, to even out single jobs only."""
     ends: list[tuple[Seconds, float]] = field(default_factory=list)
-    """Heap of when a job's part of the level ends, and that part."""
+    """Heap of the times at which a job's part of the level ends, with that part."""
 
 
 @dataclass(slots=True)
 class WorkTables:
-    """All that the controller of a cell looks at."""
+    """All state on which the controller of a cell bases its decisions."""
 
     config: OperatorConfig
     jobs_by_id: dict[JobId, ActiveJob] = field(default_factory=dict)
     workers_by_id: dict[WorkerId, Worker] = field(default_factory=dict)
     workers_by_pool: dict[PoolId, dict[WorkerId, Worker]] = field(default_factory=dict)
     ended_incarnations: set[tuple[WorkerId, Milliseconds]] = field(default_factory=set)
-    """Lives that are over, by worker and start; a lagging registry may still list
-    them. The worker may be back under its id, which only the start tells."""
+    """Worker ids and starts of the incarnations that are over.
+
+    An outdated registry may still list them. If the worker is back under its id,
+    only the start distinguishes its new incarnation.
+    """
     unanswered_orders: dict[WorkerId, dict[tuple[str, int], Seconds]] = field(
         default_factory=dict
     )
-    """When starts got no answer, by worker, task id and run number."""
+    """Times of start orders without an answer, by worker, task id and run number."""
     recent_crashes: list[WorkerCrash] = field(default_factory=list)
-    """Those of the last moment, the latest last."""
+    """Crashes within the time in which they may be one outage; the latest is last."""
     unstable_until_by_vm: dict[VMId, Seconds] = field(default_factory=dict)
     ended_job_ids: dict[JobId, Seconds] = field(default_factory=dict)
-    """Jobs whose end was recorded lately, and when; a listing that was read
-    before that still holds them."""
+    """Times of the recently recorded ends of jobs.
+
+    A listing that was read before such an end still contains the job.
+    """
     vms_by_id: dict[VMId, VMEntry] = field(default_factory=dict)
     vms_read_at: Seconds = 0.0
     arrivals_by_pool: dict[PoolId, ArrivalMeter] = field(default_factory=dict)
     ready_by_pool: dict[PoolId, dict[StepRun, None]] = field(default_factory=dict)
     """Steps with waiting tasks, in the order in which they became ready."""
     slack_by_queue: dict[QueueId, Seconds] = field(default_factory=dict)
-    """Time that a queue's jobs can wait and still make their objective, smoothed."""
+    """Smoothed time that a queue's jobs can wait and still meet their objective."""
     durations_by_queue: dict[QueueId, tuple[float, float]] = field(default_factory=dict)
     """Sum of weights and weighted mean of log duration in ms, by queue."""
 
