--- a/packages/systems/tests/scheduling/conftest.py
+++ b/packages/systems/tests/scheduling/conftest.py
@@ -1,3 +1,5 @@
+"""Fixtures of the scheduling tests: tables with workers, VMs and jobs."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -43,7 +45,7 @@
 
 @dataclass
 class Scene:
-    """Tables with one pool and one standby pool, and ways to fill them."""
+    """Tables with a pool and a standby pool, and methods that add to them."""
 
     tables: WorkTables
 
@@ -132,13 +134,13 @@
 
 
 def create_step(**changes: object) -> StepSpec:
-    """Return a step of one small task, but for what a test changes."""
+    """Return a step of one small task, with the fields in ``changes`` replaced."""
     values = {"count": 1, "cpu_millis": 2_000, "memory_mb": 1_000, "estimate_ms": 500}
     return StepSpec(**{**values, **changes})  # type: ignore[arg-type]
 
 
 def start(scene: Scene, now: float = NOW) -> list[Run]:
-    """Place what waits, and let the workers confirm it."""
+    """Place the waiting tasks and confirm their runs."""
     runs = plan_round(scene.tables, POOL, now)
     for run in runs:
         run.ordered_at = now
--- a/packages/systems/tests/scheduling/test_burst_overload.py
+++ b/packages/systems/tests/scheduling/test_burst_overload.py
@@ -1,4 +1,4 @@
-"""Replays of a queue's turn that asks for more than its pool holds."""
+"""Replays of a queue's burst that needs more than its pool has."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
     kind: JobKind, jobs_per_second: float, at_least: float, gain: float
 ):
     """
-    More jobs come than the pool can do in time. Ordered by their latest start
-    alone, each is started at its last moment and half of them too late: all the
-    pool's time goes into jobs that miss their objective by a little.
+    Guards against ordering by the latest start alone when more jobs arrive than the
+    pool can do in time. Each job would start at the last moment and half of them too
+    late, so that the pool spends its time on jobs that just miss their objective.
     """
     worth = measure(kind, jobs_per_second)
     baseline = measure(kind, jobs_per_second, rank_by_latest_start)
--- a/packages/systems/tests/scheduling/test_crashes.py
+++ b/packages/systems/tests/scheduling/test_crashes.py
@@ -1,4 +1,4 @@
-"""Which tasks the crashes of workers count against, and where those start again."""
+"""Counting crashes of workers against the tasks that may have caused them."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 def crash_once(scene: Scene, number: int, now: float) -> CrashAssessment:
-    """Start what waits on a new worker, which crashes at once."""
+    """Start the waiting tasks on a new worker that crashes at once."""
     worker = scene.add_worker(number)
     start(scene, now)
     return crash(scene, worker, now + 0.1)
@@ -78,7 +78,7 @@
 def test_crash_after_simultaneous_starts_is_not_attributed(
     scene: Scene,
 ):
-    """Guards against failing a job whose tasks ran beside the one at fault."""
+    """Guards against failing a job whose task only ran beside the faulty one."""
     first, second = (scene.add_job(name, create_step()) for name in "ab")
     assessment = crash_once(scene, 1, NOW)
     assert assessment.jobs == [first, second]
@@ -94,7 +94,7 @@
         ((0.1, 1.5), (True, False)),
         ((3.0, 9.0), (True, True)),
     ],
-    ids=["a fresh one", "two fresh ones", "the fresher one", "none is fresh"],
+    ids=["one recent", "two recent", "the more recent", "none recent"],
 )
 def test_latest_starts_are_suspected(
     scene: Scene, ages: tuple[float, ...], suspected: tuple[bool, ...]
@@ -115,7 +115,7 @@
         (0, 5.0, CrashTally(total=2, suspected=2)),
         (100, 0.5, CrashTally(total=2, suspected=2, alone=1)),
     ],
-    ids=["proven", "never at work", "just begun"],
+    ids=["served long", "never served", "served briefly"],
 )
 def test_healthy_long_running_task_has_its_crash_counts_reset(
     scene: Scene, percent: int, worked_seconds: float, expected: CrashTally
@@ -162,7 +162,7 @@
 
 
 def test_zone_outage_is_not_attributed_to_tasks(scene: Scene):
-    """Guards against failing jobs whose zone was lost again and again."""
+    """Guards against failing jobs because their zone had repeated outages."""
     idle = scene.add_worker(1)
     busy = scene.add_worker(2)
     job = scene.add_job("j", create_step())
@@ -175,7 +175,7 @@
 
 
 def test_crash_of_an_unstable_vm_is_not_attributed(scene: Scene):
-    """Guards against failing jobs whose tasks meet VMs that go up and down."""
+    """Guards against failing jobs whose tasks start on VMs that keep restarting."""
     worker = scene.add_worker(1)
     record_worker_end(scene.tables, worker, NOW)
     assert scene.tables.unstable_until_by_vm[worker.vm_id] > NOW + 5.0
@@ -186,7 +186,7 @@
 
 
 def test_crashes_that_are_not_attributed_fail_a_task_at_the_limit(scene: Scene):
-    """Guards against a task that is never seen alone on a worker it crashes."""
+    """Guards against endless restarts of a task whose crashes are not attributable."""
     job = scene.add_job("j", create_step())
     task = get_task(job)
     task.crashes = CrashTally(total=MAX_CRASHES - 1)
@@ -195,7 +195,10 @@
 
 
 def test_task_that_crashes_its_workers_late_fails(scene: Scene):
-    """Guards against a task beside fresh starts that its crashes are blamed on."""
+    """Guards against endless restarts of a task that crashes its workers late.
+
+    Each time, only a recent start of another job is suspected.
+    """
     late = scene.add_job("late", create_step(cpu_millis=1_000))
     for number in range(1, MAX_CRASHES + 1):
         assert late.outcome is None
@@ -212,9 +215,12 @@
 
 
 def test_crash_beside_a_task_with_earlier_crashes_is_not_attributed(scene: Scene):
-    """Guards against blaming fresh starts for a task that crashes its workers late."""
+    """Guards against attributing crashes to recent starts.
+
+    The cause may be a task beside them that crashes its workers late.
+    """
     worker = scene.add_worker(1)
-    earlier = scene.add_job("rival", create_step(cpu_millis=1_000))
+    earlier = scene.add_job("earlier", create_step(cpu_millis=1_000))
     start(scene)
     get_task(earlier).crashes = CrashTally(total=1)
     fresh = scene.add_job("fresh", create_step(cpu_millis=1_000))
@@ -225,7 +231,7 @@
 
 
 def test_second_crash_of_one_vm_is_not_attributed(scene: Scene):
-    """Guards against a VM that goes down and up while one task returns to it."""
+    """Guards against failing a job whose task returns to a VM that keeps restarting."""
     job = scene.add_job("j", create_step())
     worker = scene.add_worker(1)
     get_task(job).failed_on.add(worker.vm_id)
@@ -236,8 +242,9 @@
 
 def test_crash_under_an_unanswered_start_is_counted_once(scene: Scene):
     """
-    The answer is lost, and the worker is back under its id. The order may be carried
-    out by the next life yet, so that the run stays until that has been settled.
+    Guards against counting one crash twice. The answer to a start is lost, and the
+    worker restarts under its id. The next incarnation may still execute the order, so
+    that the run stays attached until a listing shows otherwise.
     """
     worker = scene.add_worker(1)
     worker.born_ms = BORN_MS
@@ -254,7 +261,7 @@
 
 
 def test_crash_under_a_restored_start_is_not_attributed(scene: Scene):
-    """Guards against failing jobs for workers that left while nobody controlled."""
+    """Guards against failing jobs for workers that ended without a controller."""
     worker = scene.add_worker(1)
     job = scene.add_job("j", create_step())
     (run,) = plan_round(scene.tables, POOL, NOW)
@@ -279,7 +286,7 @@
 
 
 def test_crash_counts_and_incarnations_are_recorded_and_restored(scene: Scene):
-    """Guards against counts of crashes that start anew at each takeover."""
+    """Guards against crash counts that are lost at a takeover."""
     worker = scene.add_worker(1)
     worker.born_ms = BORN_MS
     job = scene.add_job("j", create_step(count=2))
@@ -310,7 +317,10 @@
 
 
 def test_crashes_of_a_completed_task_do_not_fail_its_job(scene: Scene):
-    """Guards against failing a job for a copy, or a gang's member, of a task done."""
+    """Guards against failing a job for a leftover run of a completed task.
+
+    This may be a copy or a run of a gang's member.
+    """
     worker = scene.add_worker(1)
     job = scene.add_job("j", create_step(count=2))
     start(scene)
--- a/packages/systems/tests/scheduling/test_isolation.py
+++ b/packages/systems/tests/scheduling/test_isolation.py
@@ -1,4 +1,4 @@
-"""Where tasks start that are suspected of crashing their workers."""
+"""Placement of tasks that are suspected of crashing their workers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def add_suspect_job(scene: Scene, name: str = "s", **changes: object) -> ActiveJob:
-    """Add a job whose first task was beside a crash."""
+    """Add a job whose first task is suspected of one crash."""
     job = scene.add_job(name, create_step(**changes))
     get_task(job).crashes = CrashTally(total=1, suspected=1)
     job.suspected = True
@@ -32,8 +32,8 @@
 
 def test_suspected_task_starts_apart_from_recent_starts_of_other_jobs(scene: Scene):
     """
-    Tasks that lost their worker together wait together, and were started side by
-    side again: each crash hit the same ones, and nothing told them apart.
+    Guards against restarting tasks together that lost their worker together. Each
+    crash would hit the same tasks, and the faulty one could not be identified.
     """
     scene.add_worker(1)
     other = scene.add_job("other", create_step())
@@ -57,7 +57,7 @@
 
 
 def test_suspected_task_finds_a_worker_in_a_full_pool(scene: Scene):
-    """Guards against a suspected task that waits while each gap is filled anew."""
+    """Guards against starving a suspected task while other starts fill each gap."""
     for number in (1, 2):
         scene.add_worker(number)
     task = get_task(add_suspect_job(scene))
@@ -76,7 +76,7 @@
 
 
 def test_worker_is_kept_free_for_another_isolated_run(scene: Scene):
-    """Guards against suspected tasks that wait beside long runs of tried ones."""
+    """Guards against waiting for long runs of tasks whose isolation is over."""
     worker = scene.add_worker(1)
     add_suspect_job(scene, "first", long_running=True)
     start(scene)
@@ -128,12 +128,12 @@
 @pytest.mark.parametrize(
     ("total", "wait", "starts"),
     [(1, 0.0, True), (3, 0.0, False), (3, 8.1, True)],
-    ids=["first crash", "several", "after its patience"],
+    ids=["first crash", "several", "several, after the longest wait"],
 )
 def test_task_with_several_crashes_waits_for_a_stable_vm(
     scene: Scene, total: int, wait: float, starts: bool
 ):
-    """Guards against giving up sound tasks that VMs which flap take down again."""
+    """Guards against failing sound tasks for crashes of VMs that keep restarting."""
     scene.add_worker(1).unstable_until = NOW + 30.0
     get_task(add_suspect_job(scene)).crashes = CrashTally(total=total, suspected=1)
     assert bool(start(scene, NOW + wait)) is starts
@@ -143,7 +143,7 @@
 def test_task_with_several_crashes_is_isolated_for_longer(
     scene: Scene, seconds: float, starts: int
 ):
-    """Guards against a sound task that the next one at fault takes down with it."""
+    """Guards against a faulty task beside it that crashes a sound task once more."""
     scene.add_worker(1)
     get_task(add_suspect_job(scene)).crashes = CrashTally(total=3, suspected=1)
     start(scene)
@@ -160,7 +160,7 @@
 
 
 def test_suspected_task_gets_no_copy(scene: Scene):
-    """Guards against two starts at once of a task that crashes its workers."""
+    """Guards against crashing two workers at once by a task and its copy."""
     for number in (1, 2):
         scene.add_worker(number)
     job = add_suspect_job(scene, speculative=True)
--- a/packages/systems/tests/scheduling/test_quarantine.py
+++ b/packages/systems/tests/scheduling/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Workers that are set aside come back, whatever else runs on them."""
+"""Quarantine of workers, and the probes that end it."""
 
 from __future__ import annotations
 
@@ -52,9 +52,9 @@
 @pytest.mark.parametrize("make_unavailable", [refuse, fail, stall])
 def test_worker_with_a_long_running_task_gets_a_probe(scene: Scene, make_unavailable):  # type: ignore[no-untyped-def]
     """
-    The only worker of an idle pool serves a lasting task and is set aside. Tried
-    again only when nothing ran there, it stayed closed for good: a second lasting
-    task waited for ever beside free room.
+    Guards against a quarantine without end. If a worker got a probe only when it had
+    no run, the only worker of a pool that runs a long-running task would never get
+    one, and a second task would wait forever beside free resources.
     """
     worker = scene.add_worker(1)
     start_long_running(scene, "first")
@@ -67,8 +67,8 @@
 
 def test_quarantined_worker_gets_one_probe_at_a_time(scene: Scene):
     """
-    A worker fails all that it starts. Tried with all that waits, it would use up an
-    attempt of each of them.
+    Guards against wasted attempts: a worker that fails all tasks would cost each
+    waiting task an attempt if all of them started as probes.
     """
     worker = scene.add_worker(1)
     fail(worker, NOW)
@@ -82,8 +82,8 @@
 
 def test_healthy_long_running_probe_ends_the_quarantine(scene: Scene):
     """
-    The task that tries a worker lasts, so that its end will never be heard. At work
-    for a while, it speaks for the worker as an end would.
+    Guards against a quarantine without end when the probe is a long-running task,
+    which never ends successfully. It ends the quarantine after it has served a while.
     """
     worker = scene.add_worker(1)
     stall(worker, NOW)
@@ -117,8 +117,8 @@
 
 def test_repeated_refusal_renews_the_backoff(scene: Scene):
     """
-    A worker refuses whatever it is told for seconds. Left alone only after its
-    first refusal, it was asked again each 0.15 s from then on.
+    Guards against frequent orders to a worker that refuses all of them for seconds.
+    Without a new backoff after each refusal it got one every 0.15 s.
     """
     worker = scene.add_worker(1)
     refuse(worker, NOW)
@@ -132,9 +132,9 @@
 
 def test_simultaneous_failures_count_as_one_quarantine(scene: Scene):
     """
-    A worker fails what runs on it, and its ends come in one listing. Each doubled the
-    wait: three of them set the only VM of an idle pool aside for 16 s in place of 4 s,
-    and a lasting task that had failed with them waited as long.
+    Guards against a longer quarantine for several failures in one listing. If each
+    of them doubled it, three would quarantine the only worker of an idle pool for
+    16 s instead of 4 s, and a failed long-running task would wait as long.
     """
     worker = scene.add_worker(1)
     for _ in range(4):
--- a/packages/systems/tests/scheduling/test_repair.py
+++ b/packages/systems/tests/scheduling/test_repair.py
@@ -1,3 +1,5 @@
+"""Repairs of runs that stall or whose worker is unresponsive or draining."""
+
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
@@ -27,8 +29,8 @@
 
 def test_stalled_runs_are_stopped_and_their_worker_is_quarantined(scene: Scene):
     """
-    A worker answers every call, and nothing on it advances. Its tasks would wait
-    for ever, and new ones would join them.
+    Guards against a worker that answers every call while its runs make no progress.
+    Its tasks would wait forever, and it would get new ones.
     """
     worker = scene.add_worker(1)
     scene.add_job("j", STEP)
@@ -41,8 +43,8 @@
 
 def test_pause_of_this_process_is_not_taken_for_a_stall(scene: Scene):
     """
-    This process was paused for seconds. The last progress it knows is as old as
-    its pause, and so is the last answer; runs that went on must not be stopped.
+    Guards against stopping sound runs after this process was paused for seconds.
+    The last known progress is then as old as the last answer.
     """
     worker = scene.add_worker(1)
     scene.add_job("j", STEP)
--- a/packages/systems/tests/scheduling/test_rounds.py
+++ b/packages/systems/tests/scheduling/test_rounds.py
@@ -1,3 +1,5 @@
+"""Scheduling rounds: which tasks start, in which order and on which workers."""
+
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
@@ -126,8 +128,8 @@
 
 def test_gang_starts_completely_or_not_at_all(scene: Scene):
     """
-    Members that start without the others wait, hold their room, and end alone
-    after some seconds; the gang then begins again from nothing.
+    Guards against starting part of a gang. Its members would hold their resources,
+    time out after some seconds, and the whole gang would have to start again.
     """
     scene.add_worker(1, cpu=4_000)
     scene.add_job("j", create_step(count=3, gang=True))
@@ -141,8 +143,8 @@
 
 def test_failed_task_goes_to_another_vm(scene: Scene):
     """
-    A worker fails all that it starts. A task that went back there would use up
-    its attempts, and its customer would be told that it can't be done.
+    Guards against failing a job for a faulty worker. If the task returned to a
+    worker that fails all tasks, it would use up its attempts there.
     """
     scene.add_worker(1, cpu=2_000)
     scene.add_worker(2, cpu=9_000)
@@ -170,8 +172,8 @@
 
 def test_jobs_that_can_meet_their_objective_go_first(scene: Scene):
     """
-    At the peak of a queue's turn the oldest jobs are late already. Served first,
-    they would make each next one late as well, and nobody would be in time.
+    Guards against serving late jobs first. At the peak of a queue's burst the oldest
+    jobs are late already, and would make all later jobs late as well.
     """
     worker = scene.add_worker(1, cpu=2_000)
     scene.add_job("old", create_step())
@@ -187,8 +189,9 @@
 
 def test_large_task_is_not_starved_by_small_ones(scene: Scene):
     """
-    Small tasks fill each gap as it comes; a task as large as a worker would wait
-    until the queue is empty. After a while it keeps the emptiest worker free.
+    Guards against starving large tasks. Small tasks fill each gap, so that a task as
+    large as a worker would wait until the queue is empty. After a while a worker is
+    reserved for it.
     """
     scene.add_worker(1, cpu=8_000)
     scene.add_worker(2, cpu=8_000)
@@ -208,7 +211,7 @@
     for run, percent in ((first, 80), (second, 10)):
         confirm_run(run, NOW)
         run.percent = percent
-    job = scene.add_job("lasting", create_step(long_running=True))
+    job = scene.add_job("service", create_step(long_running=True))
     (service_step,) = job.occurrences_by_index[0]
     assert find_preemptible(service_step, [worker], NOW) == [second]
 
@@ -218,8 +221,9 @@
 
 def test_tasks_of_a_job_share_a_zone_while_it_has_capacity(scene: Scene):
     """
-    A zone is cut off, and what runs there is not heard of for seconds. A job is late
-    when one task is: spread over all zones nearly every job had a task there.
+    Guards against spreading a job over all zones. When a zone is partitioned for
+    seconds, a job with one task there is late, and with random placement nearly
+    every job has one.
     """
     for number in range(12):
         worker = scene.add_worker(number)
@@ -246,8 +250,8 @@
 @pytest.mark.parametrize("gone", [True, False], ids=["gone", "full"])
 def test_step_changes_racks_if_its_rack_is_gone_or_full(scene: Scene, gone: bool):
     """
-    The tasks of a step share a rack; theirs lost its workers, or filled up with
-    work that lasts. Bound to it, a lost task waited for good beside free racks.
+    Guards against waiting forever for the rack that the tasks of a step share, after
+    it has lost its workers or filled up with long-running tasks.
     """
     first = scene.add_worker(1, rack="r1-1", cpu=8_000)
     for number in (2, 3, 4):
@@ -269,7 +273,7 @@
 
 
 def test_step_waits_for_its_rack_while_its_pool_is_busy(scene: Scene):
-    """Apart from its siblings a task takes half as long again, or twice."""
+    """On another rack than its siblings, a task takes 1.5 to 2 times as long."""
     first = scene.add_worker(1, rack="r1-1", cpu=4_000)
     other = scene.add_worker(2, rack="r1-2", cpu=16_000)
     other.cpu_free = 5_000
--- a/packages/systems/tests/scheduling/test_waiting.py
+++ b/packages/systems/tests/scheduling/test_waiting.py
@@ -1,3 +1,5 @@
+"""Reasons for which tasks wait, and waiting tasks that are not queued."""
+
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
@@ -73,8 +75,9 @@
 
 def test_task_missing_from_its_queue_is_found(scene: Scene):
     """
-    A run is lost and its task goes back into the line. Were the line cleared behind
-    its back, its pool could stand idle and the task would wait for good.
+    Guards against a task that waits forever while its pool is idle, because it is
+    missing from the queue. A lost run puts its task back into the queue; the test
+    then clears the queue.
     """
     scene.add_worker(1)
     scene.add_job("j", create_step())
--- a/packages/systems/tests/scheduling/test_worker_ranking.py
+++ b/packages/systems/tests/scheduling/test_worker_ranking.py
@@ -1,4 +1,4 @@
-"""The workers of a step's tasks, chosen together and one by one."""
+"""Choosing the workers of a step's tasks from one ranking and one by one."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def add_varied_workers(scene: Scene, rng: random.Random) -> None:
-    """Fill the tables with workers of different room, load and kind."""
+    """Add workers with different free resources, racks, zones and speeds."""
     for number in range(12):
         worker = scene.add_worker(number, rack=rng.ranking(RACKS))
         worker.cpu_free = rng.randrange(0, 16_000, 500)
@@ -43,9 +43,9 @@
     scene: Scene, seed: int, rules: dict[str, object]
 ):
     """
-    The choice for a whole step keeps its ranking of workers from task to task. A
-    place in it that is out of date would put a task beside the better worker, or
-    on one that has no room.
+    Guards against outdated scores: the ranking of the workers is kept from task to
+    task of a step. An outdated entry would place a task on a worse worker, or on one
+    without enough free resources.
     """
     rng = random.Random(seed)
     add_varied_workers(scene, rng)
--- a/packages/systems/tests/scheduling/test_workers.py
+++ b/packages/systems/tests/scheduling/test_workers.py
@@ -1,4 +1,4 @@
-"""Lives of workers, as entries, VM lists and listings tell of them."""
+"""Incarnations of workers, known from entries, VM lists and listings."""
 
 from __future__ import annotations
 
@@ -62,14 +62,14 @@
 
 
 def end_incarnation_by_vm_list(scene: Scene) -> None:
-    """Let the VM list show the VM of the entry as down."""
+    """Apply a VM list in which the VM of the entry is down."""
     vm = replace(scene.add_vm(1, POOL), phase=VMPhase.DOWN)
     (worker,) = apply_vm_list(scene.tables, (vm,), NOW + 1.0)
     end_incarnation(scene.tables, worker, NOW + 1.0)
 
 
 def apply_resources(scene: Scene, resources: Resources) -> Worker:
-    """Let the worker of the entry tell another room, in the same life."""
+    """Apply an entry of the same incarnation with other resources."""
     worker = apply_entry(scene.tables, replace(ENTRY, resources=resources), NOW)
     assert worker is not None
     worker.reconciled = True
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    ("room", "free", "starts"),
+    ("resources", "free", "starts"),
     [
         (Resources(16_000, 32_768, 0), (12_000, 30_768, 0), 1),
         (Resources(6_000, 32_768, 0), (2_000, 30_768, 0), 1),
@@ -86,12 +86,12 @@
         (Resources(16_000, 2_500, 0), (12_000, 500, 0), 0),
         (Resources(32_000, 65_536, 8), (28_000, 63_536, 8), 1),
     ],
-    ids=["the same", "just enough", "too small", "overfull", "memory", "larger"],
+    ids=["the same", "just enough", "too small", "overcommitted", "memory", "larger"],
 )
 def test_changed_resources_of_a_worker_are_applied(
     scene: Scene, resources: Resources, free: tuple[int, int, int], starts: int
 ):
-    """Guards against starts by the room that a worker had when it was first listed."""
+    """Guards against starts by the resources in a worker's first entry."""
     apply_resources(scene, ENTRY.resources)
     scene.add_job("first", create_step(count=2))
     for run in plan_round(scene.tables, POOL, NOW):
@@ -112,15 +112,15 @@
 @pytest.mark.parametrize(
     ("born_ms", "is_accepted"),
     [(BORN_MS, False), (BORN_MS + 1, True), (BORN_MS - 1, True)],
-    ids=["the same life", "a later one", "its clock was set back"],
+    ids=["the same incarnation", "a later one", "its clock was set back"],
 )
 def test_ended_worker_is_accepted_in_a_new_incarnation(
     scene: Scene, born_ms: int, is_accepted: bool
 ):
     """
-    The VM list shows a VM down, then its worker's entry comes again. The same life
-    is an old entry, and an order sent there would wait for nothing; another life
-    is empty and takes tasks.
+    Guards against orders to an ended incarnation and against ignoring its successor.
+    After the VM list showed the VM as down, an entry of the same incarnation is
+    outdated, and one of another incarnation is of a worker that can get tasks.
     """
     apply_entry(scene.tables, ENTRY, NOW)
     end_incarnation_by_vm_list(scene)
@@ -140,7 +140,7 @@
 
 
 def start_runs(scene: Scene, *states: RunState) -> tuple[Worker, list[Run]]:
-    """Return a worker with a run in each state, as its first life knows them."""
+    """Return a worker in its first incarnation, with a run in each state."""
     worker = apply_entry(scene.tables, ENTRY, NOW)
     assert worker is not None
     worker.reconciled = True
@@ -172,8 +172,8 @@
 
 def test_order_executed_by_the_next_incarnation_is_found(scene: Scene):
     """
-    An order names its worker by id only. It reached the next life before its entry
-    did; counted as over with the former life, its task would run twice.
+    Guards against running a task twice. An order names its worker by id only and may
+    reach the next incarnation before that is known; it is not over with the former.
     """
     worker, (unanswered, refused) = start_runs(
         scene, RunState.UNKNOWN, RunState.UNKNOWN
@@ -182,7 +182,7 @@
     begin_incarnation(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
     list_runs(scene, worker, [unanswered], NOW + 1.1)
     assert unanswered.state is RunState.RUNNING
-    # The stop was confirmed by the former life; the next one may begin it yet.
+    # The former incarnation confirmed the stop; the next one may still start the run.
     assert refused.task.runs == [refused]
 
 
@@ -198,8 +198,9 @@
 
 def test_next_incarnation_gets_tasks_after_its_entry_and_listing(scene: Scene):
     """
-    The next life of a VM may be of another kind. Until its entry tells, and until
-    it has listed what runs there, it gets nothing.
+    Guards against starts by outdated resources or beside unknown runs. The next
+    incarnation may offer other resources, so that it gets no tasks before its entry
+    and its first listing were read.
     """
     worker, _ = start_runs(scene, RunState.RUNNING)
     begin_incarnation(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
@@ -223,9 +224,9 @@
 
 def test_orders_to_an_unresponsive_next_incarnation_lapse(scene: Scene):
     """
-    A worker starts again behind a cut, as its entry tells, and answers nobody. An
-    order that it may have taken runs for one lease at most, on a clock that is not
-    known; its task is free once that is over, and not before.
+    A worker restarts behind a partition, as its entry shows, and does not answer. An
+    order that it may have executed has one lease at most, on a clock that is not
+    known. Guards against starting its task elsewhere before that time, or never.
     """
     worker, _ = start_runs(scene, RunState.ORDERED)
     begin_incarnation(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
