--- a/packages/systems/src/medlarspring_systems/scheduling/rounds.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/rounds.py
@@ -144,11 +144,11 @@
     if step.spec.gang:
         _place_gang(step, workers, now, intents)
         return
-    choice = WorkerRanking(step, _list_rack_workers(step, workers), now)
+    ranking = WorkerRanking(step, _list_rack_workers(step, workers), now)
     for task in list(step.waiting):
         if task.not_before > now:
             continue
-        worker = choice.choose(task)
+        worker = ranking.choose(task)
         if worker is None and _may_leave_rack(step, task, workers, now):
             worker = choose_worker(step, task, workers, now)
         if worker is None and task.is_suspect:
@@ -161,7 +161,7 @@
         if worker.doubt is not QuarantineReason.NONE:
             # This run is the worker's probe; no other may start until it has ended.
             workers.remove(worker)
-            choice = WorkerRanking(step, _list_rack_workers(step, workers), now)
+            ranking = WorkerRanking(step, _list_rack_workers(step, workers), now)
 
 
 def _list_rack_workers(step: StepRun, workers: list[Worker]) -> list[Worker]:
