--- a/packages/systems/src/medlarspring_systems/scheduling/isolation.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/isolation.py
@@ -136,7 +136,7 @@
 __all__ = [
     "find_isolated_run",
     "has_suspected_task",
-    "preserves_isolation",
     "measure_unstable_time",
+    "preserves_isolation",
     "rate_for_isolation",
 ]
--- a/packages/systems/src/medlarspring_systems/scheduling/placement.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/placement.py
@@ -220,6 +220,7 @@
 
 __all__ = [
     "WorkerRanking",
+    "can_start_on",
     "choose_worker",
     "find_ticket",
     "fits",
@@ -227,6 +228,5 @@
     "is_allowed",
     "is_schedulable",
     "list_schedulable_workers",
-    "can_start_on",
     "score_worker",
 ]
--- a/packages/systems/src/medlarspring_systems/scheduling/quarantine.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/quarantine.py
@@ -138,8 +138,8 @@
 
 __all__ = [
     "end_proven_quarantine",
-    "quarantine_worker",
     "is_probe_due",
+    "quarantine_worker",
     "record_acceptance",
     "record_failure",
     "record_refusal",
--- a/packages/systems/src/medlarspring_systems/scheduling/workers.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/workers.py
@@ -305,20 +305,20 @@
 
 
 __all__ = [
+    "apply_entry",
+    "apply_vm_list",
     "begin_incarnation",
     "end_incarnation",
     "find_or_create_worker",
-    "remove_worker",
     "has_unknown_runs",
+    "have_recorded_runs_lapsed",
     "is_ended_incarnation",
-    "is_lease_over",
     "is_incarnation_over",
+    "is_lease_over",
     "is_other_incarnation",
     "is_overcommitted",
-    "have_recorded_runs_lapsed",
+    "read_clock",
     "record_clock",
     "record_entry_gone",
-    "read_clock",
-    "apply_entry",
-    "apply_vm_list",
+    "remove_worker",
 ]
--- a/packages/tables/src/medlarspring_tables/scheduling/__init__.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/__init__.py
@@ -79,6 +79,7 @@
     "OperatorConfig",
     "PoolPolicy",
     "ProgressRecord",
+    "QuarantineReason",
     "QueueId",
     "QueuePolicy",
     "Resources",
@@ -102,7 +103,6 @@
     "Worker",
     "WorkerCondition",
     "WorkerCrash",
-    "QuarantineReason",
     "WorkerEntry",
     "WorkerId",
 ]
--- a/packages/tables/src/medlarspring_tables/scheduling/work.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/work.py
@@ -366,6 +366,7 @@
     "SUSPECT_AFTER",
     "ActiveJob",
     "ArrivalMeter",
+    "QuarantineReason",
     "Run",
     "RunEnd",
     "RunState",
@@ -374,6 +375,5 @@
     "Ticket",
     "Worker",
     "WorkerCrash",
-    "QuarantineReason",
     "WorkTables",
 ]
