--- a/packages/systems/src/medlarspring_systems/scheduling/crashes.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/crashes.py
@@ -1,8 +1,9 @@
-"""Which runs may have crashed the worker that they were on, and what follows.
+"""Counts crashes of workers against the tasks that may have caused them.
 
-A worker that crashes tells nothing about its end. A task that crashes each worker
-that starts it does so soon, so that the latest starts on a worker are suspected first.
-A task is given up once nothing else explains the crashes under it.
+A worker that crashes does not report why. A task that crashes its workers usually
+does so soon after its start, so that the latest starts on a worker are suspected
+first. A job fails once enough crashes are attributable to one of its tasks, that is,
+have no other explanation.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from medlarspring_systems.scheduling.jobs import fail_job
-from medlarspring_systems.scheduling.runs import is_at_work
+from medlarspring_systems.scheduling.runs import is_serving
 from medlarspring_tables.scheduling import (
     CrashTally,
     RunState,
@@ -29,77 +30,85 @@
         WorkTables,
     )
 
-FRESH_SECONDS = 2.0
-"""A crash so soon after a start may be its doing; part of this passes until the crash
-is noticed."""
-TRIAL_SECONDS = 1.0
-"""Starts so close to each other are suspected together."""
-PROVEN_SECONDS = 2.0
-"""A long-running task at work for so long does not crash its worker."""
-MOST_ALONE = 3
-"""Crashes that nothing but the task's own job explains before it is given up."""
-MOST_CRASHES = 5
-"""Crashes of any kind before a task is given up; the platform allows two starts more
-after the third."""
+RECENT_START_SECONDS = 2.0
+"""A start is suspected of a crash that is noticed within this time.
+
+It includes the delay until the crash is noticed.
+"""
+SIMULTANEOUS_SECONDS = 1.0
+"""Starts at most this far apart are suspected together."""
+HEALTHY_RUN_SECONDS = 2.0
+"""A long-running task that has served for this long is not suspected of a crash."""
+MAX_ATTRIBUTABLE_CRASHES = 3
+"""Crashes attributable to the task's own job alone at which the job fails."""
+MAX_CRASHES = 5
+"""Crashes of any kind at which the job fails.
+
+The platform permits two more starts after the third crash.
+"""
 OUTAGE_SECONDS = 1.0
-"""Workers of a zone that end so close to each other end for one reason."""
+"""Workers of a zone that end at most this far apart are taken to have one cause."""
 OUTAGE_WORKERS = 4
-"""So many of them are an outage, even if each had a fresh start."""
-UNSTEADY_SECONDS = 30.0
-"""A VM that crashed without an explanation is no witness for so long."""
+"""This many of them count as an outage, even if each had a recent start."""
+UNSTABLE_SECONDS = 30.0
+"""Time for which a VM counts as unstable after a crash that was not attributable."""
 
 
 @dataclass(slots=True)
-class CrashVerdict:
-    """What the end of a worker's life says about its runs."""
+class CrashAssessment:
+    """Assessment of the end of a worker's incarnation."""
 
     planned: bool
-    """It was moved, maintained, or left after its notice."""
+    """The VM was moved or maintained, or the worker left after notice."""
     suspects: list[Run] = field(default_factory=list)
+    """Runs that may have crashed the worker."""
     jobs: list[ActiveJob] = field(default_factory=list)
-    """Jobs against which it counts, each once; some may have failed by it."""
+    """Jobs against which the crash counts, without repeats; some may have failed."""
 
 
-def note_worker_end(tables: WorkTables, worker: Worker, now: Seconds) -> CrashVerdict:
-    """Count the end of a worker's life against the tasks that were on it.
+def record_worker_end(
+    tables: WorkTables, worker: Worker, now: Seconds
+) -> CrashAssessment:
+    """Count the end of a worker's incarnation against the tasks that were on it.
 
-    Called while its runs are still entered.
+    Must be called while its runs are still attached to the worker.
     """
     if _is_planned_end(tables, worker):
-        return CrashVerdict(planned=True)
+        return CrashAssessment(planned=True)
     suspects = _find_suspects(worker, now)
     outage = _is_outage(tables, worker, now)
-    alone = not outage and _is_witness(worker, suspects, now)
-    _remember_crash(tables, worker, now, idle=not suspects, explained=alone)
+    alone = not outage and _is_attributable(worker, suspects, now)
+    _record_crash(tables, worker, now, idle=not suspects, attributed=alone)
     for run in worker.runs.values():
-        if _is_proven(run, now):
+        if _has_run_healthily(run, now):
             run.task.crashes = CrashTally()
-    counted = _list_counted(worker, now)
+    counted = _list_counted_runs(worker, now)
     for run in counted:
         suspected = run in suspects
-        _count(run, suspected=suspected and not outage, alone=suspected and alone)
-    return CrashVerdict(
+        _count_crash(run, suspected=suspected and not outage, alone=suspected and alone)
+    return CrashAssessment(
         planned=False,
         suspects=[] if outage else suspects,
         jobs=list(dict.fromkeys(run.task.step.job for run in counted)),
     )
 
 
-def note_vanished(run: Run) -> None:
-    """Count a run that is over without an end or a known end of its worker's life.
+def record_vanished_run(run: Run) -> None:
+    """Count a run that is over although neither its end nor its worker's is known.
 
-    Its worker may have crashed unseen; nothing there is suspected for it.
+    Its worker may have crashed without this controller noticing. The crash counts
+    towards the limit for crashes of any kind; the task is not suspected for it.
     """
     if not run.crash_counted:
-        _count(run, suspected=False, alone=False)
+        _count_crash(run, suspected=False, alone=False)
 
 
-def _count(run: Run, *, suspected: bool, alone: bool) -> None:
+def _count_crash(run: Run, *, suspected: bool, alone: bool) -> None:
     run.crash_counted = True
     task, job = run.task, run.task.step.job
     if task.done:
         return
-    # A VM that goes up and down proves nothing by crashing under the same task again.
+    # Another crash of the same VM under this task may be due to an unstable VM.
     alone = alone and run.worker.vm_id not in task.failed_on
     known = task.crashes
     task.crashes = CrashTally(
@@ -111,22 +120,25 @@
     if suspected:
         task.failed_on.add(run.worker.vm_id)
     job.suspected = job.suspected or task.is_suspect
-    if _is_given_up(task):
+    if _has_too_many_crashes(task):
         count = task.crashes.total
         fail_job(job, f"{count} workers crashed under task {task.id}")
 
 
-def _is_given_up(task: Task) -> bool:
-    """Tell whether a task is not started again for the workers that it crashed.
+def _has_too_many_crashes(task: Task) -> bool:
+    """Return whether a task has so many crashes that its job has to fail.
 
-    Crashes beside other jobs' fresh starts, in an outage or on an unsteady VM prove
-    nothing; the limit for them keeps a task from going on without end.
+    Crashes beside recent starts of other jobs, in an outage or on an unstable VM are
+    not attributable. Without a limit for these, a task could be restarted forever.
     """
-    return task.crashes.alone >= MOST_ALONE or task.crashes.total >= MOST_CRASHES
+    return (
+        task.crashes.alone >= MAX_ATTRIBUTABLE_CRASHES
+        or task.crashes.total >= MAX_CRASHES
+    )
 
 
 def _is_planned_end(tables: WorkTables, worker: Worker) -> bool:
-    """Tell whether a worker's life ended by an operation or after its notice."""
+    """Return whether an incarnation ended by an operation on its VM or after notice."""
     if worker.draining or worker.leaving:
         return True
     vm = tables.vms_by_id.get(worker.vm_id)
@@ -140,60 +152,62 @@
 def _find_suspects(worker: Worker, now: Seconds) -> list[Run]:
     """Return the runs that may have crashed their worker.
 
-    These are the latest starts. If none was fresh when the worker fell silent, all
-    runs that have not proven themselves are suspected.
+    These are the latest starts. If there was no recent start when the worker stopped
+    answering, all runs are suspected except those with a healthy record.
     """
-    runs = [run for run in worker.runs.values() if may_have_crashed(run, now)]
+    runs = [run for run in worker.runs.values() if may_have_caused_crash(run, now)]
     if not runs:
         return []
     newest = max(run.started_at for run in runs)
-    if not _is_fresh(worker, newest, now):
+    if not _is_recent(worker, newest, now):
         return runs
-    return [run for run in runs if run.started_at >= newest - TRIAL_SECONDS]
+    return [run for run in runs if run.started_at >= newest - SIMULTANEOUS_SECONDS]
 
 
-def _list_counted(worker: Worker, now: Seconds) -> list[Run]:
+def _list_counted_runs(worker: Worker, now: Seconds) -> list[Run]:
     """Return the runs against which a crash counts, suspected or not.
 
-    A task that crashes its workers late is never suspected beside fresh starts, and
-    would go on without end.
+    A task that crashes its workers late is never suspected beside recent starts. If
+    only suspects were counted, it could be restarted forever.
     """
     return [
         run
         for run in worker.runs.values()
-        if may_have_crashed(run, now) and not run.crash_counted
+        if may_have_caused_crash(run, now) and not run.crash_counted
     ]
 
 
-def may_have_crashed(run: Run, now: Seconds) -> bool:
-    """Tell whether a run was perhaps started and has not proven itself."""
-    return run.state is not RunState.INTENDED and not _is_proven(run, now)
+def may_have_caused_crash(run: Run, now: Seconds) -> bool:
+    """Return whether a run may have been started and has no healthy record."""
+    return run.state is not RunState.INTENDED and not _has_run_healthily(run, now)
 
 
-def _is_proven(run: Run, now: Seconds) -> bool:
-    """Tell whether a long-running task has worked long enough to be trusted."""
-    if not run.task.step.spec.long_running or not is_at_work(run):
+def _has_run_healthily(run: Run, now: Seconds) -> bool:
+    """Return whether a long-running task has served long enough not to be suspected."""
+    if not run.task.step.spec.long_running or not is_serving(run):
         return False
-    return _find_silence(run.worker, now) - run.confirmed_at >= PROVEN_SECONDS
+    return _find_last_contact(run.worker, now) - run.confirmed_at >= HEALTHY_RUN_SECONDS
 
 
-def _is_fresh(worker: Worker, started_at: Seconds, now: Seconds) -> bool:
-    return _find_silence(worker, now) - started_at <= FRESH_SECONDS
+def _is_recent(worker: Worker, started_at: Seconds, now: Seconds) -> bool:
+    return _find_last_contact(worker, now) - started_at <= RECENT_START_SECONDS
 
 
-def _find_silence(worker: Worker, now: Seconds) -> Seconds:
-    """Return since when a worker does not answer; ``now`` if it still does."""
+def _find_last_contact(worker: Worker, now: Seconds) -> Seconds:
+    """Return when a worker stopped answering; ``now`` if it still answers."""
     return worker.unanswered_since or now
 
 
-def _is_witness(worker: Worker, suspects: list[Run], now: Seconds) -> bool:
-    """Tell whether a crash speaks against the only job that had fresh starts there.
+def _is_attributable(worker: Worker, suspects: list[Run], now: Seconds) -> bool:
+    """Return whether only the job of the suspected runs can explain a crash.
 
-    Of a start that only a record tells, nobody knows how fresh it was. A task that
-    crashes its workers late is not among the suspects, but has been beside crashes.
+    The crash is not attributable if the suspects belong to several jobs, if the VM
+    is unstable, or if another job's task there has earlier crashes and might be one
+    that crashes its workers late. Nor is it if no suspect is known to have started
+    recently; for runs restored from records the time of the start is not known.
     """
     jobs = {run.task.step.job for run in suspects}
-    if len(jobs) != 1 or now < worker.unsteady_until:
+    if len(jobs) != 1 or now < worker.unstable_until:
         return False
     if any(
         run.task.crashes.total and run.task.step.job not in jobs
@@ -201,45 +215,49 @@
     ):
         return False
     return any(
-        _is_fresh(worker, run.started_at, now)
+        _is_recent(worker, run.started_at, now)
         for run in suspects
         if run.version or run.confirmed_at
     )
 
 
 def _is_outage(tables: WorkTables, worker: Worker, now: Seconds) -> bool:
-    """Tell whether other workers of the zone end now that no task can have crashed."""
-    near = [
+    """Return whether a crash is part of an outage of its zone.
+
+    It is if many workers of the zone have just ended, or one that no task can have
+    crashed.
+    """
+    same_zone = [
         crash
         for crash in tables.recent_crashes
         if crash.zone_id == worker.zone_id and now - crash.at <= OUTAGE_SECONDS
     ]
-    return len(near) >= OUTAGE_WORKERS or any(crash.idle for crash in near)
+    return len(same_zone) >= OUTAGE_WORKERS or any(crash.idle for crash in same_zone)
 
 
-def _remember_crash(
-    tables: WorkTables, worker: Worker, now: Seconds, *, idle: bool, explained: bool
+def _record_crash(
+    tables: WorkTables, worker: Worker, now: Seconds, *, idle: bool, attributed: bool
 ) -> None:
     tables.recent_crashes = [
         crash for crash in tables.recent_crashes if now - crash.at <= OUTAGE_SECONDS
     ]
     tables.recent_crashes.append(WorkerCrash(now, worker.zone_id, idle=idle))
-    if explained:
+    if attributed:
         return
-    worker.unsteady_until = now + UNSTEADY_SECONDS
-    tables.unsteady_until_by_vm = {
+    worker.unstable_until = now + UNSTABLE_SECONDS
+    tables.unstable_until_by_vm = {
         vm_id: until
-        for vm_id, until in tables.unsteady_until_by_vm.items()
+        for vm_id, until in tables.unstable_until_by_vm.items()
         if now < until
     }
     if worker.vm_id:
-        tables.unsteady_until_by_vm[worker.vm_id] = worker.unsteady_until
+        tables.unstable_until_by_vm[worker.vm_id] = worker.unstable_until
 
 
 __all__ = [
-    "TRIAL_SECONDS",
-    "CrashVerdict",
-    "may_have_crashed",
-    "note_vanished",
-    "note_worker_end",
+    "SIMULTANEOUS_SECONDS",
+    "CrashAssessment",
+    "may_have_caused_crash",
+    "record_vanished_run",
+    "record_worker_end",
 ]
--- a/packages/systems/src/medlarspring_systems/scheduling/rounds.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/rounds.py
@@ -1,33 +1,38 @@
-"""One scheduling round of a pool: waiting tasks to workers with room."""
+"""Scheduling rounds: assign the waiting tasks of a pool to workers.
+
+A round takes the pool's ready steps in order of rank and places their tasks on
+schedulable workers with enough free resources. It also selects the batch runs to
+preempt for a long-running task.
+"""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
+from medlarspring_systems.scheduling.isolation import (
+    find_isolated_run,
+    has_suspected_task,
+    rate_for_isolation,
+)
 from medlarspring_systems.scheduling.ordering import (
     TIER_ON_TIME,
     measure_size_weight,
     rank_step,
 )
 from medlarspring_systems.scheduling.placement import (
-    WorkerChoice,
+    WorkerRanking,
     choose_worker,
     fits,
     is_allowed,
-    is_open,
-    list_open_workers,
+    is_schedulable,
+    list_schedulable_workers,
 )
 from medlarspring_systems.scheduling.runs import (
-    give_room_back,
+    allocate_resources,
     intend_run,
-    take_room,
-)
-from medlarspring_systems.scheduling.trials import (
-    find_trial,
-    has_suspects,
-    rate_trial,
+    release_resources,
 )
-from medlarspring_tables.scheduling import WorkerDoubt
+from medlarspring_tables.scheduling import QuarantineReason
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -35,7 +40,7 @@
     from medlarspring_systems.scheduling.ordering import Rank
     from medlarspring_tables import PoolId, RackId, Seconds
     from medlarspring_tables.scheduling import (
-        Room,
+        Resources,
         Run,
         StepRun,
         Task,
@@ -45,18 +50,18 @@
 
     RankRule = Callable[[StepRun, Seconds, float], Rank]
 
-MAX_INTENTS = 200
-"""Starts decided in one round; more are left to the next one."""
+MAX_STARTS_PER_ROUND = 200
+"""Bound on the starts of one round; the rest is left to the next round."""
 RESERVE_AFTER_SECONDS = 0.25
-"""A step that waits so long for room keeps the emptiest worker to itself.
+"""Time that a step waits for resources before a worker is reserved for it.
 
-Small tasks that fill each gap would otherwise keep large ones waiting for ever.
+Without the reservation, small tasks that fill each gap would starve large ones.
 """
 
 SAME_RACK_WAIT_SECONDS = 1.0
-"""A task waits so long for the rack that its step shares while others stand idle."""
-IDLE_PART = 0.5
-"""Part of a pool's processors that is free when others stand idle."""
+"""Time that a task waits for its step's shared rack while other racks are idle."""
+IDLE_CPU_FRACTION = 0.5
+"""Fraction of a pool's CPU that must be free for the pool to count as idle."""
 
 
 def plan_round(
@@ -65,26 +70,26 @@
     now: Seconds,
     rank: RankRule = rank_step,
 ) -> list[Run]:
-    """Return the runs that can be started now, already entered in the tables.
+    """Return the runs to start now; they are already recorded in the tables.
 
-    ``rank`` is for measurements that compare orders.
+    ``rank`` can be replaced to measure other orders of the steps.
     """
     ready = tables.ready_by_pool.get(pool_id)
     if not ready:
         return []
-    workers = list_open_workers(tables, pool_id, now)
-    least_workers = len(workers) // 2
+    workers = list_schedulable_workers(tables, pool_id, now)
+    min_workers = len(workers) // 2
     intents: list[Run] = []
-    refused: list[Room] = []
+    unplaceable: list[Resources] = []
     for step in _list_steps(ready, workers, now, rank):
-        if len(intents) >= MAX_INTENTS or not workers:
+        if len(intents) >= MAX_STARTS_PER_ROUND or not workers:
             break
-        if any(_is_as_large(step.room, room) for room in refused):
+        if any(_needs_at_least(step.resources, resources) for resources in unplaceable):
             continue
         placed = len(intents)
-        _place_step(step, workers, least_workers, now, intents)
+        _place_step(step, workers, min_workers, now, intents)
         if placed == len(intents) and _fits_nowhere(step, workers):
-            refused.append(step.room)
+            unplaceable.append(step.resources)
         if not step.waiting:
             ready.pop(step, None)
     return intents
@@ -94,16 +99,16 @@
     return not any(fits(step, worker) for worker in workers)
 
 
-def _is_as_large(room: Room, refused: Room) -> bool:
-    """Tell whether a task needs as much of everything as one that fits nowhere.
+def _needs_at_least(resources: Resources, unplaceable: Resources) -> bool:
+    """Return whether a task needs at least the resources of one that fits nowhere.
 
-    In a turn's peak hundreds of steps wait for a full pool; each of them looked at
-    every worker in every round.
+    At the peak of a burst, hundreds of steps wait for a full pool. Without this
+    check each of them would be compared with every worker in every round.
     """
     return (
-        room.cpu_millis >= refused.cpu_millis
-        and room.memory_mb >= refused.memory_mb
-        and room.accelerators >= refused.accelerators
+        resources.cpu_millis >= unplaceable.cpu_millis
+        and resources.memory_mb >= unplaceable.memory_mb
+        and resources.accelerators >= unplaceable.accelerators
     )
 
 
@@ -118,84 +123,95 @@
         steps.append(step)
     size_weight = measure_size_weight(steps, workers)
     steps.sort(key=lambda step: rank(step, now, size_weight))
-    # Behind others, suspected tasks would never find a worker without fresh starts.
-    steps.sort(key=lambda step: not has_suspects(step))
+    # Suspected tasks go first: after other steps were placed, they would never find
+    # a worker without recent starts.
+    steps.sort(key=lambda step: not has_suspected_task(step))
     return steps
 
 
 def _place_step(
     step: StepRun,
     workers: list[Worker],
-    least_workers: int,
+    min_workers: int,
     now: Seconds,
     intents: list[Run],
 ) -> None:
-    """Place a step's waiting tasks; workers kept from later steps leave the list.
+    """Place the waiting tasks of a step.
 
-    Trials of suspected tasks leave ``least_workers`` to the others.
+    Removes from ``workers`` those that later steps must not use. At least
+    ``min_workers`` remain when workers are kept free for suspected tasks.
     """
     if step.spec.gang:
         _place_gang(step, workers, now, intents)
         return
-    choice = WorkerChoice(step, _narrow(step, workers), now)
+    ranking = WorkerRanking(step, _list_rack_workers(step, workers), now)
     for task in list(step.waiting):
         if task.not_before > now:
             continue
-        worker = choice.choose(task)
+        worker = ranking.choose(task)
         if worker is None and _may_leave_rack(step, task, workers, now):
             worker = choose_worker(step, task, workers, now)
         if worker is None and task.is_suspect:
-            _clear_for_trial(step, workers, least_workers, now)
+            _keep_free_for_isolation(step, workers, min_workers, now)
             continue
         if worker is None:
             _reserve_worker(step, task, workers, now)
             return
         intents.append(intend_run(task, worker, task.last_run + 1, now))
-        if worker.doubt is not WorkerDoubt.NONE:
-            # This run tries the worker; others wait for what becomes of it.
+        if worker.doubt is not QuarantineReason.NONE:
+            # This run is the worker's probe; no other may start until it has ended.
             workers.remove(worker)
-            choice = WorkerChoice(step, _narrow(step, workers), now)
+            ranking = WorkerRanking(step, _list_rack_workers(step, workers), now)
 
 
-def _narrow(step: StepRun, workers: list[Worker]) -> list[Worker]:
-    """Return the workers of the rack that a step's tasks share, if they should.
+def _list_rack_workers(step: StepRun, workers: list[Worker]) -> list[Worker]:
+    """Return the workers of the rack that a step's tasks share, else all workers.
 
-    The rack is that of its first task; the one with most room is chosen for it.
+    The rack is chosen with the first task: the data's rack if it has workers, else
+    the rack with the most free CPU.
     """
     if not step.spec.same_rack:
         return workers
     if not any(worker.rack_id == step.rack_id for worker in workers):
-        # Bound to a rack that has lost its workers, the step would wait for good.
-        room: dict[RackId, int] = {}
+        # Also chooses a new rack when the former one has lost its workers; the step
+        # would wait forever otherwise.
+        resources: dict[RackId, int] = {}
         for worker in workers:
-            room[worker.rack_id] = room.get(worker.rack_id, 0) + worker.cpu_free
-        if not room:
+            resources[worker.rack_id] = (
+                resources.get(worker.rack_id, 0) + worker.cpu_free
+            )
+        if not resources:
             return workers
         data_rack = step.spec.data_rack
-        step.rack_id = max(room, key=lambda rack: (rack == data_rack, room[rack]))
+        step.rack_id = max(
+            resources, key=lambda rack: (rack == data_rack, resources[rack])
+        )
     return [worker for worker in workers if worker.rack_id == step.rack_id]
 
 
 def _may_leave_rack(
     step: StepRun, task: Task, workers: list[Worker], now: Seconds
 ) -> bool:
-    """Tell whether a task may go to another rack than its siblings.
+    """Return whether a task may start on another rack than its siblings.
 
-    It takes longer there, so not while the pool has other work for that room. But a
-    rack may be full of tasks that last: waiting for it would have no end.
+    It takes longer there, so it may not while the pool can use the resources for
+    other work. Waiting without limit is no option either, since the rack may be
+    full of long-running tasks.
     """
     if not step.spec.same_rack:
         return False
     if now - max(task.waiting_since, step.ready_at) < SAME_RACK_WAIT_SECONDS:
         return False
     free = sum(worker.cpu_free for worker in workers)
-    return free >= IDLE_PART * sum(worker.room.cpu_millis for worker in workers)
+    return free >= IDLE_CPU_FRACTION * sum(
+        worker.resources.cpu_millis for worker in workers
+    )
 
 
 def _reserve_worker(
     step: StepRun, task: Task, workers: list[Worker], now: Seconds
 ) -> None:
-    """Keep the worker nearest to having room away from steps of lower rank."""
+    """Reserve the worker with the most free CPU: steps of lower rank can't use it."""
     if now - max(task.waiting_since, step.ready_at) < RESERVE_AFTER_SECONDS:
         return
     if rank_step(step, now)[0] > TIER_ON_TIME:
@@ -204,36 +220,36 @@
         worker
         for worker in workers
         if is_allowed(step, worker, now)
-        and worker.room.cpu_millis >= step.room.cpu_millis
-        and worker.room.memory_mb >= step.room.memory_mb
+        and worker.resources.cpu_millis >= step.resources.cpu_millis
+        and worker.resources.memory_mb >= step.resources.memory_mb
     ]
     if not allowed or len(workers) == 1:
         return
-    nearest = max(allowed, key=lambda worker: (worker.cpu_free, worker.memory_free))
-    workers.remove(nearest)
+    emptiest = max(allowed, key=lambda worker: (worker.cpu_free, worker.memory_free))
+    workers.remove(emptiest)
 
 
-def _clear_for_trial(
-    step: StepRun, workers: list[Worker], least_workers: int, now: Seconds
+def _keep_free_for_isolation(
+    step: StepRun, workers: list[Worker], min_workers: int, now: Seconds
 ) -> None:
-    """Keep new starts away from a worker, so that a suspected task can go there."""
-    if len(workers) <= least_workers:
+    """Keep other starts off a worker so that a suspected task can start there later."""
+    if len(workers) <= min_workers:
         return
     allowed = [
         worker
         for worker in workers
-        if find_trial(worker, now) is None
+        if find_isolated_run(worker, now) is None
         and fits(step, worker)
         and is_allowed(step, worker, now)
     ]
     if allowed:
-        workers.remove(min(allowed, key=lambda worker: rate_trial(worker, now)))
+        workers.remove(min(allowed, key=lambda worker: rate_for_isolation(worker, now)))
 
 
 def _place_gang(
     step: StepRun, workers: list[Worker], now: Seconds, intents: list[Run]
 ) -> None:
-    """Place all tasks of a gang, or none: a part of it would wait and end alone."""
+    """Place all tasks of a gang or none: an incomplete gang would time out and end."""
     members = step.tasks
     if len(step.waiting) < len(members):
         return
@@ -251,60 +267,63 @@
     step: StepRun, workers: list[Worker], now: Seconds
 ) -> list[Worker] | None:
     if not step.spec.same_rack:
-        return _try_gang(step, workers, now)
+        return _assign_gang(step, workers, now)
     racks = sorted({worker.rack_id for worker in workers})
     racks.sort(key=lambda rack: rack != step.spec.data_rack)
     for rack in racks:
-        chosen = _try_gang(
+        chosen = _assign_gang(
             step, [each for each in workers if each.rack_id == rack], now
         )
         if chosen is not None:
             return chosen
-    return _try_gang(step, workers, now)
+    return _assign_gang(step, workers, now)
 
 
-def _try_gang(
+def _assign_gang(
     step: StepRun, workers: list[Worker], now: Seconds
 ) -> list[Worker] | None:
-    """Return a worker for each member, or None; leaves the tables as they were."""
+    """Return a worker for each member, or None; the tables are left unchanged."""
     chosen: list[Worker] = []
     for member in step.tasks:
         worker = choose_worker(step, member, workers, now)
         if worker is None:
             break
-        take_room(worker, step)
+        allocate_resources(worker, step)
         step.per_worker[worker.id] = step.per_worker.get(worker.id, 0) + 1
         chosen.append(worker)
     for worker in chosen:
-        give_room_back(worker, step)
+        release_resources(worker, step)
         step.per_worker[worker.id] -= 1
     return chosen if len(chosen) == len(step.tasks) else None
 
 
 def find_preemptible(step: StepRun, workers: list[Worker], now: Seconds) -> list[Run]:
-    """Return batch runs to stop so that a long-running task finds room.
+    """Return the batch runs to stop so that a long-running task can be placed.
 
-    Long-running tasks serve users all the time; a pool full of batch work would
-    keep a lost one away for as long as the longest task takes.
+    Long-running tasks serve users continuously. In a pool full of batch work, one
+    that was lost would otherwise stay down until enough batch tasks have ended.
     """
     best: list[Run] = []
     best_cost = float("inf")
     for worker in workers:
-        if not is_open(worker, now) or not is_allowed(step, worker, now):
+        if not is_schedulable(worker, now) or not is_allowed(step, worker, now):
             continue
         if fits(step, worker):
             return []
-        stops = _find_stops(step, worker)
-        cost = sum(run.percent * run.task.step.room.cpu_millis for run in stops)
+        stops = _find_runs_to_stop(step, worker)
+        cost = sum(run.percent * run.task.step.resources.cpu_millis for run in stops)
         if stops and cost < best_cost:
             best, best_cost = stops, cost
     return best
 
 
-def _find_stops(step: StepRun, worker: Worker) -> list[Run]:
-    """Return the fewest runs of little progress that make room, or none."""
-    cpu = step.room.cpu_millis - worker.cpu_free
-    memory = step.room.memory_mb - worker.memory_free
+def _find_runs_to_stop(step: StepRun, worker: Worker) -> list[Run]:
+    """Return the batch runs with the least progress that free enough resources.
+
+    The list is empty if stopping all batch runs would not be enough.
+    """
+    cpu = step.resources.cpu_millis - worker.cpu_free
+    memory = step.resources.memory_mb - worker.memory_free
     stops: list[Run] = []
     candidates = [
         run
@@ -315,8 +334,8 @@
         if cpu <= 0 and memory <= 0:
             break
         stops.append(run)
-        cpu -= run.task.step.room.cpu_millis
-        memory -= run.task.step.room.memory_mb
+        cpu -= run.task.step.resources.cpu_millis
+        memory -= run.task.step.resources.memory_mb
     return stops if cpu <= 0 and memory <= 0 else []
 
 
--- a/packages/systems/src/medlarspring_systems/scheduling/runs.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/runs.py
@@ -1,4 +1,4 @@
-"""Runs of tasks on workers: intent, order, confirmation and end."""
+"""Life cycle of a task's runs on workers: intent, order, confirmation and end."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
     from medlarspring_tables.scheduling import StepRun, Task, Worker, WorkTables
 
 RETRY_SECONDS = 0.1
-"""Pause before a failed task starts again; a failing worker shows meanwhile."""
-AT_WORK_PERCENT = 100
-"""A long-running task is at work when it reports this."""
+"""Pause before a failed task starts again, in which a failing worker is detected."""
+SERVING_PERCENT = 100
+"""Progress at which a long-running task reports that it serves."""
 LONG_RETRY_SECONDS = 0.2
-"""The same for long-running tasks, which have no limit of attempts."""
+"""Pause before a failed long-running task starts again, without limit of attempts."""
 
 
-def take_room(worker: Worker, step: StepRun) -> None:
-    """Set aside what one task of the step asks for."""
-    worker.cpu_free -= step.room.cpu_millis
-    worker.memory_free -= step.room.memory_mb
-    worker.accelerators_free -= step.room.accelerators
+def allocate_resources(worker: Worker, step: StepRun) -> None:
+    """Subtract the request of one task of the step from a worker's free resources."""
+    worker.cpu_free -= step.resources.cpu_millis
+    worker.memory_free -= step.resources.memory_mb
+    worker.accelerators_free -= step.resources.accelerators
 
 
-def give_room_back(worker: Worker, step: StepRun) -> None:
-    """Free what one task of the step held."""
-    worker.cpu_free += step.room.cpu_millis
-    worker.memory_free += step.room.memory_mb
-    worker.accelerators_free += step.room.accelerators
+def release_resources(worker: Worker, step: StepRun) -> None:
+    """Add the request of one task of the step to a worker's free resources."""
+    worker.cpu_free += step.resources.cpu_millis
+    worker.memory_free += step.resources.memory_mb
+    worker.accelerators_free += step.resources.accelerators
 
 
 def intend_run(
     task: Task, worker: Worker, number: int, now: Seconds, *, copy: bool = False
 ) -> Run:
-    """Decide to start a task on a worker; the order follows once it is recorded."""
+    """Create a run to be started; it is ordered once the intent has been recorded."""
     run = Run(
         task=task,
         number=number,
@@ -56,7 +56,7 @@
 
 
 def attach_run(run: Run) -> None:
-    """Enter a run at its task and its worker."""
+    """Attach a run to its task, its job and its worker."""
     task, worker = run.task, run.worker
     step = task.step
     task.last_run = max(task.last_run, run.number)
@@ -65,11 +65,11 @@
         step.waiting.remove(task)
     worker.runs[(task.id, run.number)] = run
     if task.is_suspect:
-        worker.trial = run
+        worker.isolated_run = run
     step.job.runs[run] = None
     if not step.job.zone_id:
         step.job.zone_id = worker.zone_id
-    take_room(worker, step)
+    allocate_resources(worker, step)
     if step.spec.long_running:
         worker.long_runs += 1
     else:
@@ -79,16 +79,16 @@
 
 
 def detach_run(tables: WorkTables, run: Run, now: Seconds) -> None:
-    """Take a run that is certainly over off its task and worker."""
+    """Detach a run that is certainly over; its task is queued again if not done."""
     task, worker = run.task, run.worker
     step = task.step
     if worker.runs.pop((task.id, run.number), None) is None:
         return
     task.runs.remove(run)
     del step.job.runs[run]
-    if worker.trial is run:
-        worker.trial = None
-    give_room_back(worker, step)
+    if worker.isolated_run is run:
+        worker.isolated_run = None
+    release_resources(worker, step)
     if step.spec.long_running:
         worker.long_runs -= 1
     else:
@@ -105,7 +105,7 @@
 
 
 def confirm_run(run: Run, now: Seconds) -> None:
-    """Note that the worker has the run."""
+    """Record that the worker has the run."""
     if run.state is not RunState.RUNNING:
         run.state = RunState.RUNNING
         run.confirmed_at = now
@@ -117,33 +117,33 @@
 def end_run(
     tables: WorkTables, run: Run, end: RunEnd, checkpoint: str, now: Seconds
 ) -> None:
-    """Take over how a run ended, and decide what becomes of its task."""
+    """Record the end of a run; its task is then done, retried or fails its job."""
     task = run.task
     if checkpoint:
         task.checkpoint = checkpoint
     if end is RunEnd.DONE:
-        _note_done(tables, run, now)
+        _record_done_run(tables, run, now)
     elif end is RunEnd.FAILED:
-        _note_failed(run, now)
+        _record_failed_run(run, now)
     detach_run(tables, run, now)
 
 
-def _note_done(tables: WorkTables, run: Run, now: Seconds) -> None:
+def _record_done_run(tables: WorkTables, run: Run, now: Seconds) -> None:
     task = run.task
     if run.confirmed_at and not run.checkpoint and not task.step.spec.gang:
         learn_duration(tables, task.step, (now - run.confirmed_at) * 1_000.0)
     if not task.step.spec.long_running:
-        note_end_done(tables, task, now)
+        record_task_or_gang_done(tables, task, now)
 
 
-def note_end_done(tables: WorkTables, task: Task, now: Seconds) -> None:
-    """Mark what an end as done stands for: a task, or all members of its gang."""
+def record_task_or_gang_done(tables: WorkTables, task: Task, now: Seconds) -> None:
+    """Mark a task as done; for a gang, a run's successful end completes all members."""
     members = list(task.step.tasks) if task.step.spec.gang else [task]
     for member in members:
         note_task_done(tables, member, now)
 
 
-def _note_failed(run: Run, now: Seconds) -> None:
+def _record_failed_run(run: Run, now: Seconds) -> None:
     task = run.task
     step = task.step
     task.failed_on.add(run.worker.vm_id)
@@ -156,13 +156,13 @@
         fail_job(step.job, f"task {task.id} failed {task.failures} times")
 
 
-def is_at_work(run: Run) -> bool:
-    """Tell whether a long-running task's run serves, by its worker's word."""
-    return run.state is RunState.RUNNING and run.percent >= AT_WORK_PERCENT
+def is_serving(run: Run) -> bool:
+    """Return whether a run of a long-running task serves, as its worker reports."""
+    return run.state is RunState.RUNNING and run.percent >= SERVING_PERCENT
 
 
 def count_failures(task: Task) -> int:
-    """Return the failures that count against the task, or against its gang."""
+    """Return the failures of the task, or of all members of its gang."""
     if not task.step.spec.gang:
         return task.failures
     return sum(member.failures for member in task.step.tasks)
@@ -175,6 +175,6 @@
     "detach_run",
     "end_run",
     "intend_run",
-    "is_at_work",
-    "note_end_done",
+    "is_serving",
+    "record_task_or_gang_done",
 ]
--- a/packages/systems/src/medlarspring_systems/scheduling/waiting.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/waiting.py
@@ -1,16 +1,16 @@
-"""Why a task waits, and which tasks wait for nothing that could ever come."""
+"""Determines why tasks wait, and finds waiting tasks that no round can place."""
 
 from __future__ import annotations
 
 from enum import Enum
 from typing import TYPE_CHECKING
 
+from medlarspring_systems.scheduling.isolation import preserves_isolation
 from medlarspring_systems.scheduling.placement import (
     fits,
     is_allowed,
-    list_open_workers,
+    list_schedulable_workers,
 )
-from medlarspring_systems.scheduling.trials import keeps_apart
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -20,94 +20,97 @@
 
 
 class WaitCause(Enum):
-    """What a task waits for."""
+    """Reason for which a task waits."""
 
     EARLIER_STEPS = "earlier-steps"
-    """Steps that it comes after are not done."""
+    """Steps on which its step depends are not complete."""
     RETRY_PAUSE = "retry-pause"
-    """It just failed or was refused."""
-    NO_OPEN_WORKER = "no-open-worker"
-    """Each worker of the pool leaves, is silent, set aside or kept for maintenance."""
+    """It has just failed or was refused."""
+    NO_SCHEDULABLE_WORKER = "no-open-worker"
+    """No worker of the pool may get new tasks.
+
+    Each one is draining, unresponsive, quarantined or reserved for maintenance.
+    """
     NOT_ALLOWED = "not-allowed"
-    """Label, advice or the limit for one worker rule out each open worker."""
-    ROOM = "room"
-    """No open worker that it may use has room."""
-    TRIAL = "trial"
-    """There is room, but only beside fresh starts from which it is kept apart."""
+    """Label, advice or the limit per worker exclude each schedulable worker."""
+    RESOURCES = "room"
+    """No schedulable worker that it may use has enough free resources."""
+    ISOLATION = "trial"
+    """Resources are free only where the isolation of a suspected task excludes it."""
     OTHER_MEMBERS = "other-members"
-    """There is room for it, but not for its whole gang."""
+    """Resources are free for it, but not for its whole gang."""
     NEXT_ROUND = "next-round"
-    """There is room; the next round of placement takes it."""
-    FORGOTTEN = "forgotten"
-    """A defect: no round will ever look at it."""
+    """Resources are free; the next scheduling round places it."""
+    NOT_QUEUED = "forgotten"
+    """A defect: it is not queued, and no scheduling round will place it."""
 
 
 def find_wait_cause(tables: WorkTables, task: Task, now: Seconds) -> WaitCause | None:
-    """Return what a task waits for; None if it runs, is done or not wanted."""
+    """Return why a task waits; None if it runs, is done or its job has an outcome."""
     step = task.step
     if task.runs or task.done or step.job.outcome is not None:
         return None
     if not step.ready:
         return WaitCause.EARLIER_STEPS
-    if not _is_in_line(tables, step, task):
-        return WaitCause.FORGOTTEN
+    if not _is_queued(tables, step, task):
+        return WaitCause.NOT_QUEUED
     if task.not_before > now:
         return WaitCause.RETRY_PAUSE
     return _find_obstacle(tables, task, now)
 
 
-def _is_in_line(tables: WorkTables, step: StepRun, task: Task) -> bool:
-    line = tables.ready_by_pool.get(step.job.queue.pool_id, {})
-    return step in line and task in step.waiting
+def _is_queued(tables: WorkTables, step: StepRun, task: Task) -> bool:
+    queue = tables.ready_by_pool.get(step.job.queue.pool_id, {})
+    return step in queue and task in step.waiting
 
 
 def _find_obstacle(tables: WorkTables, task: Task, now: Seconds) -> WaitCause:
     step = task.step
-    workers = list_open_workers(tables, step.job.queue.pool_id, now)
+    workers = list_schedulable_workers(tables, step.job.queue.pool_id, now)
     if not workers:
-        return WaitCause.NO_OPEN_WORKER
+        return WaitCause.NO_SCHEDULABLE_WORKER
     workers = [worker for worker in workers if is_allowed(step, worker, now)]
     if not workers:
         return WaitCause.NOT_ALLOWED
     workers = [worker for worker in workers if fits(step, worker)]
     if not workers:
-        return WaitCause.ROOM
-    if not any(keeps_apart(task, worker, now) for worker in workers):
-        return WaitCause.TRIAL
+        return WaitCause.RESOURCES
+    if not any(preserves_isolation(task, worker, now) for worker in workers):
+        return WaitCause.ISOLATION
     return WaitCause.OTHER_MEMBERS if step.spec.gang else WaitCause.NEXT_ROUND
 
 
 def measure_wait(step: StepRun, now: Seconds) -> Seconds:
-    """Return how long a step's tasks have waited; the longest counts.
+    """Return how long the longest waiting task of a step has waited.
 
-    Some of its tasks must be waiting.
+    At least one of its tasks must be waiting.
     """
     since = min(task.waiting_since for task in step.waiting)
     return now - max(since, step.ready_at)
 
 
 def count_waiting(tables: WorkTables, now: Seconds) -> tuple[int, int]:
-    """Return how many tasks wait for a worker, and how many in pools without one."""
-    waiting = shut_out = 0
-    for pool_id, line in tables.ready_by_pool.items():
-        tasks = sum(len(step.waiting) for step in line if step.job.outcome is None)
+    """Return how many tasks wait, and how many of these have no schedulable worker."""
+    waiting = unplaceable = 0
+    for pool_id, queue in tables.ready_by_pool.items():
+        tasks = sum(len(step.waiting) for step in queue if step.job.outcome is None)
         waiting += tasks
-        if tasks and not list_open_workers(tables, pool_id, now):
-            shut_out += tasks
-    return waiting, shut_out
+        if tasks and not list_schedulable_workers(tables, pool_id, now):
+            unplaceable += tasks
+    return waiting, unplaceable
 
 
-def list_forgotten(tables: WorkTables) -> list[Task]:
-    """Return the tasks that wait and that no round of placement will look at.
+def list_unqueued_tasks(tables: WorkTables) -> list[Task]:
+    """Return the waiting tasks that no scheduling round will place.
 
-    There should never be any. A task gets into the line and out of it in many places
-    (a run that ends, is lost, refused, adopted); one missed place, and it would wait
-    for good while its pool stands idle.
+    There should be none. Tasks are queued and removed from the queue in many places
+    (when a run ends, is lost, refused or adopted). If one of them failed to do so,
+    the task would wait forever while its pool is idle.
     """
     return [
         task
         for task in _list_waiting(tables)
-        if not _is_in_line(tables, task.step, task)
+        if not _is_queued(tables, task.step, task)
     ]
 
 
@@ -131,6 +134,6 @@
     "WaitCause",
     "count_waiting",
     "find_wait_cause",
-    "list_forgotten",
+    "list_unqueued_tasks",
     "measure_wait",
 ]
--- a/packages/systems/tests/scheduling/conftest.py
+++ b/packages/systems/tests/scheduling/conftest.py
@@ -1,3 +1,5 @@
+"""Fixtures of the scheduling tests: tables with workers, VMs and jobs."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -12,7 +14,7 @@
 )
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_systems.scheduling.runs import confirm_run
-from medlarspring_systems.scheduling.workers import take_entry
+from medlarspring_systems.scheduling.workers import apply_entry
 from medlarspring_tables import JobId, PoolId, RackId, Revision, VMId, ZoneId
 from medlarspring_tables.scheduling import (
     JobOutcome,
@@ -22,7 +24,7 @@
     PoolPolicy,
     QueueId,
     QueuePolicy,
-    Room,
+    Resources,
     StepSpec,
     VMEntry,
     VMPhase,
@@ -43,7 +45,7 @@
 
 @dataclass
 class Scene:
-    """Tables with one pool and one standby pool, and ways to fill them."""
+    """Tables with a pool and a standby pool, and methods that add to them."""
 
     tables: WorkTables
 
@@ -63,14 +65,14 @@
             zone_id=ZoneId("z"),
             address=f"10.0.0.{number}:80",
             condition=WorkerCondition.READY,
-            room=Room(cpu, memory, 0),
+            resources=Resources(cpu, memory, 0),
             labels=("a", rack),
             rack_id=RackId(rack),
             clock_ms=1_000,
         )
-        worker = take_entry(self.tables, entry, NOW)
+        worker = apply_entry(self.tables, entry, NOW)
         assert worker is not None
-        worker.settled = True
+        worker.reconciled = True
         worker.answered_at = NOW
         self.add_vm(number, pool, worker.id)
         return worker
@@ -84,7 +86,7 @@
             phase=VMPhase.UP,
             zone_id=ZoneId("z"),
             rack_id=RackId("r1-1"),
-            room=Room(16_000, 32_768, 0),
+            resources=Resources(16_000, 32_768, 0),
             worker_id=worker_id,
         )
         self.tables.vms_by_id[vm.id] = vm
@@ -132,13 +134,13 @@
 
 
 def create_step(**changes: object) -> StepSpec:
-    """Return a step of one small task, but for what a test changes."""
+    """Return a step of one small task, with the fields in ``changes`` replaced."""
     values = {"count": 1, "cpu_millis": 2_000, "memory_mb": 1_000, "estimate_ms": 500}
     return StepSpec(**{**values, **changes})  # type: ignore[arg-type]
 
 
 def start(scene: Scene, now: float = NOW) -> list[Run]:
-    """Place what waits, and let the workers confirm it."""
+    """Place the waiting tasks and confirm their runs."""
     runs = plan_round(scene.tables, POOL, now)
     for run in runs:
         run.ordered_at = now
--- a/packages/systems/tests/scheduling/test_crashes.py
+++ b/packages/systems/tests/scheduling/test_crashes.py
@@ -1,4 +1,4 @@
-"""Which tasks the crashes of workers count against, and where those start again."""
+"""Counting crashes of workers against the tasks that may have caused them."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 import pytest
 
 from medlarspring_systems.scheduling.crashes import (
-    MOST_ALONE,
-    MOST_CRASHES,
-    note_worker_end,
+    MAX_ATTRIBUTABLE_CRASHES,
+    MAX_CRASHES,
+    record_worker_end,
 )
 from medlarspring_systems.scheduling.jobs import admit_job
 from medlarspring_systems.scheduling.listings import take_listing
@@ -22,8 +22,8 @@
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_systems.scheduling.runs import confirm_run
 from medlarspring_systems.scheduling.workers import (
-    begin_life,
-    end_life,
+    begin_incarnation,
+    end_incarnation,
     find_or_create_worker,
 )
 from medlarspring_tables import JobId, PoolId, Revision
@@ -42,7 +42,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from medlarspring_systems.scheduling.crashes import CrashVerdict
+    from medlarspring_systems.scheduling.crashes import CrashAssessment
     from medlarspring_tables.scheduling import Worker
 
     from .conftest import Scene
@@ -52,36 +52,36 @@
 BORN_MS = 1_774_442_565_332
 
 
-def crash(scene: Scene, worker: Worker, now: float) -> CrashVerdict:
-    verdict = note_worker_end(scene.tables, worker, now)
-    end_life(scene.tables, worker, now)
-    return verdict
+def crash(scene: Scene, worker: Worker, now: float) -> CrashAssessment:
+    assessment = record_worker_end(scene.tables, worker, now)
+    end_incarnation(scene.tables, worker, now)
+    return assessment
 
 
-def crash_once(scene: Scene, number: int, now: float) -> CrashVerdict:
-    """Start what waits on a new worker, which crashes at once."""
+def crash_once(scene: Scene, number: int, now: float) -> CrashAssessment:
+    """Start the waiting tasks on a new worker that crashes at once."""
     worker = scene.add_worker(number)
     start(scene, now)
     return crash(scene, worker, now + 0.1)
 
 
-def test_job_that_crashes_its_workers_alone_is_given_up(scene: Scene):
+def test_job_fails_after_repeated_attributable_crashes(scene: Scene):
     job = scene.add_job("j", create_step())
-    for number in range(1, MOST_ALONE):
+    for number in range(1, MAX_ATTRIBUTABLE_CRASHES):
         crash_once(scene, number, NOW + 10.0 * number)
         assert job.outcome is None
-    crash_once(scene, MOST_ALONE, NOW + 10.0 * MOST_ALONE)
+    crash_once(scene, MAX_ATTRIBUTABLE_CRASHES, NOW + 10.0 * MAX_ATTRIBUTABLE_CRASHES)
     assert job.outcome is JobOutcome.FAILED
     assert "3 workers crashed under task j.0.0.0" in job.reason
 
 
-def test_tasks_that_start_together_are_suspected_together_and_prove_nothing(
+def test_crash_after_simultaneous_starts_is_not_attributed(
     scene: Scene,
 ):
-    """Guards against failing a job whose tasks ran beside the one at fault."""
+    """Guards against failing a job whose task only ran beside the faulty one."""
     first, second = (scene.add_job(name, create_step()) for name in "ab")
-    verdict = crash_once(scene, 1, NOW)
-    assert verdict.jobs == [first, second]
+    assessment = crash_once(scene, 1, NOW)
+    assert assessment.jobs == [first, second]
     for job in (first, second):
         assert get_task(job).crashes == CrashTally(total=1, suspected=1)
 
@@ -94,7 +94,7 @@
         ((0.1, 1.5), (True, False)),
         ((3.0, 9.0), (True, True)),
     ],
-    ids=["a fresh one", "two fresh ones", "the fresher one", "none is fresh"],
+    ids=["one recent", "two recent", "the more recent", "none recent"],
 )
 def test_latest_starts_are_suspected(
     scene: Scene, ages: tuple[float, ...], suspected: tuple[bool, ...]
@@ -115,9 +115,9 @@
         (0, 5.0, CrashTally(total=2, suspected=2)),
         (100, 0.5, CrashTally(total=2, suspected=2, alone=1)),
     ],
-    ids=["proven", "never at work", "just begun"],
+    ids=["served long", "never served", "served briefly"],
 )
-def test_long_running_task_that_worked_is_cleared_of_former_crashes(
+def test_healthy_long_running_task_has_its_crash_counts_reset(
     scene: Scene, percent: int, worked_seconds: float, expected: CrashTally
 ):
     worker = scene.add_worker(1)
@@ -130,29 +130,27 @@
     assert task.crashes == expected
 
 
-def leave_after_notice(scene: Scene, worker: Worker) -> None:
+def drain_worker(scene: Scene, worker: Worker) -> None:
     worker.draining = True
 
 
-def be_operated_on(scene: Scene, worker: Worker) -> None:
+def operate_on_vm(scene: Scene, worker: Worker) -> None:
     worker.leaving = True
 
 
-def be_maintained(scene: Scene, worker: Worker) -> None:
+def maintain_vm(scene: Scene, worker: Worker) -> None:
     vm = scene.tables.vms_by_id[worker.vm_id]
     maintained = replace(vm, phase=VMPhase.MAINTENANCE, worker_id=None)
     scene.tables.vms_by_id[vm.id] = maintained
 
 
-def be_moved(scene: Scene, worker: Worker) -> None:
+def move_vm(scene: Scene, worker: Worker) -> None:
     vm = scene.tables.vms_by_id[worker.vm_id]
     scene.tables.vms_by_id[vm.id] = replace(vm, pool_id=PoolId("survey"))
 
 
-@pytest.mark.parametrize(
-    "end", [leave_after_notice, be_operated_on, be_maintained, be_moved]
-)
-def test_planned_end_of_a_worker_counts_against_nobody(
+@pytest.mark.parametrize("end", [drain_worker, operate_on_vm, maintain_vm, move_vm])
+def test_planned_end_of_a_worker_is_not_counted_as_a_crash(
     scene: Scene, end: Callable[[Scene, Worker], None]
 ):
     worker = scene.add_worker(1)
@@ -163,8 +161,8 @@
     assert get_task(job).crashes == CrashTally()
 
 
-def test_outage_of_a_zone_proves_nothing(scene: Scene):
-    """Guards against failing jobs whose zone was lost again and again."""
+def test_zone_outage_is_not_attributed_to_tasks(scene: Scene):
+    """Guards against failing jobs because their zone had repeated outages."""
     idle = scene.add_worker(1)
     busy = scene.add_worker(2)
     job = scene.add_job("j", create_step())
@@ -176,30 +174,33 @@
     assert get_task(job).crashes == CrashTally(total=1)
 
 
-def test_vm_that_crashes_again_for_no_known_reason_is_no_witness(scene: Scene):
-    """Guards against failing jobs whose tasks meet VMs that go up and down."""
+def test_crash_of_an_unstable_vm_is_not_attributed(scene: Scene):
+    """Guards against failing jobs whose tasks start on VMs that keep restarting."""
     worker = scene.add_worker(1)
-    note_worker_end(scene.tables, worker, NOW)
-    assert scene.tables.unsteady_until_by_vm[worker.vm_id] > NOW + 5.0
+    record_worker_end(scene.tables, worker, NOW)
+    assert scene.tables.unstable_until_by_vm[worker.vm_id] > NOW + 5.0
     job = scene.add_job("j", create_step())
     start(scene, NOW + 5.0)
     crash(scene, worker, NOW + 5.1)
     assert get_task(job).crashes == CrashTally(total=1, suspected=1)
 
 
-def test_crashes_that_prove_nothing_end_a_task_after_all(scene: Scene):
-    """Guards against a task that is never seen alone on a worker it crashes."""
+def test_crashes_that_are_not_attributed_fail_a_task_at_the_limit(scene: Scene):
+    """Guards against endless restarts of a task whose crashes are not attributable."""
     job = scene.add_job("j", create_step())
     task = get_task(job)
-    task.crashes = CrashTally(total=MOST_CRASHES - 1)
+    task.crashes = CrashTally(total=MAX_CRASHES - 1)
     crash_once(scene, 1, NOW)
     assert job.outcome is JobOutcome.FAILED
 
 
-def test_task_that_crashes_its_workers_late_is_given_up(scene: Scene):
-    """Guards against a task beside fresh starts that its crashes are blamed on."""
+def test_task_that_crashes_its_workers_late_fails(scene: Scene):
+    """Guards against endless restarts of a task that crashes its workers late.
+
+    Each time, only a recent start of another job is suspected.
+    """
     late = scene.add_job("late", create_step(cpu_millis=1_000))
-    for number in range(1, MOST_CRASHES + 1):
+    for number in range(1, MAX_CRASHES + 1):
         assert late.outcome is None
         now = NOW + 10.0 * number
         worker = scene.add_worker(number)
@@ -213,21 +214,24 @@
     assert late.outcome is JobOutcome.FAILED
 
 
-def test_crash_beside_a_task_that_was_beside_others_is_no_proof(scene: Scene):
-    """Guards against blaming fresh starts for a task that crashes its workers late."""
+def test_crash_beside_a_task_with_earlier_crashes_is_not_attributed(scene: Scene):
+    """Guards against attributing crashes to recent starts.
+
+    The cause may be a task beside them that crashes its workers late.
+    """
     worker = scene.add_worker(1)
-    rival = scene.add_job("rival", create_step(cpu_millis=1_000))
+    earlier = scene.add_job("earlier", create_step(cpu_millis=1_000))
     start(scene)
-    get_task(rival).crashes = CrashTally(total=1)
+    get_task(earlier).crashes = CrashTally(total=1)
     fresh = scene.add_job("fresh", create_step(cpu_millis=1_000))
     start(scene, NOW + 5.0)
     crash(scene, worker, NOW + 5.1)
     assert get_task(fresh).crashes == CrashTally(total=1, suspected=1)
-    assert get_task(rival).crashes == CrashTally(total=2)
+    assert get_task(earlier).crashes == CrashTally(total=2)
 
 
-def test_vm_is_a_witness_once(scene: Scene):
-    """Guards against a VM that goes down and up while one task returns to it."""
+def test_second_crash_of_one_vm_is_not_attributed(scene: Scene):
+    """Guards against failing a job whose task returns to a VM that keeps restarting."""
     job = scene.add_job("j", create_step())
     worker = scene.add_worker(1)
     get_task(job).failed_on.add(worker.vm_id)
@@ -236,18 +240,19 @@
     assert get_task(job).crashes == CrashTally(total=1, suspected=1)
 
 
-def test_start_without_an_answer_counts_once(scene: Scene):
+def test_crash_under_an_unanswered_start_is_counted_once(scene: Scene):
     """
-    The answer is lost, and the worker is back under its id. The order may be carried
-    out by the next life yet, so that the run stays until that has been settled.
+    Guards against counting one crash twice. The answer to a start is lost, and the
+    worker restarts under its id. The next incarnation may still execute the order, so
+    that the run stays attached until a listing shows otherwise.
     """
     worker = scene.add_worker(1)
     worker.born_ms = BORN_MS
     job = scene.add_job("j", create_step())
     (run,) = plan_round(scene.tables, POOL, NOW)
     run.state, run.ordered_at = RunState.UNKNOWN, NOW
-    note_worker_end(scene.tables, worker, NOW + 0.1)
-    begin_life(scene.tables, worker, BORN_MS + 1, 10.0, NOW + 0.1)
+    record_worker_end(scene.tables, worker, NOW + 0.1)
+    begin_incarnation(scene.tables, worker, BORN_MS + 1, 10.0, NOW + 0.1)
     assert get_task(job).crashes.total == 1
     run.stop_confirmed_at = NOW + 0.2
     take_listing(scene.tables, worker, [], [], NOW + 0.3, NOW + 0.3)
@@ -255,8 +260,8 @@
     assert get_task(job).runs == []
 
 
-def test_start_that_only_a_record_tells_is_no_proof(scene: Scene):
-    """Guards against failing jobs for workers that left while nobody controlled."""
+def test_crash_under_a_restored_start_is_not_attributed(scene: Scene):
+    """Guards against failing jobs for workers that ended without a controller."""
     worker = scene.add_worker(1)
     job = scene.add_job("j", create_step())
     (run,) = plan_round(scene.tables, POOL, NOW)
@@ -268,7 +273,7 @@
 @pytest.mark.parametrize(
     ("life_ms", "total"), [(BORN_MS, 1), (BORN_MS + 1, 0)], ids=["former", "present"]
 )
-def test_successor_counts_a_run_in_a_life_that_it_never_knew(
+def test_next_controller_counts_a_run_of_an_ended_incarnation(
     scene: Scene, life_ms: int, total: int
 ):
     worker = scene.add_worker(1)
@@ -280,8 +285,8 @@
     assert get_task(job).crashes.total == total
 
 
-def test_counts_and_lives_are_recorded_and_restored(scene: Scene):
-    """Guards against counts of crashes that start anew at each takeover."""
+def test_crash_counts_and_incarnations_are_recorded_and_restored(scene: Scene):
+    """Guards against crash counts that are lost at a takeover."""
     worker = scene.add_worker(1)
     worker.born_ms = BORN_MS
     job = scene.add_job("j", create_step(count=2))
@@ -311,13 +316,16 @@
     assert (run.number, run.worker_id, run.life_ms) == (3, WorkerId("i-7"), 0)
 
 
-def test_task_that_is_done_is_not_held_against_its_job(scene: Scene):
-    """Guards against failing a job for a copy, or a gang's member, of a task done."""
+def test_crashes_of_a_completed_task_do_not_fail_its_job(scene: Scene):
+    """Guards against failing a job for a leftover run of a completed task.
+
+    This may be a copy or a run of a gang's member.
+    """
     worker = scene.add_worker(1)
     job = scene.add_job("j", create_step(count=2))
     start(scene)
     task = get_task(job)
     task.done = True
-    task.crashes = CrashTally(total=MOST_CRASHES - 1)
+    task.crashes = CrashTally(total=MAX_CRASHES - 1)
     crash(scene, worker, NOW + 0.1)
     assert job.outcome is None
--- a/packages/systems/tests/scheduling/test_trials.py
+++ b/packages/systems/tests/scheduling/test_isolation.py
@@ -1,4 +1,4 @@
-"""Where tasks start that are suspected of crashing their workers."""
+"""Placement of tasks that are suspected of crashing their workers."""
 
 from __future__ import annotations
 
@@ -22,33 +22,33 @@
 NOW = 1_000.0
 
 
-def suspect(scene: Scene, name: str = "s", **changes: object) -> ActiveJob:
-    """Add a job whose first task was beside a crash."""
+def add_suspect_job(scene: Scene, name: str = "s", **changes: object) -> ActiveJob:
+    """Add a job whose first task is suspected of one crash."""
     job = scene.add_job(name, create_step(**changes))
     get_task(job).crashes = CrashTally(total=1, suspected=1)
     job.suspected = True
     return job
 
 
-def test_suspected_task_starts_apart_from_fresh_starts_of_other_jobs(scene: Scene):
+def test_suspected_task_starts_apart_from_recent_starts_of_other_jobs(scene: Scene):
     """
-    Tasks that lost their worker together wait together, and were started side by
-    side again: each crash hit the same ones, and nothing told them apart.
+    Guards against restarting tasks together that lost their worker together. Each
+    crash would hit the same tasks, and the faulty one could not be identified.
     """
     scene.add_worker(1)
     other = scene.add_job("other", create_step())
     start(scene)
-    task = get_task(suspect(scene))
+    task = get_task(add_suspect_job(scene))
     assert start(scene, NOW + 0.2) == []
-    assert find_wait_cause(scene.tables, task, NOW + 0.2) is WaitCause.TRIAL
+    assert find_wait_cause(scene.tables, task, NOW + 0.2) is WaitCause.ISOLATION
     (run,) = start(scene, NOW + 1.1)
     assert run.task is task
     assert other.outcome is None
 
 
-def test_nothing_starts_beside_a_trial_until_it_is_over(scene: Scene):
+def test_nothing_starts_beside_an_isolated_run(scene: Scene):
     scene.add_worker(1)
-    suspect(scene)
+    add_suspect_job(scene)
     start(scene)
     waiting = scene.add_job("other", create_step())
     assert start(scene, NOW + 0.5) == []
@@ -57,10 +57,10 @@
 
 
 def test_suspected_task_finds_a_worker_in_a_full_pool(scene: Scene):
-    """Guards against a suspected task that waits while each gap is filled anew."""
+    """Guards against starving a suspected task while other starts fill each gap."""
     for number in (1, 2):
         scene.add_worker(number)
-    task = get_task(suspect(scene))
+    task = get_task(add_suspect_job(scene))
     step = task.step
     now = NOW
     scene.tables.ready_by_pool[POOL].pop(step)
@@ -75,13 +75,13 @@
         start(scene, now)
 
 
-def test_worker_whose_trial_is_over_is_cleared_for_another(scene: Scene):
-    """Guards against suspected tasks that wait beside long runs of tried ones."""
+def test_worker_is_kept_free_for_another_isolated_run(scene: Scene):
+    """Guards against waiting for long runs of tasks whose isolation is over."""
     worker = scene.add_worker(1)
-    suspect(scene, "first", long_running=True)
+    add_suspect_job(scene, "first", long_running=True)
     start(scene)
     now = NOW + 1.5
-    task = get_task(suspect(scene, "second"))
+    task = get_task(add_suspect_job(scene, "second"))
     task.crashes = CrashTally(total=2, suspected=2)
     scene.tables.ready_by_pool[POOL].pop(task.step)
     scene.add_job("other", create_step(), now=now)
@@ -94,9 +94,9 @@
     assert task.runs[0].worker is worker
 
 
-def test_suspected_task_waits_for_a_worker_of_its_own_only_so_long(scene: Scene):
+def test_suspected_task_waits_for_isolation_for_a_limited_time(scene: Scene):
     worker = scene.add_worker(1)
-    task = get_task(suspect(scene))
+    task = get_task(add_suspect_job(scene))
     other = scene.add_job("other", create_step())
     step = task.step
     scene.tables.ready_by_pool[POOL].pop(step)
@@ -110,16 +110,16 @@
     assert run.worker is worker
 
 
-def test_suspected_task_avoids_unsteady_vms_and_company(scene: Scene):
-    unsteady, busy, best = (scene.add_worker(number) for number in (1, 2, 3))
-    unsteady.unsteady_until = NOW + 30.0
-    for worker in (unsteady, best):
+def test_suspected_task_prefers_a_stable_and_idle_vm(scene: Scene):
+    unstable, busy, best = (scene.add_worker(number) for number in (1, 2, 3))
+    unstable.unstable_until = NOW + 30.0
+    for worker in (unstable, best):
         worker.reserved = True
     scene.add_job("other", create_step())
     start(scene, NOW - 5.0)
-    for worker in (unsteady, best):
+    for worker in (unstable, best):
         worker.reserved = False
-    suspect(scene)
+    add_suspect_job(scene)
     (run,) = start(scene)
     assert run.worker is best
     assert busy.runs
@@ -128,42 +128,42 @@
 @pytest.mark.parametrize(
     ("total", "wait", "starts"),
     [(1, 0.0, True), (3, 0.0, False), (3, 8.1, True)],
-    ids=["first crash", "several", "after its patience"],
+    ids=["first crash", "several", "several, after the longest wait"],
 )
-def test_task_under_several_crashes_waits_for_a_steady_vm(
+def test_task_with_several_crashes_waits_for_a_stable_vm(
     scene: Scene, total: int, wait: float, starts: bool
 ):
-    """Guards against giving up sound tasks that VMs which flap take down again."""
-    scene.add_worker(1).unsteady_until = NOW + 30.0
-    get_task(suspect(scene)).crashes = CrashTally(total=total, suspected=1)
+    """Guards against failing sound tasks for crashes of VMs that keep restarting."""
+    scene.add_worker(1).unstable_until = NOW + 30.0
+    get_task(add_suspect_job(scene)).crashes = CrashTally(total=total, suspected=1)
     assert bool(start(scene, NOW + wait)) is starts
 
 
 @pytest.mark.parametrize(("seconds", "starts"), [(3.9, 0), (4.1, 1)])
-def test_task_under_several_crashes_has_its_worker_to_itself(
+def test_task_with_several_crashes_is_isolated_for_longer(
     scene: Scene, seconds: float, starts: int
 ):
-    """Guards against a sound task that the next one at fault takes down with it."""
+    """Guards against a faulty task beside it that crashes a sound task once more."""
     scene.add_worker(1)
-    get_task(suspect(scene)).crashes = CrashTally(total=3, suspected=1)
+    get_task(add_suspect_job(scene)).crashes = CrashTally(total=3, suspected=1)
     start(scene)
     scene.add_job("other", create_step())
     assert len(start(scene, NOW + seconds)) == starts
 
 
-def test_task_under_several_crashes_avoids_other_suspects(scene: Scene):
+def test_task_with_several_crashes_avoids_other_suspects(scene: Scene):
     scene.add_worker(1)
-    suspect(scene, "other")
+    add_suspect_job(scene, "other")
     start(scene, NOW - 5.0)
-    get_task(suspect(scene)).crashes = CrashTally(total=3, suspected=1)
+    get_task(add_suspect_job(scene)).crashes = CrashTally(total=3, suspected=1)
     assert start(scene) == []
 
 
 def test_suspected_task_gets_no_copy(scene: Scene):
-    """Guards against two starts at once of a task that crashes its workers."""
+    """Guards against crashing two workers at once by a task and its copy."""
     for number in (1, 2):
         scene.add_worker(number)
-    job = suspect(scene, speculative=True)
+    job = add_suspect_job(scene, speculative=True)
     (run,) = start(scene)
     run.worker.unanswered_since = NOW
     assert plan_repairs(scene.tables, NOW + 1.0).copies == []
--- a/packages/systems/tests/scheduling/test_repair.py
+++ b/packages/systems/tests/scheduling/test_repair.py
@@ -1,3 +1,5 @@
+"""Repairs of runs that stall or whose worker is unresponsive or draining."""
+
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
@@ -6,7 +8,7 @@
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_systems.scheduling.runs import confirm_run
 from medlarspring_tables import PoolId
-from medlarspring_tables.scheduling import StepSpec, WorkerDoubt
+from medlarspring_tables.scheduling import QuarantineReason, StepSpec
 
 if TYPE_CHECKING:
     from medlarspring_tables.scheduling import Run
@@ -25,10 +27,10 @@
     return runs
 
 
-def test_runs_that_stand_still_are_stopped_and_accuse_their_worker(scene: Scene):
+def test_stalled_runs_are_stopped_and_their_worker_is_quarantined(scene: Scene):
     """
-    A worker answers every call, and nothing on it advances. Its tasks would wait
-    for ever, and new ones would join them.
+    Guards against a worker that answers every call while its runs make no progress.
+    Its tasks would wait forever, and it would get new ones.
     """
     worker = scene.add_worker(1)
     scene.add_job("j", STEP)
@@ -36,13 +38,13 @@
     worker.answered_at = NOW + 2.0
     repairs = plan_repairs(scene.tables, NOW + 2.0)
     assert [run for run, _ in repairs.stops] == runs
-    assert worker.doubt is WorkerDoubt.STALLED
+    assert worker.doubt is QuarantineReason.STALLED
 
 
-def test_pause_of_this_process_is_no_standstill_of_the_runs(scene: Scene):
+def test_pause_of_this_process_is_not_taken_for_a_stall(scene: Scene):
     """
-    This process was paused for seconds. The last progress it knows is as old as
-    its pause, and so is the last answer; runs that went on must not be stopped.
+    Guards against stopping sound runs after this process was paused for seconds.
+    The last known progress is then as old as the last answer.
     """
     worker = scene.add_worker(1)
     scene.add_job("j", STEP)
@@ -51,22 +53,22 @@
     assert plan_repairs(scene.tables, NOW + 6.0).stops == []
 
 
-def test_copy_of_a_task_on_a_silent_worker_where_copies_are_allowed(scene: Scene):
-    silent = scene.add_worker(1, cpu=4_000)
+def test_speculative_task_on_an_unresponsive_worker_gets_a_copy(scene: Scene):
+    unresponsive = scene.add_worker(1, cpu=4_000)
     scene.add_job("j", StepSpec(count=1, cpu_millis=2_000, speculative=True))
     (run,) = run_all(scene)
     scene.add_worker(2)
-    silent.unanswered_since = NOW
+    unresponsive.unanswered_since = NOW
     repairs = plan_repairs(scene.tables, NOW + 1.0)
     (copy,) = repairs.copies
     assert (copy.task, copy.worker.id, copy.number) == (run.task, "i-2", 2)
 
 
-def test_long_running_tasks_leave_a_worker_that_leaves(scene: Scene):
-    leaving = scene.add_worker(1, cpu=4_000)
+def test_long_running_tasks_are_evicted_from_a_draining_worker(scene: Scene):
+    draining_worker = scene.add_worker(1, cpu=4_000)
     scene.add_job("j", StepSpec(count=1, cpu_millis=2_000, long_running=True))
     (run,) = run_all(scene)
-    leaving.draining = True
+    draining_worker.draining = True
     assert plan_repairs(scene.tables, NOW).stops == []
     scene.add_worker(2)
     assert [each for each, _ in plan_repairs(scene.tables, NOW).stops] == [run]
--- a/packages/systems/tests/scheduling/test_waiting.py
+++ b/packages/systems/tests/scheduling/test_waiting.py
@@ -1,3 +1,5 @@
+"""Reasons for which tasks wait, and waiting tasks that are not queued."""
+
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
@@ -10,7 +12,7 @@
     WaitCause,
     count_waiting,
     find_wait_cause,
-    list_forgotten,
+    list_unqueued_tasks,
 )
 from medlarspring_tables import PoolId
 from medlarspring_tables.scheduling import RunEnd
@@ -27,8 +29,8 @@
 @pytest.mark.parametrize(
     ("cpu", "rules", "cause"),
     [
-        (0, {}, WaitCause.NO_OPEN_WORKER),
-        (1_000, {}, WaitCause.ROOM),
+        (0, {}, WaitCause.NO_SCHEDULABLE_WORKER),
+        (1_000, {}, WaitCause.RESOURCES),
         (4_000, {}, WaitCause.NEXT_ROUND),
         (4_000, {"required_label": "gpu"}, WaitCause.NOT_ALLOWED),
         (4_000, {"count": 3, "gang": True}, WaitCause.OTHER_MEMBERS),
@@ -44,7 +46,7 @@
     assert find_wait_cause(scene.tables, task, NOW) is cause
 
 
-def test_what_a_task_waits_for_over_its_life(scene: Scene):
+def test_what_a_task_waits_for_over_its_lifetime(scene: Scene):
     scene.add_worker(1)
     job = scene.add_job("j", create_step(), create_step(after=(0,)))
     first, second = (each.tasks[0] for each in job.occurrences_by_index[0])
@@ -71,16 +73,17 @@
     assert count_waiting(scene.tables, NOW) == counts
 
 
-def test_task_that_fell_out_of_the_line_is_found(scene: Scene):
+def test_task_missing_from_its_queue_is_found(scene: Scene):
     """
-    A run is lost and its task goes back into the line. Were the line cleared behind
-    its back, its pool could stand idle and the task would wait for good.
+    Guards against a task that waits forever while its pool is idle, because it is
+    missing from the queue. A lost run puts its task back into the queue; the test
+    then clears the queue.
     """
     scene.add_worker(1)
     scene.add_job("j", create_step())
     (run,) = plan_round(scene.tables, POOL, NOW)
     detach_run(scene.tables, run, NOW)
-    assert list_forgotten(scene.tables) == []
+    assert list_unqueued_tasks(scene.tables) == []
     scene.tables.ready_by_pool[POOL].clear()
-    assert list_forgotten(scene.tables) == [run.task]
-    assert find_wait_cause(scene.tables, run.task, NOW) is WaitCause.FORGOTTEN
+    assert list_unqueued_tasks(scene.tables) == [run.task]
+    assert find_wait_cause(scene.tables, run.task, NOW) is WaitCause.NOT_QUEUED
--- a/packages/systems/tests/scheduling/test_worker_choice.py
+++ b/packages/systems/tests/scheduling/test_worker_ranking.py
@@ -1,4 +1,4 @@
-"""The workers of a step's tasks, chosen together and one by one."""
+"""Choosing the workers of a step's tasks from one ranking and one by one."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from medlarspring_systems.scheduling.placement import WorkerChoice, choose_worker
+from medlarspring_systems.scheduling.placement import WorkerRanking, choose_worker
 from medlarspring_systems.scheduling.runs import intend_run
 
 from .conftest import create_step
@@ -27,38 +27,38 @@
 )
 
 
-def fill(scene: Scene, rng: random.Random) -> None:
-    """Fill the tables with workers of different room, load and kind."""
+def add_varied_workers(scene: Scene, rng: random.Random) -> None:
+    """Add workers with different free resources, racks, zones and speeds."""
     for number in range(12):
-        worker = scene.add_worker(number, rack=rng.choice(RACKS))
+        worker = scene.add_worker(number, rack=rng.ranking(RACKS))
         worker.cpu_free = rng.randrange(0, 16_000, 500)
-        worker.long_runs = rng.choice((0, 0, 1))
-        worker.slowness = rng.choice((1.0, 1.0, 2.0))
-        worker.zone_id = rng.choice(ZONES)
+        worker.long_runs = rng.ranking((0, 0, 1))
+        worker.slowness = rng.ranking((1.0, 1.0, 2.0))
+        worker.zone_id = rng.ranking(ZONES)
 
 
 @pytest.mark.parametrize("rules", RULES, ids=str)
 @pytest.mark.parametrize("seed", range(6))
-def test_chosen_together_is_chosen_one_by_one(
+def test_ranking_agrees_with_single_choices(
     scene: Scene, seed: int, rules: dict[str, object]
 ):
     """
-    The choice for a whole step keeps its ranking of workers from task to task. A
-    place in it that is out of date would put a task beside the better worker, or
-    on one that has no room.
+    Guards against outdated scores: the ranking of the workers is kept from task to
+    task of a step. An outdated entry would place a task on a worse worker, or on one
+    without enough free resources.
     """
     rng = random.Random(seed)
-    fill(scene, rng)
+    add_varied_workers(scene, rng)
     spec = create_step(count=14, cpu_millis=2_500, memory_mb=100, **rules)
     job = scene.add_job("j", spec)
     step = job.occurrences_by_index[0][0]
     workers = list(scene.tables.workers_by_id.values())
-    choice = WorkerChoice(step, workers, NOW)
+    ranking = WorkerRanking(step, workers, NOW)
     for task in list(step.waiting):
         if rng.random() < 0.2:
-            task.failed_on.add(rng.choice(workers).vm_id)
+            task.failed_on.add(rng.ranking(workers).vm_id)
         expected = choose_worker(step, task, workers, NOW)
-        chosen = choice.choose(task)
+        chosen = ranking.choose(task)
         assert chosen is expected
         if chosen is None:
             break
--- a/packages/tables/src/medlarspring_tables/scheduling/__init__.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/__init__.py
@@ -1,11 +1,11 @@
-"""Rows of the scheduling of jobs on workers: specs, records, work and fleet."""
+"""Data types for scheduling jobs on workers: specs, records, work and fleet."""
 
 from __future__ import annotations
 
 from medlarspring_tables.scheduling.fleet import (
     OperatorConfig,
     PoolPolicy,
-    Room,
+    Resources,
     Route,
     VMEntry,
     VMPhase,
@@ -46,6 +46,7 @@
     SUSPECT_AFTER,
     ActiveJob,
     ArrivalMeter,
+    QuarantineReason,
     Run,
     RunEnd,
     RunState,
@@ -54,7 +55,6 @@
     Ticket,
     Worker,
     WorkerCrash,
-    WorkerDoubt,
     WorkTables,
 )
 
@@ -79,9 +79,10 @@
     "OperatorConfig",
     "PoolPolicy",
     "ProgressRecord",
+    "QuarantineReason",
     "QueueId",
     "QueuePolicy",
-    "Room",
+    "Resources",
     "Route",
     "Run",
     "RunEnd",
@@ -102,7 +103,6 @@
     "Worker",
     "WorkerCondition",
     "WorkerCrash",
-    "WorkerDoubt",
     "WorkerEntry",
     "WorkerId",
 ]
