--- a/packages/daemon/src/medlarspring_daemon/scheduling/advice_desk.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/advice_desk.py
@@ -8,12 +8,15 @@
 from returns.pipeline import is_successful
 
 from medlarspring_adapters.events import Event
-from medlarspring_systems.scheduling.advising import choose_question, take_advice
+from medlarspring_systems.scheduling.advice_requests import (
+    choose_advice_request,
+    record_advice,
+)
 
 if TYPE_CHECKING:
     from medlarspring_adapters.adviser import Adviser
     from medlarspring_daemon.scheduling.context import SchedulingNode
-    from medlarspring_systems.scheduling.advising import Question
+    from medlarspring_systems.scheduling.advice_requests import AdviceRequest
     from medlarspring_tables import PoolId
     from medlarspring_tables.scheduling import WorkTables
 
@@ -54,7 +57,7 @@
             if not self._is_needed():
                 await asyncio.sleep(UNNEEDED_SECONDS)
                 continue
-            question = choose_question(self._owner.tables, self._node.clock.now())
+            question = choose_advice_request(self._owner.tables, self._node.clock.now())
             if question is None:
                 await asyncio.sleep(IDLE_SECONDS)
                 continue
@@ -69,7 +72,7 @@
             self._needed = any(queue.advice is not None for queue in queues)
         return self._needed
 
-    async def _ask(self, question: Question) -> None:
+    async def _ask(self, question: AdviceRequest) -> None:
         asked_at = self._node.clock.now()
         answer = await self._adviser.advise(question.step_id, question.worker_ids)
         if not is_successful(answer):
@@ -82,7 +85,7 @@
             await asyncio.sleep(RETRY_SECONDS)
             return
         advice = answer.unwrap()
-        take_advice(
+        record_advice(
             question, advice.tickets_by_worker, asked_at + advice.valid_ms / 1_000.0
         )
         self._node.log.info(
--- a/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
@@ -35,7 +35,7 @@
     forget_job,
     open_due_occurrences,
 )
-from medlarspring_systems.scheduling.listings import list_jobs
+from medlarspring_systems.scheduling.listings import list_changed_jobs
 from medlarspring_systems.scheduling.repair import plan_repairs
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_systems.scheduling.runs import detach_run
@@ -245,10 +245,10 @@
             log_ended(self._node, run, end)
         for run in outcome.lost:
             log_lost(self._node, run, "not on its worker")
-        if outcome.newly_doubted:
+        if outcome.newly_quarantined:
             log_doubted(self._node, worker)
         self._unrecorded.note(worker.id, outcome.ends)
-        for job_id in list_jobs(outcome):
+        for job_id in list_changed_jobs(outcome):
             job = self.tables.jobs_by_id.get(job_id)
             if job is not None:
                 self._settle_job(job)
--- a/packages/daemon/src/medlarspring_daemon/scheduling/job_feed.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/job_feed.py
@@ -9,7 +9,7 @@
 from medlarspring_daemon.scheduling.keys import InboxKind
 from medlarspring_systems.scheduling.admission import check_job
 from medlarspring_systems.scheduling.jobs import admit_job
-from medlarspring_systems.scheduling.recording import (
+from medlarspring_systems.scheduling.progress_records import (
     find_progress_fault,
     restore_progress,
 )
--- a/packages/daemon/src/medlarspring_daemon/scheduling/journal.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/journal.py
@@ -17,7 +17,7 @@
     StoreOutcomeUnknown,
     Transaction,
 )
-from medlarspring_systems.scheduling.recording import encode_progress
+from medlarspring_systems.scheduling.progress_records import encode_progress
 from medlarspring_tables import Revision
 from medlarspring_tables.scheduling import JobRecord
 
--- a/packages/daemon/src/medlarspring_daemon/scheduling/load_report.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/load_report.py
@@ -10,7 +10,7 @@
 
 from medlarspring_adapters.metrics import Metric
 from medlarspring_adapters.store import Put, Transaction
-from medlarspring_systems.scheduling.jobs import is_waiting
+from medlarspring_systems.scheduling.jobs import is_unstarted
 from medlarspring_systems.scheduling.placement import is_open
 from medlarspring_systems.scheduling.waiting import count_waiting
 from medlarspring_tables.scheduling import LoadRecord, WorkerDoubt
@@ -63,7 +63,7 @@
     async def _publish(self) -> None:
         waiting: dict[str, int] = {}
         for job in self._tables.jobs_by_id.values():
-            if is_waiting(job):
+            if is_unstarted(job):
                 waiting[job.queue.id] = waiting.get(job.queue.id, 0) + 1
         if waiting == self._published or not self._tenure.holds():
             return
--- a/packages/daemon/src/medlarspring_daemon/scheduling/vm_keeper.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/vm_keeper.py
@@ -17,10 +17,10 @@
     FleetTables,
     MaintainVM,
     MoveVM,
-    note_done,
-    note_operation,
-    note_refused,
-    take_wave,
+    record_operation_done,
+    record_operation_refused,
+    record_operation_sent,
+    record_wave_order,
 )
 from medlarspring_systems.scheduling.fleet_plan import plan_operations
 from medlarspring_tables import PoolId, Revision, VMId, WaveId
@@ -131,11 +131,11 @@
             return
         record = self._node.unreadable.decode(entry, SizesRecord)
         if record is not None:
-            self.fleet.first_sizes = {
+            self.fleet.initial_sizes = {
                 PoolId(pool): vms for pool, vms in record.vms_by_pool.items()
             }
             self._sizes_recorded = True
-            self.fleet.sizes_known = True
+            self.fleet.initial_sizes_known = True
 
     async def _load_operations(self) -> None:
         """Leave the VMs alone that predecessors operated on a moment ago."""
@@ -172,9 +172,9 @@
         return self._node.limits.vm_lease + SETTLE_SECONDS
 
     async def _record_sizes(self) -> None:
-        if self._sizes_recorded or not self.fleet.sizes_known:
+        if self._sizes_recorded or not self.fleet.initial_sizes_known:
             return
-        sizes = {str(pool): vms for pool, vms in self.fleet.first_sizes.items()}
+        sizes = {str(pool): vms for pool, vms in self.fleet.initial_sizes.items()}
         put = Put(
             self._tenure.keys.sizes, msgspec.json.encode(SizesRecord(vms_by_pool=sizes))
         )
@@ -188,7 +188,7 @@
             return
         now = self._node.clock.now()
         for order, seen_at in self._directory.waves_by_key.values():
-            take_wave(self.fleet, order, seen_at)
+            record_wave_order(self.fleet, order, seen_at)
         plan = plan_operations(self._owner.tables, self.fleet, self._node.limits, now)
         await self._record_sizes()
         self._log_needs()
@@ -217,7 +217,7 @@
                 Event.POOL_SIZED,
                 pool=pool_id,
                 wanted=need.vms,
-                has=self.fleet.have_by_pool.get(pool_id, 0),
+                has=self.fleet.vm_counts_by_pool.get(pool_id, 0),
                 lasting_millis=round(need.lasting_millis),
                 incoming_millis=round(need.incoming_millis),
                 waiting_millis=round(need.waiting_millis),
@@ -227,7 +227,7 @@
     async def _carry_out(self, operations: list[VMOperation]) -> None:
         now = self._node.clock.now()
         for operation in operations:
-            note_operation(self._owner.tables, self.fleet, operation, now)
+            record_operation_sent(self._owner.tables, self.fleet, operation, now)
         if not await self._record(operations):
             for operation in operations:
                 self._note_refused(operation)
@@ -311,7 +311,7 @@
             return
         refusal = answer.unwrap()
         if refusal is None:
-            note_done(self.fleet, operation)
+            record_operation_done(self.fleet, operation)
             is_move = isinstance(operation, MoveVM)
             metric = Metric.VMS_MOVED if is_move else Metric.VMS_MAINTAINED
             self._node.metrics.count(metric)
@@ -326,7 +326,7 @@
 
     def _note_refused(self, operation: VMOperation) -> None:
         now = self._node.clock.now()
-        note_refused(self._owner.tables, self.fleet, operation, now)
+        record_operation_refused(self._owner.tables, self.fleet, operation, now)
 
     async def _report(self, wave: WaveProgress) -> None:
         complete = wave.complete
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
@@ -26,15 +26,15 @@
 from medlarspring_daemon.tasks import Tasks
 from medlarspring_systems.scheduling.evidence import note_accepted, note_refusal
 from medlarspring_systems.scheduling.late_orders import (
-    note_unanswered_order,
-    take_late_orders,
+    pop_late_orders,
+    record_unanswered_order,
 )
 from medlarspring_systems.scheduling.lease_plan import (
-    extend_lease,
-    limit_start,
-    plan_wait,
+    plan_hold_wait,
+    plan_lease_end,
+    plan_start_deadline,
 )
-from medlarspring_systems.scheduling.listings import take_listing
+from medlarspring_systems.scheduling.listings import apply_listing
 from medlarspring_systems.scheduling.placement import find_ticket
 from medlarspring_systems.scheduling.runs import confirm_run, detach_run
 from medlarspring_systems.scheduling.workers import (
@@ -160,7 +160,7 @@
             detach_run(self._owner.tables, run, sent_at)
             self._owner.note_changed(worker, run)
             return
-        until = limit_start(worker, sent_at)
+        until = plan_start_deadline(worker, sent_at)
         run.order_ends_ms = until
         order = StartOrder(
             task_id=run.task.id,
@@ -197,7 +197,7 @@
             return
         run.state = RunState.UNKNOWN
         run.ordered_at = now
-        note_unanswered_order(
+        record_unanswered_order(
             self._owner.tables, self._worker.id, run.task.id, run.number, now
         )
         self._look_now = True
@@ -285,7 +285,7 @@
 
     async def _hold_once(self, *, aside: bool = False) -> None:
         ends = self._enter_life()
-        wait_ms = plan_wait(self._worker, look_now=self._look_now)
+        wait_ms = plan_hold_wait(self._worker, immediate=self._look_now)
         self._look_now = False
         asked_at = self._node.clock.now()
         order = HoldOrder(
@@ -332,7 +332,7 @@
     def _plan_lease(self, now: Seconds) -> int:
         if not self._tenure.holds():
             return 0
-        return extend_lease(self._worker, self._node.limits.worker_lease, now)
+        return plan_lease_end(self._worker, self._node.limits.worker_lease, now)
 
     def _take_hold_answer(
         self, answer: HoldAnswer, asked_at: Seconds, now: Seconds
@@ -357,7 +357,7 @@
             self._owner.note_started_again(worker, answer.born_ms)
         self._enter_life().note_listed(now)
         note_clock(worker, answer.clock_ms, now)
-        outcome = take_listing(
+        outcome = apply_listing(
             self._owner.tables,
             worker,
             answer.running,
@@ -381,7 +381,7 @@
 
     def _refuse_late_orders(self, now: Seconds) -> None:
         """Have a new life refuse what its former one may have left to be done."""
-        for task_id, number in take_late_orders(self._owner.tables, self._worker, now):
+        for task_id, number in pop_late_orders(self._owner.tables, self._worker, now):
             self._tasks.start(self._stop(task_id, number, None))
 
     def _settle_rest(self, outcome: ListingOutcome) -> None:
@@ -390,7 +390,7 @@
         for run in self._worker.runs.values():
             if run.stopping:
                 self._stop_when_due(run)
-        for task_id, number in outcome.strangers:
+        for task_id, number in outcome.unexpected_runs:
             key = (task_id, number)
             now = self._node.clock.now()
             if now - self._stops_sent.get(key, -1e9) < STOP_REPEAT_SECONDS:
@@ -400,7 +400,7 @@
                 Event.RUN_STRANGE, task=task_id, run=number, worker=self._worker.id
             )
             self._tasks.start(self._stop(task_id, number, None))
-        if outcome.strangers:
+        if outcome.unexpected_runs:
             self._look_now = True
 
     def _note_answered(self, now: Seconds) -> None:
--- a/packages/systems/src/medlarspring_systems/scheduling/admission.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/admission.py
@@ -16,7 +16,7 @@
 """Over all steps; a progress record stays well below the store's value limit."""
 
 MAX_OCCURRENCES = 10_000
-MAX_TASKS_IN_ALL = 100_000
+MAX_TOTAL_TASKS = 100_000
 """Over all occurrences; a job that is due every millisecond would otherwise fill the
 controller's memory."""
 
@@ -60,10 +60,10 @@
             "State a positive interval, or a single occurrence.",
         )
     tasks = sum(step.count for step in spec.steps) * max(spec.occurrences, 1)
-    if spec.occurrences > MAX_OCCURRENCES or tasks > MAX_TASKS_IN_ALL:
+    if spec.occurrences > MAX_OCCURRENCES or tasks > MAX_TOTAL_TASKS:
         return JobInvalid(
             f"it has {spec.occurrences} occurrences with {tasks} tasks in all,"
-            f" {MAX_OCCURRENCES} and {MAX_TASKS_IN_ALL} at most",
+            f" {MAX_OCCURRENCES} and {MAX_TOTAL_TASKS} at most",
             "Submit fewer occurrences at a time.",
         )
     for index, step in enumerate(spec.steps):
--- a/packages/systems/src/medlarspring_systems/scheduling/advising.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/advice_requests.py
@@ -28,24 +28,24 @@
         WorkTables,
     )
 
-MAX_WORKERS = 30
+MAX_WORKERS_PER_REQUEST = 30
 """Workers named in one call; the customers' objective counts on about so many."""
-FRESH_SECONDS = 0.3
+RENEWAL_MARGIN_SECONDS = 0.3
 """Advice that lapses sooner is asked for again."""
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class AdviceRequest:
     """One call to the adviser."""
 
     step: StepRun
-    lives_by_worker: dict[WorkerId, Milliseconds]
+    incarnations_by_worker: dict[WorkerId, Milliseconds]
     """The workers that it names, with the starts of their lives."""
 
     @property
     def worker_ids(self) -> tuple[WorkerId, ...]:
         """The workers that it names."""
-        return tuple(self.lives_by_worker)
+        return tuple(self.incarnations_by_worker)
 
     @property
     def step_id(self) -> str:
@@ -53,68 +53,78 @@
         return f"{self.step.job.id}.{self.step.occurrence}.{self.step.index}"
 
 
-def choose_question(tables: WorkTables, now: Seconds) -> Question | None:
+def choose_advice_request(tables: WorkTables, now: Seconds) -> AdviceRequest | None:
     """Return the most urgent question, or None if all advice is there."""
-    waiting, following = _list_steps(tables)
+    waiting, upcoming = _list_steps(tables)
     for step in sorted(waiting, key=lambda step: rank_step(step, now)):
-        question = _ask_about(tables, step, now)
-        if question is not None:
-            return question
-    for step in sorted(following, key=lambda step: rank_step(step, now)):
+        request = _build_request(tables, step, now)
+        if request is not None:
+            return request
+    for step in sorted(upcoming, key=lambda step: rank_step(step, now)):
         if step.tickets:
             continue
-        question = _ask_about(tables, step, now)
-        if question is not None:
-            return question
+        request = _build_request(tables, step, now)
+        if request is not None:
+            return request
     return None
 
 
 def _list_steps(tables: WorkTables) -> tuple[list[StepRun], list[StepRun]]:
     waiting: list[StepRun] = []
-    following: list[StepRun] = []
+    upcoming: list[StepRun] = []
     for job in tables.jobs_by_id.values():
         if job.queue.advice is None or job.outcome is not None:
             continue
         for steps in job.occurrences_by_index.values():
             waiting += [step for step in steps if step.ready and step.waiting]
-            following += [step for step in steps if not step.ready][:1]
-    return waiting, following
+            upcoming += [step for step in steps if not step.ready][:1]
+    return waiting, upcoming
 
 
-def _ask_about(tables: WorkTables, step: StepRun, now: Seconds) -> Question | None:
+def _build_request(
+    tables: WorkTables, step: StepRun, now: Seconds
+) -> AdviceRequest | None:
     """Return a question about workers of whom nothing fresh is known."""
     workers = list_open_workers(tables, step.job.queue.pool_id, now)
-    unknown = [worker for worker in workers if not _is_known(step, worker, now)]
-    if not unknown:
+    unadvised = [
+        worker for worker in workers if not _has_current_advice(step, worker, now)
+    ]
+    if not unadvised:
         return None
     allowed = [worker for worker in workers if has_ticket(step, worker, now)]
-    if sum(_count_places(step, worker) for worker in allowed) >= len(step.waiting) > 0:
+    if (
+        sum(_count_fitting_tasks(step, worker) for worker in allowed)
+        >= len(step.waiting)
+        > 0
+    ):
         return None
-    unknown.sort(key=lambda worker: -worker.cpu_free)
-    named = {worker.id: worker.born_ms for worker in unknown[:MAX_WORKERS]}
-    return Question(step, named)
+    unadvised.sort(key=lambda worker: -worker.cpu_free)
+    incarnations = {
+        worker.id: worker.born_ms for worker in unadvised[:MAX_WORKERS_PER_REQUEST]
+    }
+    return AdviceRequest(step, incarnations)
 
 
-def _is_known(step: StepRun, worker: Worker, now: Seconds) -> bool:
+def _has_current_advice(step: StepRun, worker: Worker, now: Seconds) -> bool:
     ticket = find_ticket(step, worker)
-    return ticket is not None and now < ticket.valid_until - FRESH_SECONDS
+    return ticket is not None and now < ticket.valid_until - RENEWAL_MARGIN_SECONDS
 
 
-def _count_places(step: StepRun, worker: Worker) -> int:
+def _count_fitting_tasks(step: StepRun, worker: Worker) -> int:
     by_cpu = worker.cpu_free // max(step.room.cpu_millis, 1)
     by_memory = worker.memory_free // max(step.room.memory_mb, 1)
     return max(min(by_cpu, by_memory), 0)
 
 
-def take_advice(
-    question: Question,
+def record_advice(
+    request: AdviceRequest,
     tickets_by_worker: dict[WorkerId, str],
     valid_until: Seconds,
 ) -> None:
     """Enter what the adviser said; workers that it left out are not allowed."""
-    for worker_id, life_ms in question.lives_by_worker.items():
+    for worker_id, life_ms in request.incarnations_by_worker.items():
         text = tickets_by_worker.get(worker_id, "")
-        question.step.tickets[worker_id] = Ticket(text, valid_until, life_ms)
+        request.step.tickets[worker_id] = Ticket(text, valid_until, life_ms)
 
 
-__all__ = ["Question", "choose_question", "take_advice"]
+__all__ = ["AdviceRequest", "choose_advice_request", "record_advice"]
--- a/packages/systems/src/medlarspring_systems/scheduling/availability.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/availability.py
@@ -11,18 +11,18 @@
     from medlarspring_tables import Seconds
     from medlarspring_tables.scheduling import Run, Task, WorkTables
 
-SEEN_SECONDS = 0.8
+MIN_OBSERVED_SECONDS = 0.8
 """So long this controller must have seen a task running. A predecessor may have
 ordered its stop right before the hand-over; until that is carried out, 0.4 s later at
 most, the worker lists the task at work, and another one of its step would be stopped
 beside it."""
 
 
-def is_surely_at_work(task: Task, now: Seconds) -> bool:
+def is_confirmed_running(task: Task, now: Seconds) -> bool:
     """Tell whether a long-running task serves, by a worker that answers."""
     return any(
         is_at_work(run)
-        and now - run.confirmed_at >= SEEN_SECONDS
+        and now - run.confirmed_at >= MIN_OBSERVED_SECONDS
         and not run.stopping
         and not run.worker.gone
         and not run.worker.unanswered_since
@@ -42,7 +42,7 @@
     others_away = sum(
         1
         for task in step.tasks
-        if task is not run.task and not is_surely_at_work(task, now)
+        if task is not run.task and not is_confirmed_running(task, now)
     )
     if others_away >= max(step.spec.max_unavailable, 1):
         return False
@@ -56,4 +56,4 @@
     )
 
 
-__all__ = ["is_surely_at_work", "may_stop_long_run"]
+__all__ = ["is_confirmed_running", "may_stop_long_run"]
--- a/packages/systems/src/medlarspring_systems/scheduling/demand.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/demand.py
@@ -12,27 +12,27 @@
 import math
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.scheduling.estimates import expect_seconds
+from medlarspring_systems.scheduling.estimates import estimate_seconds
 from medlarspring_tables.scheduling import ArrivalMeter
 
 if TYPE_CHECKING:
     from medlarspring_tables import PoolId, Seconds
     from medlarspring_tables.scheduling import StepRun, WorkTables
 
-MEAN_SECONDS = 1.5
+MEAN_WINDOW_SECONDS = 1.5
 """The level is compared with its mean over so long, which is what a move takes."""
 TREND_GAIN = 1.0
 """A rising level is taken to rise as much again until VMs called now are there."""
-PATIENT_SECONDS = 0.5
+SHORT_MEAN_WINDOW_SECONDS = 0.5
 """For jobs that can wait for a VM single lumps of work are smoothed over so long;
 longer, their pool follows a turn too late to use what they can wait."""
 SLACK_WEIGHT = 0.1
 """Weight of the newest job in the smoothed slack of its queue."""
-SHORTEST_SECONDS = 0.3
+MIN_JOB_SECONDS = 0.3
 """A job counts for at least so long; estimates may be much too short."""
 
 
-def note_arrival(
+def record_arrival(
     tables: WorkTables, steps: list[StepRun], due_at: Seconds, now: Seconds
 ) -> None:
     """Count the work of an occurrence that has become due.
@@ -47,43 +47,51 @@
     work = sum(
         step.spec.count
         * step.room.cpu_millis
-        * expect_seconds(tables, queue.id, step.spec)
+        * estimate_seconds(tables, queue.id, step.spec)
         for step in steps
         if not step.spec.long_running
     )
     if not work:
         return
-    path = max(steps[0].remaining_path, SHORTEST_SECONDS)
+    path_seconds = max(steps[0].remaining_path, MIN_JOB_SECONDS)
     meter = tables.arrivals_by_pool.setdefault(queue.pool_id, ArrivalMeter(at=now))
     _advance(meter, now)
-    ends_at = due_at + path
-    _add_past(meter, work / path, due_at, min(ends_at, now))
+    ends_at = due_at + path_seconds
+    _add_past_work(meter, work / path_seconds, due_at, min(ends_at, now))
     if ends_at > now:
-        heapq.heappush(meter.ends, (ends_at, work / path))
-        meter.level += work / path
+        heapq.heappush(meter.ends, (ends_at, work / path_seconds))
+        meter.level += work / path_seconds
     for step in steps:
         step.counted_until = ends_at
 
 
-def _add_past(meter: ArrivalMeter, part: float, began: Seconds, ended: Seconds) -> None:
+def _add_past_work(
+    meter: ArrivalMeter, millicores: float, began_at: Seconds, stopped_at: Seconds
+) -> None:
     """Bring a part of the level from before now into the means, as they decay."""
-    if began >= ended:
+    if began_at >= stopped_at:
         return
-    meter.mean += part * _weigh_past(meter.at, began, ended, MEAN_SECONDS)
-    meter.short_mean += part * _weigh_past(meter.at, began, ended, PATIENT_SECONDS)
+    meter.mean += millicores * _integrate_decay(
+        meter.at, began_at, stopped_at, MEAN_WINDOW_SECONDS
+    )
+    meter.short_mean += millicores * _integrate_decay(
+        meter.at, began_at, stopped_at, SHORT_MEAN_WINDOW_SECONDS
+    )
 
 
-def _weigh_past(at: Seconds, began: Seconds, ended: Seconds, over: Seconds) -> float:
-    return math.exp((ended - at) / over) - math.exp((began - at) / over)
+def _integrate_decay(
+    at: Seconds, began_at: Seconds, stopped_at: Seconds, window: Seconds
+) -> float:
+    return math.exp((stopped_at - at) / window) - math.exp((began_at - at) / window)
 
 
-def note_slack(tables: WorkTables, steps: list[StepRun], slack: Seconds) -> None:
+def record_slack(tables: WorkTables, steps: list[StepRun], slack: Seconds) -> None:
     """Learn how long the jobs of a queue can wait for a VM to come."""
     if any(step.spec.long_running for step in steps):
         return
     queue_id = steps[0].job.queue.id
-    known = tables.slack_by_queue.get(queue_id, slack)
-    tables.slack_by_queue[queue_id] = known + SLACK_WEIGHT * (slack - known)
+    previous = tables.slack_by_queue.get(queue_id, slack)
+    tables.slack_by_queue[queue_id] = previous + SLACK_WEIGHT * (slack - previous)
 
 
 def find_slack(tables: WorkTables, pool_id: PoolId) -> Seconds | None:
@@ -116,9 +124,9 @@
 def _advance(meter: ArrivalMeter, now: Seconds) -> None:
     """Bring level and mean up to date, through each end in between."""
     while meter.ends and meter.ends[0][0] <= now:
-        ended_at, part = heapq.heappop(meter.ends)
+        ended_at, millicores = heapq.heappop(meter.ends)
         _smooth(meter, ended_at)
-        meter.level -= part
+        meter.level -= millicores
     if not meter.ends:
         meter.level = 0.0
     _smooth(meter, now)
@@ -126,11 +134,13 @@
 
 def _smooth(meter: ArrivalMeter, at: Seconds) -> None:
     elapsed = max(at - meter.at, 0.0)
-    above = meter.level - meter.mean
-    meter.mean += (1.0 - math.exp(-elapsed / MEAN_SECONDS)) * above
-    above = meter.level - meter.short_mean
-    meter.short_mean += (1.0 - math.exp(-elapsed / PATIENT_SECONDS)) * above
+    difference = meter.level - meter.mean
+    meter.mean += (1.0 - math.exp(-elapsed / MEAN_WINDOW_SECONDS)) * difference
+    difference = meter.level - meter.short_mean
+    meter.short_mean += (
+        1.0 - math.exp(-elapsed / SHORT_MEAN_WINDOW_SECONDS)
+    ) * difference
     meter.at = max(meter.at, at)
 
 
-__all__ = ["find_slack", "note_arrival", "note_slack", "project_demand"]
+__all__ = ["find_slack", "record_arrival", "record_slack", "project_demand"]
--- a/packages/systems/src/medlarspring_systems/scheduling/estimates.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/estimates.py
@@ -21,11 +21,11 @@
 
 Estimates that spread as widely as the durations themselves deserve half.
 """
-MEMORY = 200.0
+MAX_SAMPLE_COUNT = 200.0
 """Ends of a queue after which older ones fade."""
 
 
-def expect_seconds(
+def estimate_seconds(
     tables: WorkTables, queue_id: QueueId, spec: StepSpec, seen_ms: float = 0.0
 ) -> Seconds:
     """Return the expected duration of one task of a step."""
@@ -41,14 +41,14 @@
     return math.exp(blended) / 1_000.0
 
 
-def learn_duration(tables: WorkTables, step: StepRun, milliseconds: float) -> None:
+def record_duration(tables: WorkTables, step: StepRun, milliseconds: float) -> None:
     """Take over the duration of a run that went from its start to its end."""
     measured = max(milliseconds, 1.0)
     step.ended_runs += 1
     step.seen_ms += (measured - step.seen_ms) / step.ended_runs
     queue_id = step.job.queue.id
     count, mean_log = tables.durations_by_queue.get(queue_id, (0.0, 0.0))
-    count = min(count + 1.0, MEMORY)
+    count = min(count + 1.0, MAX_SAMPLE_COUNT)
     mean_log += (math.log(measured) - mean_log) / count
     tables.durations_by_queue[queue_id] = (count, mean_log)
 
@@ -59,7 +59,7 @@
     """Return, for each step, the longest expected time from its start to the end."""
     paths = [0.0] * len(specs)
     for index in range(len(specs) - 1, -1, -1):
-        own = expect_seconds(tables, queue_id, specs[index])
+        own = estimate_seconds(tables, queue_id, specs[index])
         followers = [
             paths[later]
             for later in range(index + 1, len(specs))
@@ -69,4 +69,4 @@
     return paths
 
 
-__all__ = ["expect_seconds", "find_critical_paths", "learn_duration"]
+__all__ = ["estimate_seconds", "find_critical_paths", "record_duration"]
--- a/packages/systems/src/medlarspring_systems/scheduling/fleet.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/fleet.py
@@ -18,9 +18,9 @@
         WorkTables,
     )
 
-SEEN_MARGIN_SECONDS = 0.3
+LIST_MARGIN_SECONDS = 0.3
 """An operation shows in lists that were asked for so much later."""
-GIVE_UP_SECONDS = 6.0
+OPERATION_TIMEOUT_SECONDS = 6.0
 """An operation that no list shows for so long was not carried out."""
 
 
@@ -75,7 +75,7 @@
 
     id: WaveId
     order: WaveOrder
-    seen_at: Seconds
+    received_at: Seconds
     done: set[VMId] = field(default_factory=set)
     """VMs whose maintenance the platform confirmed to have begun."""
     announced: bool = False
@@ -86,7 +86,7 @@
     @property
     def deadline_at(self) -> Seconds:
         """When every VM of the wave should have had its maintenance."""
-        return self.seen_at + self.order.deadline_seconds
+        return self.received_at + self.order.deadline_seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,13 +119,13 @@
     recent_needs: dict[PoolId, list[tuple[Seconds, int]]] = field(default_factory=dict)
     move_seconds: Seconds = 1.5
     """What a move takes, as the platform states it."""
-    have_by_pool: dict[PoolId, int] = field(default_factory=dict)
+    vm_counts_by_pool: dict[PoolId, int] = field(default_factory=dict)
     unlisted_since: dict[VMId, Seconds] = field(default_factory=dict)
     """VMs in service that no entry in the registry leads to, and since when."""
-    first_sizes: dict[PoolId, int] = field(default_factory=dict)
+    initial_sizes: dict[PoolId, int] = field(default_factory=dict)
     """VMs of each pool when a controller first saw it, by the operator's hand."""
-    sizes_known: bool = False
-    sizes_since: Seconds = 0.0
+    initial_sizes_known: bool = False
+    initial_sizes_since: Seconds = 0.0
     due_next: set[VMId] = field(default_factory=set)
     """VMs in service that a wave takes down next; their pools need others."""
     drained_for_wave: set[VMId] = field(default_factory=set)
@@ -142,20 +142,22 @@
     to_report: list[WaveProgress] = field(default_factory=list)
 
 
-REFUSED_SECONDS = 1.0
+REFUSAL_PAUSE_SECONDS = 1.0
 
 
-def take_wave(fleet: FleetTables, order: WaveOrder, seen_at: Seconds) -> None:
+def record_wave_order(
+    fleet: FleetTables, order: WaveOrder, received_at: Seconds
+) -> None:
     """Enter an order of the operator."""
     wave = fleet.waves_by_id.get(order.id)
     if wave is None:
-        wave = WaveProgress(order.id, order, seen_at)
+        wave = WaveProgress(order.id, order, received_at)
         wave.done = fleet.done_by_wave.setdefault(order.id, set())
         fleet.waves_by_id[order.id] = wave
     wave.order = order
 
 
-def note_operation(
+def record_operation_sent(
     tables: WorkTables, fleet: FleetTables, operation: VMOperation, now: Seconds
 ) -> None:
     """Note that an operation is about to be sent."""
@@ -176,46 +178,46 @@
         worker.leaving = leaving
 
 
-def note_done(fleet: FleetTables, operation: VMOperation) -> None:
+def record_operation_done(fleet: FleetTables, operation: VMOperation) -> None:
     """Note that the platform confirmed an operation."""
     if isinstance(operation, MaintainVM):
         fleet.done_by_wave.setdefault(operation.wave_id, set()).add(operation.vm_id)
         fleet.drained_for_wave.discard(operation.vm_id)
 
 
-def note_refused(
+def record_operation_refused(
     tables: WorkTables, fleet: FleetTables, operation: VMOperation, now: Seconds
 ) -> None:
     """Note that an operation was certainly not carried out."""
     pending = fleet.pending_by_vm.pop(operation.vm_id, None)
     if pending is not None:
         _mark_leaving(tables, pending, leaving=False)
-    fleet.refused_until[operation.vm_id] = now + REFUSED_SECONDS
+    fleet.refused_until[operation.vm_id] = now + REFUSAL_PAUSE_SECONDS
 
 
-def drop_seen(
+def drop_finished_operations(
     tables: WorkTables, fleet: FleetTables, limits: FleetLimits, now: Seconds
 ) -> None:
     """Forget the operations whose end the VM list shows."""
     for vm_id, pending in list(fleet.pending_by_vm.items()):
         vm = tables.vms_by_id.get(vm_id)
-        given_up = now - pending.sent_at > GIVE_UP_SECONDS
-        if vm is None or given_up or _is_over(tables, vm, pending, limits):
+        timed_out = now - pending.sent_at > OPERATION_TIMEOUT_SECONDS
+        if vm is None or timed_out or _is_finished(tables, vm, pending, limits):
             del fleet.pending_by_vm[vm_id]
             _mark_leaving(tables, pending, leaving=False)
 
 
-def _is_over(
+def _is_finished(
     tables: WorkTables, vm: VMEntry, pending: PendingOperation, limits: FleetLimits
 ) -> bool:
     is_move = isinstance(pending.operation, MoveVM)
-    takes = limits.move if is_move else limits.maintenance
-    if tables.vms_read_at < pending.sent_at + takes + SEEN_MARGIN_SECONDS:
+    expected_seconds = limits.move if is_move else limits.maintenance
+    if tables.vms_read_at < pending.sent_at + expected_seconds + LIST_MARGIN_SECONDS:
         return False
     return vm.phase is VMPhase.UP
 
 
-def find_worker_of(tables: WorkTables, vm: VMEntry) -> Worker | None:
+def find_vm_worker(tables: WorkTables, vm: VMEntry) -> Worker | None:
     """Return the VM's present life, if it is known as a worker."""
     if vm.worker_id is None:
         return None
@@ -228,7 +230,7 @@
     return policy is not None and policy.standby
 
 
-def is_free(fleet: FleetTables, vm: VMEntry, now: Seconds) -> bool:
+def is_available_for_operation(fleet: FleetTables, vm: VMEntry, now: Seconds) -> bool:
     """Tell whether a VM may be operated on at all."""
     if vm.phase is not VMPhase.UP or vm.id in fleet.pending_by_vm:
         return False
@@ -243,12 +245,12 @@
     "PoolNeed",
     "VMOperation",
     "WaveProgress",
-    "drop_seen",
-    "find_worker_of",
-    "is_free",
+    "drop_finished_operations",
+    "find_vm_worker",
+    "is_available_for_operation",
     "is_standby",
-    "note_done",
-    "note_operation",
-    "note_refused",
-    "take_wave",
+    "record_operation_done",
+    "record_operation_sent",
+    "record_operation_refused",
+    "record_wave_order",
 ]
--- a/packages/systems/src/medlarspring_systems/scheduling/fleet_plan.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/fleet_plan.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.scheduling.fleet import FleetPlan, drop_seen
+from medlarspring_systems.scheduling.fleet import FleetPlan, drop_finished_operations
 from medlarspring_systems.scheduling.maintenance import plan_maintenance
 from medlarspring_systems.scheduling.pool_sizing import plan_moves
 
@@ -19,23 +19,25 @@
 ) -> FleetPlan:
     """Return the operations on VMs to carry out now, and what to stop for them."""
     fleet.move_seconds = limits.move
-    drop_seen(tables, fleet, limits, now)
+    drop_finished_operations(tables, fleet, limits, now)
     plan = FleetPlan()
     fleet.due_next.clear()
     fleet.drained_for_wave.clear()
     plan_maintenance(tables, fleet, now, plan)
     plan_moves(tables, fleet, now, plan)
-    _reserve(tables, fleet, plan)
+    _update_reservations(tables, fleet, plan)
     return plan
 
 
-def _reserve(tables: WorkTables, fleet: FleetTables, plan: FleetPlan) -> None:
+def _update_reservations(
+    tables: WorkTables, fleet: FleetTables, plan: FleetPlan
+) -> None:
     """Keep new tasks away from workers that are emptied or about to go."""
-    going = {operation.vm_id for operation in plan.operations}
-    going |= fleet.drained_for_wave
-    going |= set(fleet.pending_by_vm)
+    reserved_vm_ids = {operation.vm_id for operation in plan.operations}
+    reserved_vm_ids |= fleet.drained_for_wave
+    reserved_vm_ids |= set(fleet.pending_by_vm)
     for worker in tables.workers_by_id.values():
-        was_reserved, worker.reserved = worker.reserved, worker.vm_id in going
+        was_reserved, worker.reserved = worker.reserved, worker.vm_id in reserved_vm_ids
         if was_reserved and not worker.reserved:
             plan.changed_pools[worker.pool_id] = None
 
--- a/packages/systems/src/medlarspring_systems/scheduling/jobs.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/jobs.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.scheduling.demand import note_arrival, note_slack
+from medlarspring_systems.scheduling.demand import record_arrival, record_slack
 from medlarspring_systems.scheduling.estimates import (
-    expect_seconds,
+    estimate_seconds,
     find_critical_paths,
 )
 from medlarspring_tables.scheduling import (
@@ -25,7 +25,7 @@
         WorkTables,
     )
 
-LATE_FACTOR = 3.0
+ABANDON_FACTOR = 3.0
 """A job is of little use after its objective, and of none after this many times."""
 EARLY_START_SECONDS = 0.05
 """An occurrence is opened so much before it is due, to be ready in time."""
@@ -111,7 +111,7 @@
     for index, spec in enumerate(job.spec.steps):
         step = StepRun(job=job, occurrence=occurrence, index=index, spec=spec)
         step.objective_at = due_at + objective
-        step.given_up_at = due_at + LATE_FACTOR * objective
+        step.given_up_at = due_at + ABANDON_FACTOR * objective
         step.remaining_path = paths[index]
         cpu = 0 if spec.uses_leftover else spec.cpu_millis
         step.room = Room(cpu, spec.memory_mb, spec.accelerators)
@@ -121,12 +121,12 @@
             for number in range(spec.count)
         ]
         step.waiting = list(step.tasks)
-        step.expected = expect_seconds(tables, job.queue.id, spec)
+        step.expected = estimate_seconds(tables, job.queue.id, spec)
         steps.append(step)
     _sum_remaining_work(steps)
     job.occurrences_by_index[occurrence] = steps
-    note_arrival(tables, steps, due_at, now)
-    note_slack(tables, steps, objective - max(paths))
+    record_arrival(tables, steps, due_at, now)
+    record_slack(tables, steps, objective - max(paths))
     refresh_ready(tables, steps, now)
     return steps
 
@@ -158,7 +158,7 @@
     pool[step] = None
 
 
-def note_task_done(tables: WorkTables, task: Task, now: Seconds) -> None:
+def mark_task_done(tables: WorkTables, task: Task, now: Seconds) -> None:
     """Mark a task done, and open or end what waited for it."""
     if task.done:
         return
@@ -204,7 +204,7 @@
         job.version += 1
 
 
-REMEMBER_SECONDS = 60.0
+ENDED_JOB_RETENTION_SECONDS = 60.0
 """Listings and late watch events of the inbox are never older than this."""
 
 
@@ -217,7 +217,7 @@
     tables.jobs_by_id.pop(job.id, None)
     tables.ended_job_ids[job.id] = now
     for job_id, ended_at in list(tables.ended_job_ids.items()):
-        if now - ended_at < REMEMBER_SECONDS:
+        if now - ended_at < ENDED_JOB_RETENTION_SECONDS:
             break
         del tables.ended_job_ids[job_id]
     ready = tables.ready_by_pool.get(job.queue.pool_id, {})
@@ -226,7 +226,7 @@
             ready.pop(step, None)
 
 
-def is_waiting(job: ActiveJob) -> bool:
+def is_unstarted(job: ActiveJob) -> bool:
     """Tell whether no task of the job was started yet."""
     return not job.started and job.outcome is None
 
@@ -239,8 +239,8 @@
     "fail_job",
     "find_due_ms",
     "forget_job",
-    "is_waiting",
-    "note_task_done",
+    "is_unstarted",
+    "mark_task_done",
     "open_due_occurrences",
     "open_occurrence",
     "queue_step",
--- a/packages/systems/src/medlarspring_systems/scheduling/late_orders.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/late_orders.py
@@ -12,23 +12,23 @@
     from medlarspring_tables import Seconds
     from medlarspring_tables.scheduling import Worker, WorkerId, WorkTables
 
-LATE_ORDER_SECONDS = 12.0
+MAX_ORDER_DELAY_SECONDS = 12.0
 """An order without an answer is carried out within so long, or never."""
 
 
-def note_unanswered_order(
+def record_unanswered_order(
     tables: WorkTables, worker_id: WorkerId, task_id: str, number: int, now: Seconds
 ) -> None:
     """Remember an order to start that got no answer."""
     orders = tables.unanswered_orders.setdefault(worker_id, {})
     for key, asked_at in list(orders.items()):
-        if now - asked_at <= LATE_ORDER_SECONDS:
+        if now - asked_at <= MAX_ORDER_DELAY_SECONDS:
             break
         del orders[key]
     orders[(task_id, number)] = now
 
 
-def take_late_orders(
+def pop_late_orders(
     tables: WorkTables, worker: Worker, now: Seconds
 ) -> list[tuple[str, int]]:
     """Return the orders, by task id and run number, that a new life must refuse.
@@ -39,8 +39,8 @@
     return [
         key
         for key, asked_at in orders.items()
-        if now - asked_at <= LATE_ORDER_SECONDS and key not in worker.runs
+        if now - asked_at <= MAX_ORDER_DELAY_SECONDS and key not in worker.runs
     ]
 
 
-__all__ = ["note_unanswered_order", "take_late_orders"]
+__all__ = ["record_unanswered_order", "pop_late_orders"]
--- a/packages/systems/src/medlarspring_systems/scheduling/lease_plan.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/lease_plan.py
@@ -19,7 +19,7 @@
 A lost start may be carried out seconds later, when its task already runs
 elsewhere; with this limit it is refused instead.
 """
-LOOK_WAIT_MS = 500
+HOLD_WAIT_MS = 500
 """How long a worker holds the answer back without news.
 
 Progress is needed about twice a second to see tasks that stand still; the lease
@@ -29,9 +29,9 @@
 """The same while a stop or an order without an answer is to be settled."""
 
 
-def plan_wait(worker: Worker, *, look_now: bool) -> Milliseconds:
+def plan_hold_wait(worker: Worker, *, immediate: bool) -> Milliseconds:
     """Return how long the worker may hold its answer back."""
-    if look_now or not worker.settled or worker.unanswered_since:
+    if immediate or not worker.settled or worker.unanswered_since:
         return 0
     if not worker.runs:
         return 0
@@ -39,10 +39,10 @@
         run.stopping or run.state is RunState.UNKNOWN for run in worker.runs.values()
     ):
         return UNSETTLED_WAIT_MS
-    return LOOK_WAIT_MS
+    return HOLD_WAIT_MS
 
 
-def extend_lease(worker: Worker, longest: Seconds, now: Seconds) -> Milliseconds:
+def plan_lease_end(worker: Worker, max_lease: Seconds, now: Seconds) -> Milliseconds:
     """Return the lease end to ask for, on the worker's clock; 0 to ask for none.
 
     A worker that is silent is only looked at: each further extension might
@@ -50,18 +50,18 @@
     """
     if not worker.clock_at or worker.unanswered_since:
         return 0
-    length = longest - LEASE_MARGIN_SECONDS
-    return _ask_until(worker, round(read_clock(worker, now) + length * 1_000))
+    length = max_lease - LEASE_MARGIN_SECONDS
+    return _record_lease_end(worker, round(read_clock(worker, now) + length * 1_000))
 
 
-def limit_start(worker: Worker, now: Seconds) -> Milliseconds:
+def plan_start_deadline(worker: Worker, now: Seconds) -> Milliseconds:
     """Return until when, on the worker's clock, a start may be carried out."""
-    return _ask_until(worker, round(read_clock(worker, now)) + START_VALID_MS)
+    return _record_lease_end(worker, round(read_clock(worker, now)) + START_VALID_MS)
 
 
-def _ask_until(worker: Worker, until: Milliseconds) -> Milliseconds:
+def _record_lease_end(worker: Worker, until: Milliseconds) -> Milliseconds:
     worker.lease_ms = max(worker.lease_ms, until)
     return until
 
 
-__all__ = ["extend_lease", "limit_start", "plan_wait"]
+__all__ = ["plan_lease_end", "plan_start_deadline", "plan_hold_wait"]
--- a/packages/systems/src/medlarspring_systems/scheduling/listings.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/listings.py
@@ -42,16 +42,16 @@
     """Runs that the worker certainly does not have."""
     absent: list[Run] = field(default_factory=list)
     """Runs whose order may still be on its way; a stop settles them."""
-    strangers: list[tuple[str, int]] = field(default_factory=list)
+    unexpected_runs: list[tuple[str, int]] = field(default_factory=list)
     """Runs, by task id and number, that must not go on."""
     adopted: list[Run] = field(default_factory=list)
     confirmed: list[Run] = field(default_factory=list)
     ends: list[tuple[int, ActiveJob | None]] = field(default_factory=list)
     """Numbers to acknowledge once the job's record holds the end."""
-    newly_doubted: bool = False
+    newly_quarantined: bool = False
 
 
-def take_listing(
+def apply_listing(
     tables: WorkTables,
     worker: Worker,
     running: Iterable[RunningRow],
@@ -67,18 +67,18 @@
     outcome = ListingOutcome()
     for row in sorted(ended, key=lambda row: row.number):
         if row.number > worker.listed_through:
-            _take_end(tables, worker, row, outcome, now)
+            _apply_end(tables, worker, row, outcome, now)
             worker.listed_through = row.number
     listed = set()
     for listed_run in running:
         listed.add((listed_run.task_id, listed_run.run))
-        _take_running(tables, worker, listed_run, outcome, now)
+        _apply_running(tables, worker, listed_run, outcome, now)
     if len(ended) < MAX_ENDS_LISTED:
         _find_absent(tables, worker, listed, outcome, asked_at, now)
     return outcome
 
 
-def _take_end(
+def _apply_end(
     tables: WorkTables,
     worker: Worker,
     row: EndedRow,
@@ -87,18 +87,18 @@
 ) -> None:
     run = worker.runs.get((row.task_id, row.run))
     if run is None:
-        outcome.ends.append((row.number, _take_stray_end(tables, row, now)))
+        outcome.ends.append((row.number, _apply_unknown_end(tables, row, now)))
         return
     if row.end is RunEnd.DONE:
         note_success(worker)
     elif row.end is RunEnd.FAILED and not run.stopping:
-        outcome.newly_doubted |= note_failure(tables, run, now)
+        outcome.newly_quarantined |= note_failure(tables, run, now)
     end_run(tables, run, row.end, row.checkpoint, now)
     outcome.ended.append((run, row.end))
     outcome.ends.append((row.number, run.task.step.job))
 
 
-def _take_stray_end(
+def _apply_unknown_end(
     tables: WorkTables, row: EndedRow, now: Seconds
 ) -> ActiveJob | None:
     """Take over an end of a run that is on no worker's list of ours.
@@ -115,7 +115,7 @@
     return task.step.job
 
 
-def _take_running(
+def _apply_running(
     tables: WorkTables,
     worker: Worker,
     row: RunningRow,
@@ -126,7 +126,7 @@
     if run is None:
         run = _adopt(tables, worker, row, now)
         if run is None:
-            outcome.strangers.append((row.task_id, row.run))
+            outcome.unexpected_runs.append((row.task_id, row.run))
             return
         outcome.adopted.append(run)
     if run.state is not RunState.RUNNING:
@@ -176,13 +176,13 @@
                     outcome.absent.append(run)
                 continue
         if settled_at < asked_at:
-            if run.state is RunState.RUNNING or _is_of_other_life(run):
+            if run.state is RunState.RUNNING or _is_from_other_incarnation(run):
                 note_vanished(run)
             detach_run(tables, run, now)
             outcome.lost.append(run)
 
 
-def _is_of_other_life(run: Run) -> bool:
+def _is_from_other_incarnation(run: Run) -> bool:
     """Tell whether a run was meant for a life of its worker that is over.
 
     Only the record of a predecessor tells of it, since this controller has known
@@ -207,7 +207,7 @@
     return tasks[int(index)] if int(index) < len(tasks) else None
 
 
-def list_jobs(outcome: ListingOutcome) -> list[JobId]:
+def list_changed_jobs(outcome: ListingOutcome) -> list[JobId]:
     """Return the jobs whose records the listing changed, each once."""
     runs = [run for run, _ in outcome.ended] + outcome.lost + outcome.adopted
     ids = [run.task.step.job.id for run in runs]
@@ -218,6 +218,6 @@
 __all__ = [
     "ListingOutcome",
     "find_task",
-    "list_jobs",
-    "take_listing",
+    "list_changed_jobs",
+    "apply_listing",
 ]
--- a/packages/systems/src/medlarspring_systems/scheduling/maintenance.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/maintenance.py
@@ -12,8 +12,8 @@
 from medlarspring_systems.scheduling.availability import may_stop_long_run
 from medlarspring_systems.scheduling.fleet import (
     MaintainVM,
-    find_worker_of,
-    is_free,
+    find_vm_worker,
+    is_available_for_operation,
     is_standby,
 )
 from medlarspring_tables.scheduling import VMPhase
@@ -27,9 +27,9 @@
     from medlarspring_tables import Seconds
     from medlarspring_tables.scheduling import VMEntry, Worker, WorkTables
 
-DRAIN_AHEAD = 2
+EXTRA_DRAINS = 2
 """VMs emptied ahead of a free place in the wave, so that none is left unused."""
-FORCE_SECONDS = 3.0
+FORCE_MARGIN_SECONDS = 3.0
 """So long before its deadline a wave ends batch work that still runs."""
 
 
@@ -54,39 +54,41 @@
 ) -> None:
     if not tables.vms_by_id:
         return
-    left = [
+    remaining = [
         tables.vms_by_id[vm_id]
         for vm_id in wave.order.vm_ids
         if vm_id in tables.vms_by_id and vm_id not in wave.done
     ]
-    if not left:
+    if not remaining:
         wave.complete = True
         plan.to_report.append(wave)
         return
     if not wave.announced:
         plan.to_report.append(wave)
-    places = wave.order.max_at_once - _count_down(tables, fleet, wave)
-    candidates = [vm for vm in left if is_free(fleet, vm, now)]
-    candidates.sort(key=lambda vm: _rate(tables, vm))
-    forced = now > wave.deadline_at - FORCE_SECONDS
-    drains = max(places, 0) + DRAIN_AHEAD
+    free_slots = wave.order.max_at_once - _count_vms_down(tables, fleet, wave)
+    candidates = [vm for vm in remaining if is_available_for_operation(fleet, vm, now)]
+    candidates.sort(key=lambda vm: _measure_disruption(tables, vm))
+    forced = now > wave.deadline_at - FORCE_MARGIN_SECONDS
+    drains = max(free_slots, 0) + EXTRA_DRAINS
     for vm in candidates:
-        worker = find_worker_of(tables, vm)
+        worker = find_vm_worker(tables, vm)
         if worker is None or not worker.runs:
-            if places > 0 and _may_go_down(tables, vm, worker):
+            if free_slots > 0 and _may_take_down(tables, vm, worker):
                 plan.operations.append(MaintainVM(vm.id, wave.id))
-                places -= 1
+                free_slots -= 1
             continue
         if drains <= 0:
             continue
         drains -= 1
         _drain(tables, fleet, vm, worker, now, plan)
-        if forced and places > 0 and not worker.long_runs:
+        if forced and free_slots > 0 and not worker.long_runs:
             plan.operations.append(MaintainVM(vm.id, wave.id))
-            places -= 1
+            free_slots -= 1
 
 
-def _has_other_open(tables: WorkTables, fleet: FleetTables, worker: Worker) -> bool:
+def _has_other_open_worker(
+    tables: WorkTables, fleet: FleetTables, worker: Worker
+) -> bool:
     return any(
         each is not worker
         and each.listed
@@ -98,7 +100,7 @@
     )
 
 
-def _may_go_down(tables: WorkTables, vm: VMEntry, worker: Worker | None) -> bool:
+def _may_take_down(tables: WorkTables, vm: VMEntry, worker: Worker | None) -> bool:
     """Tell whether the pool still has another VM for its work."""
     if worker is None or is_standby(tables, vm.pool_id):
         return True
@@ -110,7 +112,7 @@
     return bool(others)
 
 
-def _count_down(tables: WorkTables, fleet: FleetTables, wave: WaveProgress) -> int:
+def _count_vms_down(tables: WorkTables, fleet: FleetTables, wave: WaveProgress) -> int:
     """Return how many VMs of the wave are down for it, or may be."""
     down = 0
     for vm_id in wave.order.vm_ids:
@@ -122,9 +124,9 @@
     return down
 
 
-def _rate(tables: WorkTables, vm: VMEntry) -> tuple[float, ...]:
+def _measure_disruption(tables: WorkTables, vm: VMEntry) -> tuple[float, ...]:
     """Return how costly it is to take a VM down; the smallest goes first."""
-    worker = find_worker_of(tables, vm)
+    worker = find_vm_worker(tables, vm)
     if worker is None:
         return (0.0, 0.0, 0.0)
     busy = worker.room.cpu_millis - worker.cpu_free
@@ -145,7 +147,7 @@
     and nothing could leave it. Its pool is given another VM first.
     """
     fleet.due_next.add(vm.id)
-    if not _has_other_open(tables, fleet, worker):
+    if not _has_other_open_worker(tables, fleet, worker):
         return
     fleet.drained_for_wave.add(vm.id)
     for run in worker.runs.values():
--- a/packages/systems/src/medlarspring_systems/scheduling/pacing.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/pacing.py
@@ -16,18 +16,18 @@
     from medlarspring_tables import Seconds
     from medlarspring_tables.scheduling import Run, Worker, WorkTables
 
-LOWER_SECONDS = 0.7
+LOWER_INTERVAL_SECONDS = 0.7
 """Between two steps down: the worker's figure covers the last half second."""
-RAISE_SECONDS = 1.5
+RAISE_INTERVAL_SECONDS = 1.5
 """Between two steps up; a step too far up costs a second over the target."""
 LOWER_FACTOR = 0.5
-RAISE_POINTS = 15
+RAISE_PERCENT_POINTS = 15
 STOP_BELOW_PERCENT = 15
 """A pace below this is set to 0: four steps down fit into the platform's limit."""
-COMFORT = 0.8
+RAISE_BELOW_RATIO = 0.8
 """The pace is raised while the tail is below this part of the target."""
 FULL_PERCENT = 100
-ADOPTED_PERCENT = 25
+RESTORED_PACE_PERCENT = 25
 """Pace given to a task that fills whose pace a predecessor may have changed."""
 
 
@@ -41,17 +41,17 @@
 
 
 def _plan_worker(worker: Worker, now: Seconds) -> list[tuple[Run, int]]:
-    fills = [
+    best_effort_runs = [
         run
         for run in worker.runs.values()
         if run.task.step.spec.uses_leftover and run.state is RunState.RUNNING
     ]
-    if not fills:
+    if not best_effort_runs:
         return []
-    strain = _measure_strain(worker)
+    latency_ratio = _find_worst_latency_ratio(worker)
     changes = []
-    for run in fills:
-        percent = _choose_pace(run, strain, now)
+    for run in best_effort_runs:
+        percent = _choose_pace(run, latency_ratio, now)
         if percent != run.pace_percent:
             run.pace_percent = percent
             run.paced_at = now
@@ -59,7 +59,7 @@
     return changes
 
 
-def _measure_strain(worker: Worker) -> float:
+def _find_worst_latency_ratio(worker: Worker) -> float:
     """Return the highest tail latency against its target; 0 without any."""
     ratios = [
         run.gauge / run.task.step.spec.latency_target_ms
@@ -69,14 +69,14 @@
     return max(ratios, default=0.0)
 
 
-def _choose_pace(run: Run, strain: float, now: Seconds) -> int:
-    since = now - run.paced_at
-    if strain > 1.0 and since >= LOWER_SECONDS:
+def _choose_pace(run: Run, latency_ratio: float, now: Seconds) -> int:
+    elapsed = now - run.paced_at
+    if latency_ratio > 1.0 and elapsed >= LOWER_INTERVAL_SECONDS:
         lowered = int(run.pace_percent * LOWER_FACTOR)
         return lowered if lowered >= STOP_BELOW_PERCENT else 0
-    if strain < COMFORT and since >= RAISE_SECONDS:
-        return min(run.pace_percent + RAISE_POINTS, FULL_PERCENT)
+    if latency_ratio < RAISE_BELOW_RATIO and elapsed >= RAISE_INTERVAL_SECONDS:
+        return min(run.pace_percent + RAISE_PERCENT_POINTS, FULL_PERCENT)
     return run.pace_percent
 
 
-__all__ = ["ADOPTED_PERCENT", "plan_paces"]
+__all__ = ["RESTORED_PACE_PERCENT", "plan_paces"]
--- a/packages/systems/src/medlarspring_systems/scheduling/recording.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/progress_records.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from medlarspring_systems.scheduling.jobs import count_occurrences, open_occurrence
-from medlarspring_systems.scheduling.pacing import ADOPTED_PERCENT
+from medlarspring_systems.scheduling.pacing import RESTORED_PACE_PERCENT
 from medlarspring_systems.scheduling.runs import attach_run, note_end_done
 from medlarspring_tables.scheduling import (
     CrashTally,
@@ -51,14 +51,14 @@
 def _encode_step(step: StepRun) -> StepRecord | None:
     done = 0
     record = StepRecord(runs={}, last_runs={}, failures={}, crashes={}, checkpoints={})
-    touched = False
+    has_progress = False
     for task in step.tasks:
         if task.done:
             done |= 1 << task.index
             continue
         if not task.last_run and not task.failures:
             continue
-        touched = True
+        has_progress = True
         if task.runs:
             record.runs[task.index] = tuple(
                 RunRecord(run.number, run.worker.id, run.life_ms) for run in task.runs
@@ -74,7 +74,7 @@
             record.checkpoints[task.index] = task.checkpoint
     if done:
         record.done = format(done, "x")
-    return record if done or touched else None
+    return record if done or has_progress else None
 
 
 def find_progress_fault(record: ProgressRecord, spec: JobSpec) -> str:
@@ -94,12 +94,12 @@
             return f"{key} names no step"
         if int(occurrence) >= occurrences or int(index) >= len(spec.steps):
             return f"the job has no step {key}"
-        if not _is_mask(step.done):
+        if not _is_hex(step.done):
             return f"the tasks done of step {key} are no bit mask"
     return ""
 
 
-def _is_mask(text: str) -> bool:
+def _is_hex(text: str) -> bool:
     return all(digit in string.hexdigits for digit in text)
 
 
@@ -123,9 +123,9 @@
             continue
         steps = open_occurrence(tables, job, occurrence, now, wall_ms)
         for step in steps:
-            kept = record.steps.get(f"{occurrence}.{step.index}")
-            if kept is not None:
-                _restore_step(tables, step, kept, find_worker, now)
+            stored = record.steps.get(f"{occurrence}.{step.index}")
+            if stored is not None:
+                _restore_step(tables, step, stored, find_worker, now)
 
 
 def _restore_step(
@@ -142,19 +142,19 @@
         task.crashes = record.crashes.get(task.index, CrashTally())
         step.job.suspected = step.job.suspected or task.is_suspect
         task.checkpoint = record.checkpoints.get(task.index, "")
-        for kept in record.runs.get(task.index, ()):
+        for stored in record.runs.get(task.index, ()):
             run = Run(
                 task=task,
-                number=kept.number,
-                worker=find_worker(kept.worker_id),
+                number=stored.number,
+                worker=find_worker(stored.worker_id),
                 state=RunState.UNKNOWN,
                 intended_at=now,
                 ordered_at=now,
-                life_ms=kept.life_ms,
+                life_ms=stored.life_ms,
                 checkpoint=task.checkpoint,
             )
             if step.spec.uses_leftover:
-                run.pace_percent = ADOPTED_PERCENT
+                run.pace_percent = RESTORED_PACE_PERCENT
             attach_run(run)
     for task in step.tasks:
         if done >> task.index & 1:
--- a/packages/systems/src/medlarspring_systems/scheduling/repair.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/repair.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.scheduling.estimates import expect_seconds
+from medlarspring_systems.scheduling.estimates import estimate_seconds
 from medlarspring_systems.scheduling.evidence import clear_proven, doubt_worker
 from medlarspring_systems.scheduling.pacing import plan_paces
 from medlarspring_systems.scheduling.placement import choose_worker, list_open_workers
@@ -94,7 +94,7 @@
     still = heard_at - max(run.advanced_at, run.confirmed_at)
     if still <= STALL_SECONDS:
         return 0.0
-    expected = expect_seconds(tables, step.job.queue.id, step.spec, step.seen_ms)
+    expected = estimate_seconds(tables, step.job.queue.id, step.spec, step.seen_ms)
     return still / max(STALL_SECONDS, STALL_PART * expected)
 
 
--- a/packages/systems/src/medlarspring_systems/scheduling/runs.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/runs.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.scheduling.estimates import learn_duration
-from medlarspring_systems.scheduling.jobs import fail_job, note_task_done, queue_step
+from medlarspring_systems.scheduling.estimates import record_duration
+from medlarspring_systems.scheduling.jobs import fail_job, mark_task_done, queue_step
 from medlarspring_tables.scheduling import Run, RunEnd, RunState
 
 if TYPE_CHECKING:
@@ -131,7 +131,7 @@
 def _note_done(tables: WorkTables, run: Run, now: Seconds) -> None:
     task = run.task
     if run.confirmed_at and not run.checkpoint and not task.step.spec.gang:
-        learn_duration(tables, task.step, (now - run.confirmed_at) * 1_000.0)
+        record_duration(tables, task.step, (now - run.confirmed_at) * 1_000.0)
     if not task.step.spec.long_running:
         note_end_done(tables, task, now)
 
@@ -140,7 +140,7 @@
     """Mark what an end as done stands for: a task, or all members of its gang."""
     members = list(task.step.tasks) if task.step.spec.gang else [task]
     for member in members:
-        note_task_done(tables, member, now)
+        mark_task_done(tables, member, now)
 
 
 def _note_failed(run: Run, now: Seconds) -> None:
--- a/packages/systems/tests/scheduling/test_advising.py
+++ b/packages/systems/tests/scheduling/test_advice_requests.py
@@ -4,7 +4,10 @@
 
 import msgspec
 
-from medlarspring_systems.scheduling.advising import choose_question, take_advice
+from medlarspring_systems.scheduling.advice_requests import (
+    choose_advice_request,
+    record_advice,
+)
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_tables import PoolId
 from medlarspring_tables.scheduling import AdvicePolicy, StepSpec, WorkerId
@@ -26,13 +29,13 @@
     return job
 
 
-def answer(scene: Scene, *allowed: str, valid_for: float = 3.0) -> str | None:
-    question = choose_question(scene.tables, NOW)
-    if question is None:
+def answer_request(scene: Scene, *allowed: str, valid_for: float = 3.0) -> str | None:
+    request = choose_advice_request(scene.tables, NOW)
+    if request is None:
         return None
     tickets = {WorkerId(each): f"ticket-{each}" for each in allowed}
-    take_advice(question, tickets, NOW + valid_for)
-    return question.step_id
+    record_advice(request, tickets, NOW + valid_for)
+    return request.step_id
 
 
 def test_step_starts_only_where_the_adviser_allows_it(scene: Scene):
@@ -40,65 +43,65 @@
         scene.add_worker(number)
     add_restricted_job(scene, "j", STEP)
     assert plan_round(scene.tables, POOL, NOW) == []
-    assert answer(scene, "i-2") == "j.0.0"
+    assert answer_request(scene, "i-2") == "j.0.0"
     (run,) = plan_round(scene.tables, POOL, NOW)
     assert run.worker.id == "i-2"
 
 
-def test_lapsed_ticket_is_not_used_and_is_asked_for_again(scene: Scene):
+def test_expired_ticket_is_not_used_and_is_requested_again(scene: Scene):
     scene.add_worker(1)
     add_restricted_job(scene, "j", STEP)
-    answer(scene, "i-1", valid_for=0.5)
+    answer_request(scene, "i-1", valid_for=0.5)
     assert plan_round(scene.tables, POOL, NOW + 1.0) == []
-    question = choose_question(scene.tables, NOW + 1.0)
-    assert question is not None
-    assert question.worker_ids == ("i-1",)
+    request = choose_advice_request(scene.tables, NOW + 1.0)
+    assert request is not None
+    assert request.worker_ids == ("i-1",)
 
 
-def test_nothing_is_asked_twice_and_new_workers_are_asked_about(scene: Scene):
+def test_advice_is_requested_once_per_worker(scene: Scene):
     scene.add_worker(1)
     add_restricted_job(scene, "j", STEP)
-    assert answer(scene) == "j.0.0"
-    assert choose_question(scene.tables, NOW) is None
+    assert answer_request(scene) == "j.0.0"
+    assert choose_advice_request(scene.tables, NOW) is None
     scene.add_worker(2)
-    question = choose_question(scene.tables, NOW)
-    assert question is not None
-    assert question.worker_ids == ("i-2",)
+    request = choose_advice_request(scene.tables, NOW)
+    assert request is not None
+    assert request.worker_ids == ("i-2",)
 
 
-def test_next_steps_are_asked_about_ahead_but_after_those_that_wait(scene: Scene):
+def test_advice_for_waiting_steps_is_requested_before_upcoming_steps(scene: Scene):
     scene.add_worker(1)
     add_restricted_job(scene, "j", STEP, SECOND)
     add_restricted_job(scene, "k", STEP)
-    asked = [answer(scene, "i-1") for _ in range(4)]
+    asked = [answer_request(scene, "i-1") for _ in range(4)]
     assert asked == ["k.0.0", "j.0.0", "j.0.1", None]
 
 
-def test_queues_without_restriction_ask_nothing(scene: Scene):
+def test_unrestricted_queue_requests_no_advice(scene: Scene):
     scene.add_worker(1)
     scene.add_job("j", STEP)
-    assert choose_question(scene.tables, NOW) is None
+    assert choose_advice_request(scene.tables, NOW) is None
 
 
-def test_ticket_of_a_former_life_is_not_used_and_is_asked_for_again(scene: Scene):
+def test_ticket_for_a_previous_incarnation_is_not_used(scene: Scene):
     """
     A ticket holds for one life of its worker. The worker starts again under its id;
     each start with the old ticket would be refused, and the step would wait.
     """
     worker = scene.add_worker(1)
     add_restricted_job(scene, "j", STEP)
-    answer(scene, "i-1")
+    answer_request(scene, "i-1")
     worker.born_ms += 1
     assert plan_round(scene.tables, POOL, NOW) == []
-    assert answer(scene, "i-1") == "j.0.0"
+    assert answer_request(scene, "i-1") == "j.0.0"
     assert len(plan_round(scene.tables, POOL, NOW)) == 1
 
 
-def test_advice_that_a_restart_overtook_is_not_for_the_next_life(scene: Scene):
+def test_advice_requested_before_a_restart_is_not_used_after_it(scene: Scene):
     worker = scene.add_worker(1)
     add_restricted_job(scene, "j", STEP)
-    question = choose_question(scene.tables, NOW)
-    assert question is not None
+    request = choose_advice_request(scene.tables, NOW)
+    assert request is not None
     worker.born_ms += 1
-    take_advice(question, {worker.id: "ticket"}, NOW + 3.0)
+    record_advice(request, {worker.id: "ticket"}, NOW + 3.0)
     assert plan_round(scene.tables, POOL, NOW) == []
--- a/packages/systems/tests/scheduling/test_crashes.py
+++ b/packages/systems/tests/scheduling/test_crashes.py
@@ -14,8 +14,8 @@
     note_worker_end,
 )
 from medlarspring_systems.scheduling.jobs import admit_job
-from medlarspring_systems.scheduling.listings import take_listing
-from medlarspring_systems.scheduling.recording import (
+from medlarspring_systems.scheduling.listings import apply_listing
+from medlarspring_systems.scheduling.progress_records import (
     encode_progress,
     restore_progress,
 )
@@ -250,7 +250,7 @@
     begin_life(scene.tables, worker, BORN_MS + 1, 10.0, NOW + 0.1)
     assert get_task(job).crashes.total == 1
     run.stop_confirmed_at = NOW + 0.2
-    take_listing(scene.tables, worker, [], [], NOW + 0.3, NOW + 0.3)
+    apply_listing(scene.tables, worker, [], [], NOW + 0.3, NOW + 0.3)
     assert get_task(job).crashes.total == 1
     assert get_task(job).runs == []
 
@@ -276,7 +276,7 @@
     (run,) = plan_round(scene.tables, POOL, NOW)
     run.life_ms, worker.born_ms = life_ms, BORN_MS + 1
     run.state, run.stop_confirmed_at = RunState.UNKNOWN, NOW + 0.2
-    take_listing(scene.tables, worker, [], [], NOW + 0.3, NOW + 0.3)
+    apply_listing(scene.tables, worker, [], [], NOW + 0.3, NOW + 0.3)
     assert get_task(job).crashes.total == total
 
 
--- a/packages/systems/tests/scheduling/test_demand.py
+++ b/packages/systems/tests/scheduling/test_demand.py
@@ -10,7 +10,7 @@
 from medlarspring_systems.scheduling.demand import project_demand
 from medlarspring_systems.scheduling.fleet import FleetTables
 from medlarspring_systems.scheduling.jobs import admit_job, open_due_occurrences
-from medlarspring_systems.scheduling.pool_needs import find_need
+from medlarspring_systems.scheduling.pool_needs import find_pool_need
 from medlarspring_tables import JobId, PoolId, Revision
 from medlarspring_tables.scheduling import (
     JobRecord,
@@ -51,7 +51,7 @@
     ages=st.lists(st.integers(0, 80), min_size=1, max_size=25),
     order=st.randoms(use_true_random=False),
 )
-def test_rebuilt_demand_is_what_the_predecessor_believed(ages, order):  # type: ignore[no-untyped-def]
+def test_rebuilt_demand_matches_the_previous_controller(ages, order):  # type: ignore[no-untyped-def]
     """
     Jobs come over eight seconds; a controller that saw each of them come and one
     that loads all of them now, in the order of their ids, believe the same of the
@@ -69,7 +69,7 @@
         assert getattr(second, name) == pytest.approx(getattr(first, name), abs=1e-3)
 
 
-def test_pool_whose_turn_is_over_does_not_grow_after_a_takeover(scene: Scene):
+def test_pool_does_not_grow_after_a_takeover_once_its_burst_is_over(scene: Scene):
     """
     A queue's turn ended five seconds ago; what is left of it runs when the
     controller is replaced. Counted as if all of it had just come, it made the pool
@@ -79,24 +79,28 @@
         scene.add_worker(number)
     for number in range(40):
         scene.add_job(f"{number:016x}", LONG, age=5.0 + number / 10)
-    fleet = FleetTables(sizes_known=True, first_sizes={POOL: 4})
+    fleet = FleetTables(initial_sizes_known=True, initial_sizes={POOL: 4})
     scene.tables.config.queues_by_id[QueueId("lookup")] = scene.create_queue()
     for job in scene.tables.jobs_by_id.values():
         for step in job.occurrences_by_index[0]:
             step.waiting.clear()
-    needs = [find_need(scene.tables, fleet, POOL, NOW + at / 5).vms for at in range(20)]
+    needs = [
+        find_pool_need(scene.tables, fleet, POOL, NOW + at / 5).vms for at in range(20)
+    ]
     assert max(needs) <= 4
 
 
-def test_late_job_still_counts_as_work_that_waits(scene: Scene):
+def test_late_job_still_counts_as_waiting_work(scene: Scene):
     scene.add_worker(0)
     scene.add_job("00000000000000aa", LONG, age=9.0)
-    need = find_need(scene.tables, FleetTables(sizes_known=True), POOL, NOW)
+    need = find_pool_need(
+        scene.tables, FleetTables(initial_sizes_known=True), POOL, NOW
+    )
     assert need.incoming_millis == 0.0
     assert need.waiting_millis > 0.0
 
 
-def test_entry_vm_whose_clock_is_behind_makes_no_new_job_late(scene: Scene):
+def test_slow_entry_vm_clock_does_not_make_a_new_job_late(scene: Scene):
     """
     The clock of the entry VM that accepted a job is an hour behind. Its job is not
     late for that: without a time of its own it counts from its arrival.
--- a/packages/systems/tests/scheduling/test_lease_plan.py
+++ b/packages/systems/tests/scheduling/test_lease_plan.py
@@ -5,9 +5,9 @@
 import pytest
 
 from medlarspring_systems.scheduling.lease_plan import (
-    extend_lease,
-    limit_start,
-    plan_wait,
+    plan_hold_wait,
+    plan_lease_end,
+    plan_start_deadline,
 )
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_systems.scheduling.workers import note_clock
@@ -25,11 +25,11 @@
 
 POOL = PoolId("consent")
 NOW = 1_000.0
-LONGEST = 10.0
+MAX_LEASE_SECONDS = 10.0
 CLOCK_MS = 480_000
 
 
-def leave(worker: Worker, run: Run) -> None:
+def leave_unchanged(worker: Worker, run: Run) -> None:
     pass
 
 
@@ -41,55 +41,55 @@
     run.state = RunState.UNKNOWN
 
 
-def fall_silent(worker: Worker, run: Run) -> None:
+def stop_answering(worker: Worker, run: Run) -> None:
     worker.unanswered_since = NOW
 
 
-def unsettle(worker: Worker, run: Run) -> None:
+def mark_unsettled(worker: Worker, run: Run) -> None:
     worker.settled = False
 
 
 @pytest.mark.parametrize(
-    ("change", "look_now", "wait_ms"),
+    ("change", "immediate", "wait_ms"),
     [
-        (leave, False, 500),
-        (leave, True, 0),
+        (leave_unchanged, False, 500),
+        (leave_unchanged, True, 0),
         (stop, False, 50),
         (lose_answer, False, 50),
-        (fall_silent, False, 0),
-        (unsettle, False, 0),
+        (stop_answering, False, 0),
+        (mark_unsettled, False, 0),
     ],
 )
-def test_how_long_a_worker_may_hold_its_answer_back(
-    scene: Scene, change: Callable[[Worker, Run], None], look_now: bool, wait_ms: int
+def test_hold_wait_by_worker_state(
+    scene: Scene, change: Callable[[Worker, Run], None], immediate: bool, wait_ms: int
 ):
     worker = scene.add_worker(1)
     scene.add_job("j", create_step())
     (run,) = plan_round(scene.tables, POOL, NOW)
     change(worker, run)
-    assert plan_wait(worker, look_now=look_now) == wait_ms
+    assert plan_hold_wait(worker, immediate=immediate) == wait_ms
 
 
-def test_idle_worker_is_not_waited_for(scene: Scene):
-    assert plan_wait(scene.add_worker(1), look_now=False) == 0
+def test_idle_worker_gets_no_hold_wait(scene: Scene):
+    assert plan_hold_wait(scene.add_worker(1), immediate=False) == 0
 
 
-def test_leases_are_asked_for_below_the_longest(scene: Scene):
+def test_lease_end_stays_below_the_maximum(scene: Scene):
     worker = scene.add_worker(1)
     note_clock(worker, CLOCK_MS, NOW)
-    assert extend_lease(worker, LONGEST, NOW + 1.0) == CLOCK_MS + 10_500
+    assert plan_lease_end(worker, MAX_LEASE_SECONDS, NOW + 1.0) == CLOCK_MS + 10_500
     assert worker.lease_ms == CLOCK_MS + 10_500
 
 
-def test_start_extends_no_lease_that_is_longer(scene: Scene):
+def test_start_deadline_does_not_shorten_a_longer_lease(scene: Scene):
     worker = scene.add_worker(1)
     note_clock(worker, CLOCK_MS, NOW)
-    extend_lease(worker, LONGEST, NOW)
-    assert limit_start(worker, NOW) == CLOCK_MS + 1_500
+    plan_lease_end(worker, MAX_LEASE_SECONDS, NOW)
+    assert plan_start_deadline(worker, NOW) == CLOCK_MS + 1_500
     assert worker.lease_ms == CLOCK_MS + 9_500
 
 
-def test_silent_worker_gets_no_longer_lease(scene: Scene):
+def test_unresponsive_worker_gets_no_lease_extension(scene: Scene):
     """
     A worker answers nothing and runs on. An extension that reached it unheard would
     keep its runs alive for longer than this controller knows.
@@ -97,5 +97,5 @@
     worker = scene.add_worker(1)
     note_clock(worker, CLOCK_MS, NOW)
     worker.unanswered_since = NOW
-    assert extend_lease(worker, LONGEST, NOW) == 0
+    assert plan_lease_end(worker, MAX_LEASE_SECONDS, NOW) == 0
     assert worker.lease_ms == 0
--- a/packages/systems/tests/scheduling/test_listings.py
+++ b/packages/systems/tests/scheduling/test_listings.py
@@ -5,7 +5,7 @@
 import pytest
 
 from medlarspring_systems.scheduling.jobs import forget_job
-from medlarspring_systems.scheduling.listings import take_listing
+from medlarspring_systems.scheduling.listings import apply_listing
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_systems.scheduling.runs import confirm_run, detach_run
 from medlarspring_tables import PoolId
@@ -30,7 +30,7 @@
 STEP = StepSpec(count=1, cpu_millis=2_000, memory_mb=1_000, estimate_ms=500)
 
 
-def start_one(scene: Scene, state: RunState = RunState.RUNNING) -> Run:
+def start_run(scene: Scene, state: RunState = RunState.RUNNING) -> Run:
     scene.add_worker(1)
     scene.add_job("j", STEP)
     (run,) = plan_round(scene.tables, POOL, NOW)
@@ -42,17 +42,17 @@
     return run
 
 
-def listen(scene: Scene, run: Run, running, ended, asked_at=NOW + 0.1):  # type: ignore[no-untyped-def]
-    return take_listing(
+def apply(scene: Scene, run: Run, running, ended, asked_at=NOW + 0.1):  # type: ignore[no-untyped-def]
+    return apply_listing(
         scene.tables, run.worker, running, ended, asked_at, asked_at + 0.01
     )
 
 
-def test_end_is_taken_once_however_often_it_is_listed(scene: Scene):
-    run = start_one(scene)
+def test_repeated_listing_applies_an_end_once(scene: Scene):
+    run = start_run(scene)
     row = EndedRow(1, run.task.id, 1, RunEnd.FAILED, "")
-    first = listen(scene, run, [], [row])
-    second = listen(scene, run, [], [row])
+    first = apply(scene, run, [], [row])
+    second = apply(scene, run, [], [row])
     assert [end for _, end in first.ended] == [RunEnd.FAILED]
     assert (second.ended, second.ends) == ([], [])
     assert run.task.failures == 1
@@ -69,8 +69,8 @@
     hold's answer was made before the start and comes after it; taken for the
     loss of the run, it would start the task a second time.
     """
-    run = start_one(scene)
-    outcome = listen(scene, run, [], [], asked_at)
+    run = start_run(scene)
+    outcome = apply(scene, run, [], [], asked_at)
     assert (outcome.lost == [run]) is is_lost
 
 
@@ -80,54 +80,54 @@
     listed means only "not yet"; after a confirmed stop of its number it can't
     begin any more, and the task may run elsewhere.
     """
-    run = start_one(scene, RunState.UNKNOWN)
-    assert listen(scene, run, [], []).absent == [run]
+    run = start_run(scene, RunState.UNKNOWN)
+    assert apply(scene, run, [], []).absent == [run]
     run.stop_confirmed_at = NOW + 0.2
-    assert listen(scene, run, [], [], NOW + 0.15).lost == []
-    assert listen(scene, run, [], [], NOW + 0.25).lost == [run]
+    assert apply(scene, run, [], [], NOW + 0.15).lost == []
+    assert apply(scene, run, [], [], NOW + 0.25).lost == [run]
     assert run.task.runs == []
 
 
-def test_done_end_of_a_run_believed_not_begun_counts(scene: Scene):
+def test_success_of_a_run_assumed_not_started_counts(scene: Scene):
     """
     A start believed lost was carried out and ended. Once its end is
     acknowledged, a further start of the task would be a second run.
     """
-    run = start_one(scene)
+    run = start_run(scene)
     task = run.task
     detach_run(scene.tables, run, NOW)
     row = EndedRow(1, task.id, 1, RunEnd.DONE, "")
-    outcome = listen(scene, run, [], [row])
+    outcome = apply(scene, run, [], [row])
     assert task.done
     assert outcome.ends == [(1, task.step.job)]
     assert plan_round(scene.tables, POOL, NOW + 1.0) == []
 
 
-def test_run_believed_not_begun_is_adopted_while_its_task_waits(scene: Scene):
-    run = start_one(scene)
+def test_run_assumed_not_started_is_adopted_while_its_task_waits(scene: Scene):
+    run = start_run(scene)
     detach_run(scene.tables, run, NOW)
-    outcome = listen(scene, run, [RunningRow(run.task.id, 1, "", 5)], [])
+    outcome = apply(scene, run, [RunningRow(run.task.id, 1, "", 5)], [])
     assert [each.number for each in outcome.adopted] == [1]
     assert plan_round(scene.tables, POOL, NOW + 1.0) == []
 
 
-def test_run_of_an_ended_job_is_a_stranger(scene: Scene):
-    run = start_one(scene)
+def test_run_of_an_ended_job_is_unexpected(scene: Scene):
+    run = start_run(scene)
     task = run.task
     detach_run(scene.tables, run, NOW)
     forget_job(scene.tables, task.step.job, NOW)
-    outcome = listen(scene, run, [RunningRow(task.id, 1, "", 5)], [])
-    assert outcome.strangers == [(task.id, 1)]
+    outcome = apply(scene, run, [RunningRow(task.id, 1, "", 5)], [])
+    assert outcome.unexpected_runs == [(task.id, 1)]
 
 
-def test_progress_and_checkpoints_are_taken_over(scene: Scene):
-    run = start_one(scene)
-    listen(scene, run, [RunningRow(run.task.id, 1, "saved", 40, 1_900)], [])
+def test_listing_updates_progress_and_checkpoint(scene: Scene):
+    run = start_run(scene)
+    apply(scene, run, [RunningRow(run.task.id, 1, "saved", 40, 1_900)], [])
     assert (run.percent, run.advanced_at, run.gauge) == (40, NOW + 0.11, 1_900)
     assert run.task.checkpoint == "saved"
 
 
-def test_end_of_one_member_that_was_given_up_completes_its_whole_gang(scene: Scene):
+def test_end_of_a_detached_gang_member_completes_the_whole_gang(scene: Scene):
     """
     An order to a member of a gang goes unanswered and is given up as stopped; the
     gang had run, and lists its one end, which stands for all members. Taken for
@@ -139,5 +139,5 @@
     for run in runs:
         detach_run(scene.tables, run, NOW + 0.1)
     row = EndedRow(1, runs[0].task.id, 1, RunEnd.DONE, "")
-    take_listing(scene.tables, runs[0].worker, [], [row], NOW + 0.2, NOW + 0.2)
+    apply_listing(scene.tables, runs[0].worker, [], [row], NOW + 0.2, NOW + 0.2)
     assert job.outcome is JobOutcome.COMPLETE
--- a/packages/systems/tests/scheduling/test_maintenance_waves.py
+++ b/packages/systems/tests/scheduling/test_maintenance_waves.py
@@ -7,9 +7,9 @@
     FleetTables,
     MaintainVM,
     MoveVM,
-    note_done,
-    note_operation,
-    take_wave,
+    record_operation_done,
+    record_operation_sent,
+    record_wave_order,
 )
 from medlarspring_systems.scheduling.fleet_plan import plan_operations
 from medlarspring_systems.scheduling.rounds import plan_round
@@ -26,14 +26,14 @@
 POOL = PoolId("consent")
 NOW = 1_000.0
 LIMITS = FleetLimits()
-LASTING = StepSpec(
+LONG_RUNNING = StepSpec(
     count=2, cpu_millis=2_000, memory_mb=1_000, long_running=True, max_unavailable=1
 )
 
 
-def order_wave(fleet: FleetTables, *numbers: int, most: int = 2) -> None:
+def order_wave(fleet: FleetTables, *numbers: int, max_at_once: int = 2) -> None:
     vm_ids = tuple(VMId(f"m-{number}") for number in numbers)
-    take_wave(fleet, WaveOrder(WaveId("1"), vm_ids, 25.0, most), NOW)
+    record_wave_order(fleet, WaveOrder(WaveId("1"), vm_ids, 25.0, max_at_once), NOW)
 
 
 def plan(scene: Scene, fleet: FleetTables, now: float = NOW) -> FleetPlan:
@@ -45,7 +45,9 @@
     return [each.vm_id for each in found.operations if isinstance(each, MaintainVM)]
 
 
-def serve(scene: Scene, spec: StepSpec = LASTING, since: float = NOW - 5) -> list[Run]:
+def start_long_running(
+    scene: Scene, spec: StepSpec = LONG_RUNNING, since: float = NOW - 5
+) -> list[Run]:
     scene.add_job("lasting", spec)
     runs = plan_round(scene.tables, POOL, NOW)
     for run in runs:
@@ -54,57 +56,57 @@
     return runs
 
 
-def test_no_more_vms_go_down_than_the_wave_allows(scene: Scene):
-    fleet = FleetTables(sizes_known=True)
+def test_wave_takes_down_at_most_max_at_once_vms(scene: Scene):
+    fleet = FleetTables(initial_sizes_known=True)
     for number in range(1, 5):
         scene.add_vm(number)
-    order_wave(fleet, 1, 2, 3, 4, most=2)
+    order_wave(fleet, 1, 2, 3, 4, max_at_once=2)
     first = plan(scene, fleet)
     assert list_maintained(first) == ["m-1", "m-2"]
     for operation in first.operations:
-        note_operation(scene.tables, fleet, operation, NOW)
-        note_done(fleet, operation)
+        record_operation_sent(scene.tables, fleet, operation, NOW)
+        record_operation_done(fleet, operation)
     assert list_maintained(plan(scene, fleet, NOW + 1.0)) == []
     assert list_maintained(plan(scene, fleet, NOW + 2.5)) == ["m-3", "m-4"]
 
 
 def test_wave_is_complete_only_when_each_vm_had_its_maintenance(scene: Scene):
-    fleet = FleetTables(sizes_known=True)
+    fleet = FleetTables(initial_sizes_known=True)
     scene.add_vm(1)
     order_wave(fleet, 1)
     (wave,) = fleet.waves_by_id.values()
     (operation,) = plan(scene, fleet).operations
-    note_operation(scene.tables, fleet, operation, NOW)
+    record_operation_sent(scene.tables, fleet, operation, NOW)
     plan(scene, fleet, NOW + 1.0)
     assert not wave.complete
-    note_done(fleet, operation)
+    record_operation_done(fleet, operation)
     plan(scene, fleet, NOW + 1.0)
     assert wave.complete
 
 
-def test_long_running_tasks_leave_one_after_the_other(scene: Scene):
+def test_long_running_tasks_of_a_step_are_stopped_one_at_a_time(scene: Scene):
     """
     Two tasks of a step serve on a VM that is due. Stopped together, the step
     would serve nobody for a second, although it allows one task to be away.
     """
     scene.add_worker(1)
-    runs = serve(scene)
+    runs = start_long_running(scene)
     scene.add_worker(2)
-    fleet = FleetTables(sizes_known=True)
+    fleet = FleetTables(initial_sizes_known=True)
     order_wave(fleet, 1)
     found = plan(scene, fleet)
     assert [run for run, _ in found.stops] == runs[:1]
     assert plan(scene, fleet).stops == []
 
 
-def test_task_on_a_worker_silent_for_a_moment_counts_as_serving(scene: Scene):
+def test_unresponsive_workers_block_stops_of_long_running_tasks(scene: Scene):
     """
     A worker misses one call while its zone is busy. Its long-running task still
     serves; taken for away already, it would be stopped on top of the one that
     really is away.
     """
     first, second = scene.add_worker(1, cpu=2_000), scene.add_worker(2, cpu=2_000)
-    runs = serve(scene)
+    runs = start_long_running(scene)
     scene.add_worker(3)
     first.unanswered_since = second.unanswered_since = NOW
     assert not any(may_stop_long_run(scene.tables, run, NOW) for run in runs)
@@ -116,9 +118,9 @@
     and the long-running tasks could not leave, so the wave stood still for ever.
     """
     scene.add_worker(1)
-    serve(scene)
+    start_long_running(scene)
     scene.add_vm(9)
-    fleet = FleetTables(sizes_known=True)
+    fleet = FleetTables(initial_sizes_known=True)
     order_wave(fleet, 1)
     found = plan(scene, fleet)
     assert found.stops == []
@@ -130,7 +132,7 @@
     assert plan(scene, fleet).stops
 
 
-def test_new_controller_drains_only_what_it_has_seen_at_work_for_a_while(
+def test_new_controller_waits_before_stopping_long_running_tasks(
     scene: Scene,
 ):
     """
@@ -138,10 +140,10 @@
     Its worker still lists the task at work, so its successor stopped another one of
     the same step: two were away where one may be.
     """
-    fleet = FleetTables(sizes_known=True)
+    fleet = FleetTables(initial_sizes_known=True)
     for number in range(1, 4):
         scene.add_worker(number)
-    serve(scene, since=NOW)
+    start_long_running(scene, since=NOW)
     order_wave(fleet, 1)
     assert plan(scene, fleet, NOW + 0.1).stops == []
     assert plan(scene, fleet, NOW + 0.5).stops == []
--- a/packages/systems/tests/scheduling/test_pacing.py
+++ b/packages/systems/tests/scheduling/test_pacing.py
@@ -15,60 +15,60 @@
 
 POOL = PoolId("consent")
 NOW = 1_000.0
-IMPACT_SECONDS = 4.0
+MAX_IMPACT_SECONDS = 4.0
 """The platform allows a missed target for no longer."""
 SERVING = StepSpec(
     count=1, cpu_millis=2_000, memory_mb=500, long_running=True, latency_target_ms=100
 )
-FILLING = StepSpec(count=1, cpu_millis=8_000, memory_mb=500, uses_leftover=True)
+BEST_EFFORT = StepSpec(count=1, cpu_millis=8_000, memory_mb=500, uses_leftover=True)
 
 
 def start_both(scene: Scene) -> tuple[Run, Run]:
     scene.add_worker(1)
     scene.add_job("serving", SERVING)
-    scene.add_job("filling", FILLING)
-    serving, filling = plan_round(scene.tables, POOL, NOW)
-    for run in (serving, filling):
+    scene.add_job("filling", BEST_EFFORT)
+    serving, best_effort = plan_round(scene.tables, POOL, NOW)
+    for run in (serving, best_effort):
         confirm_run(run, NOW)
-    return serving, filling
+    return serving, best_effort
 
 
-def test_what_fills_takes_no_counted_processors(scene: Scene):
+def test_best_effort_task_reserves_no_cpu(scene: Scene):
     start_both(scene)
     assert scene.tables.workers_by_id["i-1"].cpu_free == 14_000  # type: ignore[index]
 
 
-def test_filling_task_is_stopped_well_within_the_limit_while_the_target_is_missed(
+def test_best_effort_task_stops_well_before_the_impact_limit(
     scene: Scene,
 ):
     """
     A task that fills keeps a neighbour over its latency target whatever its pace.
     Halved again and again, it would still work when the limit is reached.
     """
-    serving, filling = start_both(scene)
+    serving, best_effort = start_both(scene)
     serving.gauge = 250
     now = NOW
-    while filling.pace_percent:
+    while best_effort.pace_percent:
         now += 0.1
         plan_paces(scene.tables, now)
-    assert now - NOW < IMPACT_SECONDS - 0.5
+    assert now - NOW < MAX_IMPACT_SECONDS - 0.5
 
 
-def test_pace_rises_slowly_while_there_is_room_and_rests_in_between(scene: Scene):
-    serving, filling = start_both(scene)
-    filling.pace_percent, filling.paced_at = 30, NOW
+def test_pace_rises_in_steps_while_latency_is_low(scene: Scene):
+    serving, best_effort = start_both(scene)
+    best_effort.pace_percent, best_effort.paced_at = 30, NOW
     serving.gauge = 90
     assert plan_paces(scene.tables, NOW + 10.0) == []
     serving.gauge = 40
-    assert plan_paces(scene.tables, NOW + 10.0) == [(filling, 45)]
+    assert plan_paces(scene.tables, NOW + 10.0) == [(best_effort, 45)]
     assert plan_paces(scene.tables, NOW + 10.5) == []
 
 
-def test_filling_task_goes_where_nothing_serves_with_a_target(scene: Scene):
+def test_best_effort_task_avoids_workers_with_latency_targets(scene: Scene):
     scene.add_worker(1)
     scene.add_job("serving", SERVING)
     plan_round(scene.tables, POOL, NOW)
     scene.add_worker(2)
-    scene.add_job("filling", FILLING)
+    scene.add_job("filling", BEST_EFFORT)
     (run,) = plan_round(scene.tables, POOL, NOW)
     assert run.worker.id == "i-2"
--- a/packages/systems/tests/scheduling/test_pool_sizing.py
+++ b/packages/systems/tests/scheduling/test_pool_sizing.py
@@ -7,9 +7,13 @@
 import pytest
 
 from medlarspring_systems.scheduling.evidence import doubt_worker
-from medlarspring_systems.scheduling.fleet import FleetTables, MoveVM, note_operation
+from medlarspring_systems.scheduling.fleet import (
+    FleetTables,
+    MoveVM,
+    record_operation_sent,
+)
 from medlarspring_systems.scheduling.fleet_plan import plan_operations
-from medlarspring_systems.scheduling.pool_needs import find_need
+from medlarspring_systems.scheduling.pool_needs import find_pool_need
 from medlarspring_tables import PoolId
 from medlarspring_tables.scheduling import (
     FleetLimits,
@@ -38,59 +42,65 @@
         scene.add_worker(number)
     for number in range(10, 30):
         scene.add_vm(number)
-    fleet = FleetTables(sizes_known=True, first_sizes={POOL: 4})
+    fleet = FleetTables(initial_sizes_known=True, initial_sizes={POOL: 4})
     scene.tables.config.queues_by_id[QUEUE] = scene.create_queue()
     return fleet
 
 
-def arrive(scene: Scene, fleet: FleetTables, step: StepSpec, per_second, seconds):  # type: ignore[no-untyped-def]
+def replay_arrivals(
+    scene: Scene, fleet: FleetTables, step: StepSpec, per_second, seconds
+):  # type: ignore[no-untyped-def]
     """Let jobs come at a rate that may change, and return the need each 0.2 s.
 
     Each job is served within its estimate.
     """
-    needs, due, made, served = [], 0.0, 0, []
+    needs, due, submitted, served = [], 0.0, 0, []
     for tick in range(int(seconds / 0.2)):
         now = NOW + tick * 0.2
         while served and served[0][0] <= now:
             scene.drop_job(served.pop(0)[1])
         due += per_second(tick * 0.2) * 0.2
-        while made < due:
-            job = scene.add_job(f"{made:016x}", step, now=now)
+        while submitted < due:
+            job = scene.add_job(f"{submitted:016x}", step, now=now)
             served.append((now + step.estimate_ms / 1_000.0, job))
-            made += 1
-        needs.append(find_need(scene.tables, fleet, POOL, now).vms)
+            submitted += 1
+        needs.append(find_pool_need(scene.tables, fleet, POOL, now).vms)
     return needs
 
 
-def test_pool_grows_with_the_first_second_of_a_turn(scene: Scene, fleet: FleetTables):
+def test_pool_grows_within_the_first_second_of_a_burst(
+    scene: Scene, fleet: FleetTables
+):
     """
     Short jobs come at ten a second from one moment to the next. Sized by what
     waits, the pool would call for VMs when the first jobs are late already.
     """
-    needs = arrive(scene, fleet, SHORT, lambda at: 10.0, 1.0)
+    needs = replay_arrivals(scene, fleet, SHORT, lambda at: 10.0, 1.0)
     steady = 10.0 * 6 * 2_000 * 0.6 / VM_MILLIS
     assert needs[-1] >= steady
 
 
-def test_work_is_not_counted_as_incoming_and_as_waiting(
+def test_work_is_not_counted_both_as_incoming_and_as_waiting(
     scene: Scene, fleet: FleetTables
 ):
     """
     While VMs are on their way all work waits. Counted twice, it called for twice
     the VMs that the turn then needed.
     """
-    needs = arrive(scene, fleet, SHORT, lambda at: 10.0, 0.6)
-    need = find_need(scene.tables, fleet, POOL, NOW + 0.5)
+    needs = replay_arrivals(scene, fleet, SHORT, lambda at: 10.0, 0.6)
+    need = find_pool_need(scene.tables, fleet, POOL, NOW + 0.5)
     assert need.waiting_millis == 0.0
     assert needs[-1] <= 14
 
 
-def test_jobs_that_can_wait_are_served_by_the_mean(scene: Scene, fleet: FleetTables):
+def test_pool_of_jobs_that_can_wait_is_sized_by_mean_demand(
+    scene: Scene, fleet: FleetTables
+):
     """
     Each job is worth two VMs by itself and can wait for three seconds. Following
     every job up and down, the pool paid for half as many VMs again.
     """
-    needs = arrive(scene, fleet, LONG, lambda at: 0.5, 12.0)
+    needs = replay_arrivals(scene, fleet, LONG, lambda at: 0.5, 12.0)
     steady = 0.5 * 8 * 4_000 * 4.0 / VM_MILLIS
     assert max(needs) <= 1.6 * steady
 
@@ -100,18 +110,16 @@
     [(None, 4), (SHORT, 3), (LONG, 1)],
     ids=["no-work-yet", "cannot-wait", "can-wait"],
 )
-def test_what_a_pool_keeps_without_work(
+def test_minimum_pool_size_without_work(
     scene: Scene, fleet: FleetTables, step: StepSpec | None, kept: int
 ):
     if step is not None:
         job = scene.add_job("j", step)
         scene.drop_job(job)
-    assert find_need(scene.tables, fleet, POOL, NOW + 30.0).vms == kept
+    assert find_pool_need(scene.tables, fleet, POOL, NOW + 30.0).vms == kept
 
 
-def test_vm_goes_to_standby_only_after_its_pool_needed_it_for_long(
-    scene: Scene, fleet: FleetTables
-):
+def test_idle_vm_moves_to_standby_only_after_a_delay(scene: Scene, fleet: FleetTables):
     """
     Demand falls for a moment between two jobs. A VM sent away then would be called
     back at once, and its work would wait for it.
@@ -149,7 +157,7 @@
         scene.add_worker(number, pool=other)
     for number in range(10, 10 + standby):
         scene.add_vm(number)
-    fleet = FleetTables(sizes_known=True, first_sizes={POOL: 1, other: 5})
+    fleet = FleetTables(initial_sizes_known=True, initial_sizes={POOL: 1, other: 5})
     scene.tables.vms_read_at = NOW
     for number in range(6):
         scene.add_job(f"{number:016x}", SHORT, now=NOW)
@@ -160,7 +168,7 @@
 
 
 @pytest.mark.parametrize(("has", "kept"), [(4, 4), (1, 1), (9, 4)])
-def test_idle_pool_is_not_grown_back_by_a_new_controller(
+def test_new_controller_does_not_grow_an_idle_pool(
     scene: Scene, fleet: FleetTables, has: int, kept: int
 ):
     """
@@ -168,14 +176,14 @@
     taken for pools that never had work, all of them were grown to their first
     size, with VMs that a queue's turn was waiting for.
     """
-    fleet.have_by_pool = {POOL: has}
-    assert find_need(scene.tables, fleet, POOL, NOW).vms == kept
+    fleet.vm_counts_by_pool = {POOL: has}
+    assert find_pool_need(scene.tables, fleet, POOL, NOW).vms == kept
 
 
-LASTING = StepSpec(count=1, cpu_millis=1_000, memory_mb=1_000, long_running=True)
+LONG_RUNNING = StepSpec(count=1, cpu_millis=1_000, memory_mb=1_000, long_running=True)
 
 
-def set_aside(worker: Worker) -> None:
+def quarantine(worker: Worker) -> None:
     doubt_worker(worker, WorkerDoubt.FAILING, NOW)
 
 
@@ -188,41 +196,41 @@
 
 
 @pytest.mark.parametrize(
-    ("spoil", "spec", "waited", "calls"),
+    ("prepare", "spec", "waited", "calls"),
     [
-        (set_aside, LASTING, 1.5, True),
-        (set_aside, LASTING, 0.5, False),
-        (fill_with_batch, LASTING, 1.5, False),
-        (leave_open, LASTING, 1.5, False),
-        (set_aside, SHORT, 1.5, False),
+        (quarantine, LONG_RUNNING, 1.5, True),
+        (quarantine, LONG_RUNNING, 0.5, False),
+        (fill_with_batch, LONG_RUNNING, 1.5, False),
+        (leave_open, LONG_RUNNING, 1.5, False),
+        (quarantine, SHORT, 1.5, False),
     ],
     ids=["set-aside", "only-just", "room-after-preemption", "open", "no-lasting-task"],
 )
-def test_lasting_task_that_no_worker_takes_calls_another_vm(  # type: ignore[no-untyped-def]
-    scene: Scene, spoil, spec: StepSpec, waited: float, calls: bool
+def test_unplaceable_long_running_task_adds_a_vm(  # type: ignore[no-untyped-def]
+    scene: Scene, prepare, spec: StepSpec, waited: float, calls: bool
 ):
     """
     Both VMs of an idle pool are set aside for seconds. They count as the pool's
     VMs, so it wanted no other, and its lasting task waited until one was tried.
     """
-    fleet = FleetTables(sizes_known=True, have_by_pool={POOL: 2})
+    fleet = FleetTables(initial_sizes_known=True, vm_counts_by_pool={POOL: 2})
     for number in (1, 2):
-        spoil(scene.add_worker(number))
+        prepare(scene.add_worker(number))
     scene.add_job("j", spec)
-    need = find_need(scene.tables, fleet, POOL, NOW + waited)
+    need = find_pool_need(scene.tables, fleet, POOL, NOW + waited)
     assert (need.busy_vms == 3) is calls
 
 
-def test_one_vm_is_called_at_a_time_for_a_task_that_is_shut_out(scene: Scene):
+def test_unplaceable_task_adds_one_vm_at_a_time(scene: Scene):
     """
     A VM takes 1.5 s to come. Called again at each look until it is there, half of
     the fleet would be on its way for one task.
     """
-    fleet = FleetTables(sizes_known=True)
-    set_aside(scene.add_worker(1))
+    fleet = FleetTables(initial_sizes_known=True)
+    quarantine(scene.add_worker(1))
     for number in range(10, 20):
         scene.add_vm(number)
-    scene.add_job("j", LASTING)
+    scene.add_job("j", LONG_RUNNING)
     moves = []
     for tick in range(12):
         now = NOW + 1.2 + tick * 0.1
@@ -230,5 +238,5 @@
         plan = plan_operations(scene.tables, fleet, FleetLimits(), now)
         for operation in plan.operations:
             moves.append(operation)
-            note_operation(scene.tables, fleet, operation, now)
+            record_operation_sent(scene.tables, fleet, operation, now)
     assert len(moves) == 1
--- a/packages/systems/tests/scheduling/test_workers.py
+++ b/packages/systems/tests/scheduling/test_workers.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from medlarspring_systems.scheduling.listings import take_listing
+from medlarspring_systems.scheduling.listings import apply_listing
 from medlarspring_systems.scheduling.rounds import plan_round
 from medlarspring_systems.scheduling.runs import confirm_run
 from medlarspring_systems.scheduling.workers import (
@@ -157,7 +157,7 @@
 
 def list_runs(scene: Scene, worker: Worker, runs: list[Run], at: float) -> None:
     rows = [RunningRow(run.task.id, run.number, "", 10) for run in runs]
-    take_listing(scene.tables, worker, rows, [], at, at + 0.01)
+    apply_listing(scene.tables, worker, rows, [], at, at + 0.01)
 
 
 def test_what_a_former_life_listed_is_over_with_it(scene: Scene):
@@ -189,10 +189,10 @@
 def test_ends_of_the_next_life_are_counted_from_one(scene: Scene):
     worker, (first, second) = start_runs(scene, RunState.RUNNING, RunState.UNKNOWN)
     end = EndedRow(40, first.task.id, 1, RunEnd.DONE, "")
-    take_listing(scene.tables, worker, [], [end], NOW + 0.1, NOW + 0.1)
+    apply_listing(scene.tables, worker, [], [end], NOW + 0.1, NOW + 0.1)
     begin_life(scene.tables, worker, NEXT_MS, LONGEST_LEASE, NOW + 1.0)
     end = EndedRow(1, second.task.id, 1, RunEnd.DONE, "")
-    outcome = take_listing(scene.tables, worker, [], [end], NOW + 1.1, NOW + 1.1)
+    outcome = apply_listing(scene.tables, worker, [], [end], NOW + 1.1, NOW + 1.1)
     assert [run for run, _ in outcome.ended] == [second]
 
 
