--- a/packages/systems/src/medlarspring_systems/scheduling/__init__.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/__init__.py
@@ -1,3 +1,3 @@
-"""Scheduling of jobs on workers: pure decisions over ``WorkTables``."""
+"""Job scheduling on workers: pure functions over ``WorkTables``."""
 
 from __future__ import annotations
--- a/packages/systems/src/medlarspring_systems/scheduling/advice_requests.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/advice_requests.py
@@ -1,8 +1,8 @@
-"""For which step to ask the adviser next, and about which workers.
+"""Selection of the step and the workers to ask the adviser about next.
 
-The adviser serves one call of this process at a time and takes longer the more
-workers a call names. Steps that wait come first, by their rank; steps that will
-follow are asked for ahead, while nothing waits for it.
+The adviser serves one call of this process at a time, and a call takes longer the
+more workers it names. Steps with waiting tasks come first, in rank order. Advice for
+steps that are not ready yet is requested only when no waiting step needs any.
 """
 
 from __future__ import annotations
@@ -29,9 +29,12 @@
     )
 
 MAX_WORKERS_PER_REQUEST = 30
-"""Workers named in one call; the customers' objective counts on about so many."""
+"""Maximum number of workers named in one call.
+
+The customers' completion objective allows for calls of about this size.
+"""
 RENEWAL_MARGIN_SECONDS = 0.3
-"""Advice that lapses sooner is asked for again."""
+"""Advice is requested again when it expires within this time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,21 +43,21 @@
 
     step: StepRun
     incarnations_by_worker: dict[WorkerId, Milliseconds]
-    """The workers that it names, with the starts of their lives."""
+    """Start of the current incarnation in Unix milliseconds, by named worker."""
 
     @property
     def worker_ids(self) -> tuple[WorkerId, ...]:
-        """The workers that it names."""
+        """The workers that the call asks about."""
         return tuple(self.incarnations_by_worker)
 
     @property
     def step_id(self) -> str:
-        """The step's name at the adviser."""
+        """The step's identifier in the call to the adviser."""
         return f"{self.step.job.id}.{self.step.occurrence}.{self.step.index}"
 
 
 def choose_advice_request(tables: WorkTables, now: Seconds) -> AdviceRequest | None:
-    """Return the most urgent question, or None if all advice is there."""
+    """Return the most urgent request, or None if no advice is missing."""
     waiting, upcoming = _list_steps(tables)
     for step in sorted(waiting, key=lambda step: rank_step(step, now)):
         request = _build_request(tables, step, now)
@@ -84,7 +87,11 @@
 def _build_request(
     tables: WorkTables, step: StepRun, now: Seconds
 ) -> AdviceRequest | None:
-    """Return a question about workers of whom nothing fresh is known."""
+    """Return a request about workers without current advice, or None.
+
+    No request is needed if the workers that are already allowed have enough free
+    capacity for all waiting tasks.
+    """
     workers = list_open_workers(tables, step.job.queue.pool_id, now)
     unadvised = [
         worker for worker in workers if not _has_current_advice(step, worker, now)
@@ -121,7 +128,7 @@
     tickets_by_worker: dict[WorkerId, str],
     valid_until: Seconds,
 ) -> None:
-    """Enter what the adviser said; workers that it left out are not allowed."""
+    """Store the adviser's answer; the step may not run on workers that it omits."""
     for worker_id, life_ms in request.incarnations_by_worker.items():
         text = tickets_by_worker.get(worker_id, "")
         request.step.tickets[worker_id] = Ticket(text, valid_until, life_ms)
--- a/packages/systems/src/medlarspring_systems/scheduling/availability.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/availability.py
@@ -1,4 +1,4 @@
-"""How many long-running tasks of a step may be away by this system's doing."""
+"""Limits on stopping long-running tasks, so that each step stays available."""
 
 from __future__ import annotations
 
@@ -12,14 +12,16 @@
     from medlarspring_tables.scheduling import Run, Task, WorkTables
 
 MIN_OBSERVED_SECONDS = 0.8
-"""So long this controller must have seen a task running. A predecessor may have
-ordered its stop right before the hand-over; until that is carried out, 0.4 s later at
-most, the worker lists the task at work, and another one of its step would be stopped
-beside it."""
+"""How long this controller must have seen a task running to count it as available.
+
+The previous controller may have ordered its stop right before the takeover. The worker
+lists the task as running until it carries out the stop, at most 0.4 s later. Without
+this delay, another task of the same step would be stopped at the same time.
+"""
 
 
 def is_confirmed_running(task: Task, now: Seconds) -> bool:
-    """Tell whether a long-running task serves, by a worker that answers."""
+    """Return whether a responsive worker is known to run a long-running task."""
     return any(
         is_at_work(run)
         and now - run.confirmed_at >= MIN_OBSERVED_SECONDS
@@ -31,12 +33,13 @@
 
 
 def may_stop_long_run(tables: WorkTables, run: Run, now: Seconds) -> bool:
-    """Tell whether a long-running task may be stopped to run elsewhere.
+    """Return whether a long-running task may be stopped to run elsewhere.
 
-    It may while fewer of its step are away than the step allows, and another
-    worker has room for it. Two drains at once would otherwise each count the
-    other's task as serving. What is not known counts against the stop: a worker
-    that does not answer for a moment still runs what it had.
+    This requires that fewer other tasks of its step are unavailable than the step
+    allows, and that another worker has capacity for it. Without the first condition,
+    two concurrent drains would each count the other's task as available. A task whose
+    state is unknown counts as unavailable, although a worker that misses a call
+    usually still runs its tasks.
     """
     step = run.task.step
     others_away = sum(
--- a/packages/systems/src/medlarspring_systems/scheduling/estimates.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/estimates.py
@@ -1,8 +1,8 @@
-"""How long tasks are expected to run, learnt from those that ended.
+"""Estimates of task durations, based on the durations of completed runs.
 
-Submitters' estimates are wrong by half or more. A queue's own mean, learnt from
-its ends, corrects what is wrong with all of them; siblings of one step resemble
-each other, so the first end of a step tells most about the rest of it.
+Submitters' estimates are off by half or more. A queue's measured mean corrects their
+common error. Tasks of one step have similar durations, so the first completed run of a
+step is the best predictor for its other tasks.
 """
 
 from __future__ import annotations
@@ -15,20 +15,24 @@
     from medlarspring_tables.scheduling import QueueId, StepRun, StepSpec, WorkTables
 
 DEFAULT_MS = 1_000.0
-"""Taken for a task without an estimate in a queue without ends."""
+"""Used for a task without an estimate in a queue without completed runs."""
 ESTIMATE_WEIGHT = 0.5
-"""Weight of the submitter's estimate against the queue's mean, in logarithms.
+"""Weight of the submitter's estimate relative to the queue's mean log duration.
 
-Estimates that spread as widely as the durations themselves deserve half.
+The estimates vary as widely as the durations themselves, so both get equal weight.
 """
 MAX_SAMPLE_COUNT = 200.0
-"""Ends of a queue after which older ones fade."""
+"""Completed runs of a queue after which older ones lose weight."""
 
 
 def estimate_seconds(
     tables: WorkTables, queue_id: QueueId, spec: StepSpec, seen_ms: float = 0.0
 ) -> Seconds:
-    """Return the expected duration of one task of a step."""
+    """Return the expected duration of one task of a step.
+
+    ``seen_ms`` is the mean duration of the step's completed runs, or 0 if there are
+    none; it takes precedence over all other estimates.
+    """
     if seen_ms > 0.0:
         return seen_ms / 1_000.0
     count, mean_log = tables.durations_by_queue.get(queue_id, (0.0, 0.0))
@@ -42,7 +46,7 @@
 
 
 def record_duration(tables: WorkTables, step: StepRun, milliseconds: float) -> None:
-    """Take over the duration of a run that went from its start to its end."""
+    """Update the step's and the queue's mean with the duration of a complete run."""
     measured = max(milliseconds, 1.0)
     step.ended_runs += 1
     step.seen_ms += (measured - step.seen_ms) / step.ended_runs
@@ -56,7 +60,7 @@
 def find_critical_paths(
     tables: WorkTables, queue_id: QueueId, specs: tuple[StepSpec, ...]
 ) -> list[Seconds]:
-    """Return, for each step, the longest expected time from its start to the end."""
+    """Return the critical path length of each step: from its start to the job's end."""
     paths = [0.0] * len(specs)
     for index in range(len(specs) - 1, -1, -1):
         own = estimate_seconds(tables, queue_id, specs[index])
