--- a/packages/systems/src/medlarspring_systems/scheduling/demand.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/demand.py
@@ -1,9 +1,9 @@
-"""How many processors incoming work will keep busy, and whether that rises.
+"""Estimates of the CPU demand of incoming work and of its trend.
 
-What runs and waits at a moment says little about what to provide: while VMs are on
-their way work piles up, and a pool that grew for the pile would be twice as large
-as its work. So each job counts with the processors that it would use if it were
-served at once, for as long as that would take, whatever the pool's size.
+Running and waiting tasks are a poor measure of the needed capacity: work queues up
+while VMs are being moved, and a pool sized by its backlog would become twice as large
+as its work requires. So each job counts with the CPU that it would use if it started
+at once, for the duration of its critical path, regardless of the pool's size.
 """
 
 from __future__ import annotations
@@ -20,26 +20,29 @@
     from medlarspring_tables.scheduling import StepRun, WorkTables
 
 MEAN_WINDOW_SECONDS = 1.5
-"""The level is compared with its mean over so long, which is what a move takes."""
+"""Time constant of the mean that the level is compared with; equals a move's duration.
+"""
 TREND_GAIN = 1.0
-"""A rising level is taken to rise as much again until VMs called now are there."""
+"""Extrapolation factor: a rising level is expected to rise by the same amount
+again before VMs that are requested now become available."""
 SHORT_MEAN_WINDOW_SECONDS = 0.5
-"""For jobs that can wait for a VM single lumps of work are smoothed over so long;
-longer, their pool follows a turn too late to use what they can wait."""
+"""Time constant that smooths single large jobs if they can wait for a VM. With a longer
+one, the pool follows a burst too late to make use of the jobs' slack."""
 SLACK_WEIGHT = 0.1
 """Weight of the newest job in the smoothed slack of its queue."""
 MIN_JOB_SECONDS = 0.3
-"""A job counts for at least so long; estimates may be much too short."""
+"""Minimum time for which a job counts, since estimates may be much too short."""
 
 
 def record_arrival(
     tables: WorkTables, steps: list[StepRun], due_at: Seconds, now: Seconds
 ) -> None:
-    """Count the work of an occurrence that has become due.
+    """Add the work of an occurrence that has become due to its pool's demand.
 
-    A new controller loads jobs that came up to seconds ago; each counts from when
-    it came. Counted as if all had come at once, a pool whose turn was over wanted
-    half of the fleet for seconds while the next one waited for it.
+    A new controller loads jobs that arrived up to several seconds ago, so each one
+    counts from its arrival. If all of them counted as arriving at once, a pool whose
+    burst is over would request half of the fleet for seconds, while the pool of the
+    next burst waits for VMs.
     """
     if not steps:
         return
@@ -68,7 +71,10 @@
 def _add_past_work(
     meter: ArrivalMeter, millicores: float, began_at: Seconds, stopped_at: Seconds
 ) -> None:
-    """Bring a part of the level from before now into the means, as they decay."""
+    """Add past demand to both means, decayed to the meter's time.
+
+    ``millicores`` were in demand from ``began_at`` to ``stopped_at``.
+    """
     if began_at >= stopped_at:
         return
     meter.mean += millicores * _integrate_decay(
@@ -86,7 +92,7 @@
 
 
 def record_slack(tables: WorkTables, steps: list[StepRun], slack: Seconds) -> None:
-    """Learn how long the jobs of a queue can wait for a VM to come."""
+    """Update the smoothed time that a queue's jobs can wait for a VM."""
     if any(step.spec.long_running for step in steps):
         return
     queue_id = steps[0].job.queue.id
@@ -95,7 +101,7 @@
 
 
 def find_slack(tables: WorkTables, pool_id: PoolId) -> Seconds | None:
-    """Return the least slack of the pool's queues; None before any had a job."""
+    """Return the smallest slack of the pool's queues; None before the first job."""
     slacks = [
         tables.slack_by_queue[queue.id]
         for queue in tables.config.queues_by_id.values()
@@ -107,10 +113,10 @@
 def project_demand(
     tables: WorkTables, pool_id: PoolId, now: Seconds, *, can_wait: bool
 ) -> float:
-    """Return the millicores that incoming work will keep busy in a moment.
+    """Return the millicores that incoming work is expected to need shortly.
 
-    Jobs that can wait for a VM even out: their pool needs no more than they bring
-    on average, where each one may be worth several VMs by itself.
+    Jobs that can wait for a VM are counted by their mean demand. A single one of
+    them may need several VMs, but their pool needs only enough for the average.
     """
     meter = tables.arrivals_by_pool.get(pool_id)
     if meter is None:
@@ -122,7 +128,7 @@
 
 
 def _advance(meter: ArrivalMeter, now: Seconds) -> None:
-    """Bring level and mean up to date, through each end in between."""
+    """Update the level and both means to ``now``, applying each end in between."""
     while meter.ends and meter.ends[0][0] <= now:
         ended_at, millicores = heapq.heappop(meter.ends)
         _smooth(meter, ended_at)
--- a/packages/systems/src/medlarspring_systems/scheduling/fleet.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/fleet.py
@@ -1,4 +1,4 @@
-"""Operations on VMs that are planned, under way or done."""
+"""State of VM operations (moves and maintenance) and of maintenance waves."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
     )
 
 LIST_MARGIN_SECONDS = 0.3
-"""An operation shows in lists that were asked for so much later."""
+"""Delay after an operation's expected end before the VM list must show it."""
 OPERATION_TIMEOUT_SECONDS = 6.0
-"""An operation that no list shows for so long was not carried out."""
+"""An operation that the VM list doesn't confirm within this time has not been carried
+out."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +35,7 @@
     reason: str
 
     def describe(self) -> dict[str, str]:
-        """Return what a log line says of it."""
+        """Return the fields that describe the operation in log lines."""
         return {
             "operation": "move",
             "vm": self.vm_id,
@@ -46,13 +47,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintainVM:
-    """Take a VM down for its maintenance."""
+    """Take a VM out of service for its maintenance."""
 
     vm_id: VMId
     wave_id: WaveId
 
     def describe(self) -> dict[str, str]:
-        """Return what a log line says of it."""
+        """Return the fields that describe the operation in log lines."""
         return {"operation": "maintain", "vm": self.vm_id, "wave": self.wave_id}
 
 
@@ -61,17 +62,17 @@
 
 @dataclass(slots=True)
 class PendingOperation:
-    """An operation that was sent, until the VM list shows its end."""
+    """An operation that was sent and whose end the VM list does not show yet."""
 
     operation: VMOperation
     sent_at: Seconds
     old_worker_id: str | None
-    """The life that the operation ends."""
+    """Worker whose incarnation ends with the operation; None if there was none."""
 
 
 @dataclass(slots=True)
 class WaveProgress:
-    """A maintenance wave and how far it is."""
+    """A maintenance wave and its progress."""
 
     id: WaveId
     order: WaveOrder
@@ -79,76 +80,88 @@
     done: set[VMId] = field(default_factory=set)
     """VMs whose maintenance the platform confirmed to have begun."""
     announced: bool = False
+    """Whether the operator was told that the wave is active."""
     complete: bool = False
     reported: bool = False
-    """Whether the operator was told of the end."""
+    """Whether the operator was told that the wave is complete."""
 
     @property
     def deadline_at(self) -> Seconds:
-        """When every VM of the wave should have had its maintenance."""
+        """Local time by which every VM of the wave should have had its maintenance."""
         return self.received_at + self.order.deadline_seconds
 
 
 @dataclass(frozen=True, slots=True)
 class PoolNeed:
-    """How many VMs a pool needs, and what that is made of."""
+    """How many VMs a pool needs, and the demand behind that number."""
 
     vms: int
     busy_vms: int = 0
-    """How many of them its present work needs; the rest are kept for what may come."""
+    """VMs needed for the present work; the others are a reserve for future work."""
     lasting_millis: float = 0.0
-    """Millicores of long-running tasks."""
+    """Millicores used by long-running tasks."""
     incoming_millis: float = 0.0
     """Millicores that incoming work is expected to keep busy."""
     waiting_millis: float = 0.0
-    """Millicores that would clear what waits within the horizon."""
+    """Millicores needed to finish the waiting tasks within the backlog horizon."""
 
 
 @dataclass(slots=True)
 class FleetTables:
-    """Waves and operations of one controller."""
+    """Waves, VM operations and pool sizes as one controller knows them."""
 
     waves_by_id: dict[WaveId, WaveProgress] = field(default_factory=dict)
     done_by_wave: dict[WaveId, set[VMId]] = field(default_factory=dict)
-    """As recorded by predecessors."""
+    """VMs whose maintenance was confirmed, including those recorded by previous
+    controllers."""
     pending_by_vm: dict[VMId, PendingOperation] = field(default_factory=dict)
     refused_until: dict[VMId, Seconds] = field(default_factory=dict)
-    """VMs whose last operation was refused are left alone for a moment."""
+    """Local time before which no new operation is sent to a VM."""
     needs_by_pool: dict[PoolId, PoolNeed] = field(default_factory=dict)
-    """What each pool's work asked for at the last look."""
+    """Needs computed by the last planning pass."""
     recent_needs: dict[PoolId, list[tuple[Seconds, int]]] = field(default_factory=dict)
+    """Times and VM counts of the recent needs, oldest first."""
     move_seconds: Seconds = 1.5
-    """What a move takes, as the platform states it."""
+    """Duration of a move, as configured by the platform."""
     vm_counts_by_pool: dict[PoolId, int] = field(default_factory=dict)
+    """VMs that each pool has or is about to have."""
     unlisted_since: dict[VMId, Seconds] = field(default_factory=dict)
-    """VMs in service that no entry in the registry leads to, and since when."""
+    """VMs in service without an entry in the worker registry, and since when."""
     initial_sizes: dict[PoolId, int] = field(default_factory=dict)
-    """VMs of each pool when a controller first saw it, by the operator's hand."""
+    """Size that the operator gave each pool, as first seen by a controller."""
     initial_sizes_known: bool = False
     initial_sizes_since: Seconds = 0.0
+    """When this controller began to observe the initial sizes."""
     due_next: set[VMId] = field(default_factory=set)
-    """VMs in service that a wave takes down next; their pools need others."""
+    """VMs in service that a wave takes down next; they don't count for their pools."""
     drained_for_wave: set[VMId] = field(default_factory=set)
-    """Those of them that get no new tasks."""
+    """The VMs of ``due_next`` that get no new tasks."""
 
 
 @dataclass(slots=True)
 class FleetPlan:
-    """What one look at the fleet decided."""
+    """Decisions of one planning pass over the fleet."""
 
     operations: list[VMOperation] = field(default_factory=list)
     stops: list[tuple[Run, str]] = field(default_factory=list)
+    """Runs to stop, each with the reason."""
     changed_pools: dict[PoolId, None] = field(default_factory=dict)
+    """Pools whose waiting tasks should be placed again."""
     to_report: list[WaveProgress] = field(default_factory=list)
+    """Waves that are newly active or complete."""
 
 
 REFUSAL_PAUSE_SECONDS = 1.0
+"""Pause after a refused operation before the next one on the same VM."""
 
 
 def record_wave_order(
     fleet: FleetTables, order: WaveOrder, received_at: Seconds
 ) -> None:
-    """Enter an order of the operator."""
+    """Add or update a maintenance wave that the operator ordered.
+
+    ``received_at`` is the local time from which the wave's deadline counts.
+    """
     wave = fleet.waves_by_id.get(order.id)
     if wave is None:
         wave = WaveProgress(order.id, order, received_at)
@@ -160,7 +173,7 @@
 def record_operation_sent(
     tables: WorkTables, fleet: FleetTables, operation: VMOperation, now: Seconds
 ) -> None:
-    """Note that an operation is about to be sent."""
+    """Mark an operation as pending and its worker as leaving, before it is sent."""
     vm = tables.vms_by_id.get(operation.vm_id)
     worker_id = vm.worker_id if vm is not None else None
     pending = PendingOperation(operation, now, worker_id)
@@ -179,7 +192,7 @@
 
 
 def record_operation_done(fleet: FleetTables, operation: VMOperation) -> None:
-    """Note that the platform confirmed an operation."""
+    """Record that the platform confirmed an operation."""
     if isinstance(operation, MaintainVM):
         fleet.done_by_wave.setdefault(operation.wave_id, set()).add(operation.vm_id)
         fleet.drained_for_wave.discard(operation.vm_id)
@@ -188,7 +201,7 @@
 def record_operation_refused(
     tables: WorkTables, fleet: FleetTables, operation: VMOperation, now: Seconds
 ) -> None:
-    """Note that an operation was certainly not carried out."""
+    """Discard a pending operation that was certainly not carried out."""
     pending = fleet.pending_by_vm.pop(operation.vm_id, None)
     if pending is not None:
         _mark_leaving(tables, pending, leaving=False)
@@ -198,7 +211,7 @@
 def drop_finished_operations(
     tables: WorkTables, fleet: FleetTables, limits: FleetLimits, now: Seconds
 ) -> None:
-    """Forget the operations whose end the VM list shows."""
+    """Drop pending operations that are finished, timed out or whose VM is gone."""
     for vm_id, pending in list(fleet.pending_by_vm.items()):
         vm = tables.vms_by_id.get(vm_id)
         timed_out = now - pending.sent_at > OPERATION_TIMEOUT_SECONDS
@@ -218,20 +231,20 @@
 
 
 def find_vm_worker(tables: WorkTables, vm: VMEntry) -> Worker | None:
-    """Return the VM's present life, if it is known as a worker."""
+    """Return the worker that currently runs on the VM, if it is known."""
     if vm.worker_id is None:
         return None
     return tables.workers_by_id.get(vm.worker_id)
 
 
 def is_standby(tables: WorkTables, pool_id: PoolId) -> bool:
-    """Tell whether a pool's VMs are off and cost nothing."""
+    """Return whether a pool's VMs are on standby: powered off and free of cost."""
     policy = tables.config.pools_by_id.get(pool_id)
     return policy is not None and policy.standby
 
 
 def is_available_for_operation(fleet: FleetTables, vm: VMEntry, now: Seconds) -> bool:
-    """Tell whether a VM may be operated on at all."""
+    """Return whether a VM is up, has no pending operation and no refusal pause."""
     if vm.phase is not VMPhase.UP or vm.id in fleet.pending_by_vm:
         return False
     return fleet.refused_until.get(vm.id, 0.0) <= now
--- a/packages/systems/src/medlarspring_systems/scheduling/fleet_plan.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/fleet_plan.py
@@ -1,4 +1,4 @@
-"""One look at the fleet: maintenance first, then moves between pools."""
+"""Planning pass over the fleet: maintenance first, then moves between pools."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def plan_operations(
     tables: WorkTables, fleet: FleetTables, limits: FleetLimits, now: Seconds
 ) -> FleetPlan:
-    """Return the operations on VMs to carry out now, and what to stop for them."""
+    """Return the VM operations to carry out now and the runs to stop for them."""
     fleet.move_seconds = limits.move
     drop_finished_operations(tables, fleet, limits, now)
     plan = FleetPlan()
@@ -32,7 +32,10 @@
 def _update_reservations(
     tables: WorkTables, fleet: FleetTables, plan: FleetPlan
 ) -> None:
-    """Keep new tasks away from workers that are emptied or about to go."""
+    """Reserve the workers that are drained or about to leave, and release others.
+
+    Reserved workers get no new tasks.
+    """
     reserved_vm_ids = {operation.vm_id for operation in plan.operations}
     reserved_vm_ids |= fleet.drained_for_wave
     reserved_vm_ids |= set(fleet.pending_by_vm)
--- a/packages/systems/src/medlarspring_systems/scheduling/lease_plan.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/lease_plan.py
@@ -1,4 +1,4 @@
-"""How long a look at a worker waits, and until when its leases are to hold."""
+"""Wait times of hold calls to workers, and end times of leases and start orders."""
 
 from __future__ import annotations
 
@@ -12,25 +12,29 @@
     from medlarspring_tables.scheduling import Milliseconds, Worker
 
 LEASE_MARGIN_SECONDS = 0.5
-"""Leases are asked for so much below the worker's limit, which cuts longer ones."""
+"""Margin below the worker's maximum lease; the worker truncates longer leases."""
 START_VALID_MS = 1_500
-"""A start that arrives later than this is refused by the worker.
+"""Time after which a worker refuses a start order.
 
-A lost start may be carried out seconds later, when its task already runs
-elsewhere; with this limit it is refused instead.
+A start order that seems lost may be delivered seconds later, when its task already
+runs elsewhere. This limit makes the worker refuse it.
 """
 HOLD_WAIT_MS = 500
-"""How long a worker holds the answer back without news.
+"""How long a worker delays its answer to a hold call if nothing changes.
 
-Progress is needed about twice a second to see tasks that stand still; the lease
-itself would allow 2,000 ms.
+The lease would allow 2,000 ms, but detecting stalled tasks requires their progress
+about twice a second.
 """
 UNSETTLED_WAIT_MS = 50
-"""The same while a stop or an order without an answer is to be settled."""
+"""Same as ``HOLD_WAIT_MS``, while the outcome of a stop or an unanswered order is open.
+"""
 
 
 def plan_hold_wait(worker: Worker, *, immediate: bool) -> Milliseconds:
-    """Return how long the worker may hold its answer back."""
+    """Return how long the worker may delay its answer to a hold call.
+
+    ``immediate`` requests an answer without delay.
+    """
     if immediate or not worker.settled or worker.unanswered_since:
         return 0
     if not worker.runs:
@@ -43,10 +47,11 @@
 
 
 def plan_lease_end(worker: Worker, max_lease: Seconds, now: Seconds) -> Milliseconds:
-    """Return the lease end to ask for, on the worker's clock; 0 to ask for none.
+    """Return the lease end to request, on the worker's clock; 0 to request none.
 
-    A worker that is silent is only looked at: each further extension might
-    reach it unheard, and its runs would never be known to have lapsed.
+    No extension is requested from an unresponsive worker. It might receive the
+    extension although its answer is lost, and this controller could then never tell
+    that the worker's runs have lapsed.
     """
     if not worker.clock_at or worker.unanswered_since:
         return 0
@@ -55,7 +60,7 @@
 
 
 def plan_start_deadline(worker: Worker, now: Seconds) -> Milliseconds:
-    """Return until when, on the worker's clock, a start may be carried out."""
+    """Return the time, on the worker's clock, until which it may accept a start."""
     return _record_lease_end(worker, round(read_clock(worker, now)) + START_VALID_MS)
 
 
--- a/packages/systems/src/medlarspring_systems/scheduling/maintenance.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/maintenance.py
@@ -1,8 +1,8 @@
-"""Maintenance waves: which VM goes down next, and what has to leave it first.
+"""Planning of maintenance waves: the order of VMs, and draining them beforehand.
 
-VMs that do nothing go first. Others are emptied: they get no new tasks, and
-batch tasks end by themselves within seconds. Long-running tasks are stopped and
-placed elsewhere, never more of a step at once than it allows to be away.
+Idle VMs go first. Busy VMs are drained: they get no new tasks, and their batch tasks
+finish within seconds. Long-running tasks are stopped and placed elsewhere, within the
+number of tasks that their step allows to be unavailable.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
     from medlarspring_tables.scheduling import VMEntry, Worker, WorkTables
 
 EXTRA_DRAINS = 2
-"""VMs emptied ahead of a free place in the wave, so that none is left unused."""
+"""VMs drained beyond the wave's free slots, so that a freed slot is used at once."""
 FORCE_MARGIN_SECONDS = 3.0
-"""So long before its deadline a wave ends batch work that still runs."""
+"""Time before a wave's deadline from which VMs go down with batch tasks running."""
 
 
 def plan_maintenance(
@@ -39,7 +39,7 @@
     now: Seconds,
     plan: FleetPlan,
 ) -> None:
-    """Add the operations and stops that the open waves call for."""
+    """Add the operations and stops that the open waves require to the plan."""
     for wave in fleet.waves_by_id.values():
         if not wave.reported:
             _plan_wave(tables, fleet, wave, now, plan)
@@ -101,7 +101,7 @@
 
 
 def _may_take_down(tables: WorkTables, vm: VMEntry, worker: Worker | None) -> bool:
-    """Tell whether the pool still has another VM for its work."""
+    """Return whether the pool keeps another VM for its work."""
     if worker is None or is_standby(tables, vm.pool_id):
         return True
     others = [
@@ -113,7 +113,7 @@
 
 
 def _count_vms_down(tables: WorkTables, fleet: FleetTables, wave: WaveProgress) -> int:
-    """Return how many VMs of the wave are down for it, or may be."""
+    """Return how many VMs of the wave are in maintenance or may be."""
     down = 0
     for vm_id in wave.order.vm_ids:
         vm = tables.vms_by_id.get(vm_id)
@@ -125,7 +125,7 @@
 
 
 def _measure_disruption(tables: WorkTables, vm: VMEntry) -> tuple[float, ...]:
-    """Return how costly it is to take a VM down; the smallest goes first."""
+    """Return a sort key for the cost of taking a VM down; the smallest goes first."""
     worker = find_vm_worker(tables, vm)
     if worker is None:
         return (0.0, 0.0, 0.0)
@@ -141,10 +141,10 @@
     now: Seconds,
     plan: FleetPlan,
 ) -> None:
-    """Give a VM no new tasks, and move its long-running ones.
+    """Exclude a VM from new tasks and stop its long-running ones for a move.
 
-    The last open VM of a pool is not drained: nothing would be placed any more,
-    and nothing could leave it. Its pool is given another VM first.
+    The last open VM of a pool is not drained, because its tasks could not be placed
+    anywhere else. The pool gets another VM first.
     """
     fleet.due_next.add(vm.id)
     if not _has_other_open_worker(tables, fleet, worker):
@@ -155,7 +155,7 @@
             continue
         if may_stop_long_run(tables, run, now):
             plan.stops.append((run, "VM is due for maintenance"))
-            # Counted as away from here on, also by what is planned next.
+            # The rest of this planning pass must count the task as unavailable.
             run.stopping = True
             plan.changed_pools[worker.pool_id] = None
 
--- a/packages/systems/src/medlarspring_systems/scheduling/pacing.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/pacing.py
@@ -1,9 +1,10 @@
-"""Slows tasks that fill down where they hurt the tasks that serve beside them.
+"""Throttling of best-effort tasks that slow down latency-sensitive tasks.
 
-A task that serves has a target for its tail latency. What fills the rest of its
-worker disturbs it by amounts that differ and change within seconds, so nothing is
-worked out ahead: the pace is halved while the target is missed, and raised a little
-while there is room.
+A latency-sensitive task has a target for its tail latency. Best-effort tasks use the
+leftover CPU of its worker and affect its latency by amounts that vary and change within
+seconds, so nothing is computed in advance. Instead, the pace of best-effort tasks is
+halved while the target is missed, and raised in small steps while the latency is well
+below it.
 """
 
 from __future__ import annotations
@@ -17,18 +18,21 @@
     from medlarspring_tables.scheduling import Run, Worker, WorkTables
 
 LOWER_INTERVAL_SECONDS = 0.7
-"""Between two steps down: the worker's figure covers the last half second."""
+"""Minimum time between two reductions; the measured latency covers the last 0.5 s."""
 RAISE_INTERVAL_SECONDS = 1.5
-"""Between two steps up; a step too far up costs a second over the target."""
+"""Minimum time between two increases; one that is too large causes a second above the
+target."""
 LOWER_FACTOR = 0.5
 RAISE_PERCENT_POINTS = 15
 STOP_BELOW_PERCENT = 15
-"""A pace below this is set to 0: four steps down fit into the platform's limit."""
+"""A pace below this becomes 0. Four reductions fit into the platform's time limit for a
+missed target."""
 RAISE_BELOW_RATIO = 0.8
-"""The pace is raised while the tail is below this part of the target."""
+"""The pace is raised while the tail latency is below this fraction of the target."""
 FULL_PERCENT = 100
 RESTORED_PACE_PERCENT = 25
-"""Pace given to a task that fills whose pace a predecessor may have changed."""
+"""Pace assumed for a restored best-effort run, which the previous controller may have
+throttled."""
 
 
 def plan_paces(tables: WorkTables, now: Seconds) -> list[tuple[Run, int]]:
@@ -60,7 +64,7 @@
 
 
 def _find_worst_latency_ratio(worker: Worker) -> float:
-    """Return the highest tail latency against its target; 0 without any."""
+    """Return the highest ratio of tail latency to its target; 0 without targets."""
     ratios = [
         run.gauge / run.task.step.spec.latency_target_ms
         for run in worker.runs.values()
