--- a/packages/systems/src/medlarspring_systems/scheduling/jobs.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/jobs.py
@@ -1,4 +1,4 @@
-"""The life of a job: its occurrences, steps and tasks, until it ends."""
+"""Lifecycle of a job: its occurrences, steps and tasks."""
 
 from __future__ import annotations
 
@@ -26,9 +26,12 @@
     )
 
 ABANDON_FACTOR = 3.0
-"""A job is of little use after its objective, and of none after this many times."""
+"""Multiple of a job's time objective after which its completion has no value.
+
+Between the objective and this limit, completing it has little value.
+"""
 EARLY_START_SECONDS = 0.05
-"""An occurrence is opened so much before it is due, to be ready in time."""
+"""How long before its due time an occurrence is opened, so that it is ready in time."""
 
 
 def admit_job(
@@ -38,7 +41,7 @@
     revision: Revision,
     arrived_at: Seconds,
 ) -> ActiveJob:
-    """Take an accepted job into the tables; its occurrences are opened later.
+    """Add an accepted job to the tables; its occurrences are opened later.
 
     ``arrived_at`` is the local time at which it was accepted.
     """
@@ -56,12 +59,12 @@
 
 
 def count_occurrences(job: ActiveJob) -> int:
-    """Return how often the job's steps run in all."""
+    """Return the total number of the job's occurrences."""
     return max(job.spec.occurrences, 1)
 
 
 def find_due_ms(job: ActiveJob, occurrence: int) -> Milliseconds:
-    """Return the wall time at which an occurrence is due."""
+    """Return the wall-clock time in Unix milliseconds at which an occurrence is due."""
     if not job.spec.occurrences:
         return job.accepted_at_ms
     return job.spec.first_at_ms + occurrence * job.spec.interval_ms
@@ -72,8 +75,9 @@
 ) -> Seconds:
     """Return the local time at which an occurrence is due.
 
-    Wall clocks of two entry VMs differ and may jump; a job without a time of its
-    own counts from its arrival, and would otherwise be late when it comes.
+    A job without scheduled occurrences is due on arrival. Wall clocks of entry VMs
+    differ and may jump, so a due time computed from them could make the job late on
+    arrival.
     """
     if not job.spec.occurrences:
         return job.arrived_at
@@ -83,7 +87,7 @@
 def open_due_occurrences(
     tables: WorkTables, job: ActiveJob, now: Seconds, wall_ms: float
 ) -> bool:
-    """Open the occurrences that are due; tell whether any was opened."""
+    """Open the occurrences that are due; return whether any was opened."""
     opened = False
     while job.outcome is None and not job.cancelled:
         occurrence = job.next_occurrence
@@ -103,7 +107,7 @@
 def open_occurrence(
     tables: WorkTables, job: ActiveJob, occurrence: int, now: Seconds, wall_ms: float
 ) -> list[StepRun]:
-    """Create the steps of one occurrence and make those ready that can start."""
+    """Create the steps of one occurrence and mark those that can start as ready."""
     due_at = find_due_at(job, occurrence, now, wall_ms)
     paths = find_critical_paths(tables, job.queue.id, job.spec.steps)
     objective = job.queue.stretch * max(paths) + job.queue.allowance_ms / 1_000.0
@@ -132,7 +136,7 @@
 
 
 def _sum_remaining_work(steps: list[StepRun]) -> None:
-    """Note for each step what is left to do from its start on."""
+    """Set each step's remaining work in core-seconds, including all later steps."""
     remaining = 0.0
     for step in reversed(steps):
         if not step.spec.long_running:
@@ -142,7 +146,7 @@
 
 
 def refresh_ready(tables: WorkTables, steps: list[StepRun], now: Seconds) -> None:
-    """Make the steps ready whose earlier steps are all done."""
+    """Mark steps as ready if all steps that they depend on are done."""
     for step in steps:
         if step.ready or step.is_done:
             continue
@@ -153,13 +157,13 @@
 
 
 def queue_step(tables: WorkTables, step: StepRun) -> None:
-    """Note that a step has tasks to place."""
+    """Add a step with tasks to place to its pool's ready steps."""
     pool = tables.ready_by_pool.setdefault(step.job.queue.pool_id, {})
     pool[step] = None
 
 
 def mark_task_done(tables: WorkTables, task: Task, now: Seconds) -> None:
-    """Mark a task done, and open or end what waited for it."""
+    """Mark a task as done; update its step's dependents or close the occurrence."""
     if task.done:
         return
     step = task.step
@@ -180,7 +184,7 @@
 
 
 def close_occurrence(job: ActiveJob, occurrence: int) -> None:
-    """Forget a finished occurrence; the last one completes the job."""
+    """Drop a finished occurrence; the last one completes the job."""
     job.occurrences_by_index.pop(occurrence, None)
     job.occurrences_done.add(occurrence)
     if len(job.occurrences_done) == count_occurrences(job) and job.outcome is None:
@@ -188,7 +192,7 @@
 
 
 def fail_job(job: ActiveJob, reason: str) -> None:
-    """End a job that has used up its attempts."""
+    """End a job as failed, with the reason given."""
     if job.outcome is None:
         job.outcome = JobOutcome.FAILED
         job.reason = reason
@@ -196,7 +200,7 @@
 
 
 def cancel_job(job: ActiveJob) -> None:
-    """End a job at its customer's wish."""
+    """End a job at its customer's request."""
     job.cancelled = True
     if job.outcome is None:
         job.outcome = JobOutcome.CANCELLED
@@ -205,14 +209,18 @@
 
 
 ENDED_JOB_RETENTION_SECONDS = 60.0
-"""Listings and late watch events of the inbox are never older than this."""
+"""How long the ids of ended jobs are kept.
+
+Listings and late watch events of the inbox are never older than this.
+"""
 
 
 def forget_job(tables: WorkTables, job: ActiveJob, now: Seconds) -> None:
-    """Drop a job whose end is recorded; it must not come back from an old listing.
+    """Remove a job whose end is recorded, and remember its id.
 
-    A listing read before the end and taken after it shows the job as open. Taken
-    for a new one it would run again from its first step.
+    A listing that was read before the end and is applied after it still shows the job
+    as open. Without the remembered id, the job would be treated as new and run again
+    from its first step.
     """
     tables.jobs_by_id.pop(job.id, None)
     tables.ended_job_ids[job.id] = now
@@ -227,7 +235,7 @@
 
 
 def is_unstarted(job: ActiveJob) -> bool:
-    """Tell whether no task of the job was started yet."""
+    """Return whether the job is open and none of its tasks was ever started."""
     return not job.started and job.outcome is None
 
 
--- a/packages/systems/src/medlarspring_systems/scheduling/late_orders.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/late_orders.py
@@ -1,7 +1,8 @@
-"""Orders that a worker left unanswered and that its next life must refuse.
+"""Tracking of unanswered start orders that a worker must refuse after a restart.
 
-A worker may carry an unanswered order out seconds later. A stop settles that with the
-life that confirms it; a worker that starts again under its id knows nothing of it.
+A worker may carry out an unanswered order seconds later. A stop prevents that only in
+the incarnation that confirms it; a worker that restarts under the same id does not know
+of the stop.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
     from medlarspring_tables.scheduling import Worker, WorkerId, WorkTables
 
 MAX_ORDER_DELAY_SECONDS = 12.0
-"""An order without an answer is carried out within so long, or never."""
+"""An unanswered order is carried out within this time or not at all."""
 
 
 def record_unanswered_order(
     tables: WorkTables, worker_id: WorkerId, task_id: str, number: int, now: Seconds
 ) -> None:
-    """Remember an order to start that got no answer."""
+    """Record a start order that got no answer, and drop expired ones."""
     orders = tables.unanswered_orders.setdefault(worker_id, {})
     for key, asked_at in list(orders.items()):
         if now - asked_at <= MAX_ORDER_DELAY_SECONDS:
@@ -31,9 +32,10 @@
 def pop_late_orders(
     tables: WorkTables, worker: Worker, now: Seconds
 ) -> list[tuple[str, int]]:
-    """Return the orders, by task id and run number, that a new life must refuse.
+    """Remove and return the orders that a restarted worker must refuse.
 
-    Runs that are still entered there are settled by its listings.
+    Each is a task id and a run number. Runs that are still recorded on the worker are
+    excluded, since its listings resolve them.
     """
     orders = tables.unanswered_orders.pop(worker.id, {})
     return [
--- a/packages/systems/src/medlarspring_systems/scheduling/listings.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/listings.py
@@ -1,4 +1,4 @@
-"""What a worker's answer to a hold changes: ends, progress, lost and strange runs."""
+"""Processing of a worker's listing: ends, progress, lost and unexpected runs."""
 
 from __future__ import annotations
 
@@ -30,24 +30,24 @@
     )
 
 MAX_ENDS_LISTED = 500
-"""A worker lists so many ends at a time; more follow once these are acknowledged."""
+"""Maximum number of ends in one listing; more follow once these are acknowledged."""
 
 
 @dataclass(slots=True)
 class ListingOutcome:
-    """What came of one listing."""
+    """Result of applying one listing."""
 
     ended: list[tuple[Run, RunEnd]] = field(default_factory=list)
     lost: list[Run] = field(default_factory=list)
     """Runs that the worker certainly does not have."""
     absent: list[Run] = field(default_factory=list)
-    """Runs whose order may still be on its way; a stop settles them."""
+    """Runs whose start order may be in transit; a confirmed stop resolves them."""
     unexpected_runs: list[tuple[str, int]] = field(default_factory=list)
-    """Runs, by task id and number, that must not go on."""
+    """Task ids and run numbers of listed runs that must be stopped."""
     adopted: list[Run] = field(default_factory=list)
     confirmed: list[Run] = field(default_factory=list)
     ends: list[tuple[int, ActiveJob | None]] = field(default_factory=list)
-    """Numbers to acknowledge once the job's record holds the end."""
+    """Numbers to acknowledge once the record of the job, if any, includes the end."""
     newly_quarantined: bool = False
 
 
@@ -59,10 +59,10 @@
     asked_at: Seconds,
     now: Seconds,
 ) -> ListingOutcome:
-    """Bring the tables up to what the worker says.
+    """Update the tables with a worker's listing of its running and ended tasks.
 
-    ``asked_at`` is when the call was sent: answers on different connections may
-    overtake each other, so absence counts only for what was confirmed before.
+    ``asked_at`` is when the call was sent. Answers on different connections may arrive
+    out of order, so a missing run counts as lost only if it was confirmed before that.
     """
     outcome = ListingOutcome()
     for row in sorted(ended, key=lambda row: row.number):
@@ -101,10 +101,10 @@
 def _apply_unknown_end(
     tables: WorkTables, row: EndedRow, now: Seconds
 ) -> ActiveJob | None:
-    """Take over an end of a run that is on no worker's list of ours.
+    """Apply the end of a run that is not in the tables; return its job if open.
 
-    Once acknowledged, an end counts for good: a task that ended done must then
-    not start again, even if its run was believed never to have begun.
+    The worker forgets an end once it is acknowledged. So a task that ended
+    successfully must not start again, even if its run was assumed not to have started.
     """
     task = find_task(tables, row.task_id)
     if task is None:
@@ -145,7 +145,7 @@
 def _adopt(
     tables: WorkTables, worker: Worker, row: RunningRow, now: Seconds
 ) -> Run | None:
-    """Enter a run that was believed not to have begun, if its task needs one."""
+    """Add a run that was assumed not to have started, if its task still needs one."""
     task = find_task(tables, row.task_id)
     if task is None or task.done or task.runs:
         return None
@@ -183,16 +183,16 @@
 
 
 def _is_from_other_incarnation(run: Run) -> bool:
-    """Tell whether a run was meant for a life of its worker that is over.
+    """Return whether a run was ordered for a previous incarnation of its worker.
 
-    Only the record of a predecessor tells of it, since this controller has known
-    the worker from its present life on.
+    This applies only to runs restored from the previous controller's record, since this
+    controller knows only the current incarnation.
     """
     return bool(run.life_ms) and run.life_ms != run.worker.born_ms
 
 
 def find_task(tables: WorkTables, task_id: str) -> Task | None:
-    """Return the task of a name as workers know it, if its job is open."""
+    """Return the task with the id used on workers, or None if its job is not open."""
     parts = task_id.split(".")
     if len(parts) != 4:  # noqa: PLR2004
         return None
@@ -208,7 +208,7 @@
 
 
 def list_changed_jobs(outcome: ListingOutcome) -> list[JobId]:
-    """Return the jobs whose records the listing changed, each once."""
+    """Return the jobs whose records must be updated after the listing, each once."""
     runs = [run for run, _ in outcome.ended] + outcome.lost + outcome.adopted
     ids = [run.task.step.job.id for run in runs]
     ids += [job.id for _, job in outcome.ends if job is not None]
--- a/packages/systems/src/medlarspring_systems/scheduling/pool_needs.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/pool_needs.py
@@ -1,4 +1,4 @@
-"""How many VMs a pool's work asks for in a moment, and why."""
+"""Estimates of how many VMs a pool's work will need shortly."""
 
 from __future__ import annotations
 
@@ -20,29 +20,31 @@
     from medlarspring_tables.scheduling import StepRun, Worker, WorkTables
 
 BACKLOG_HORIZON_SECONDS = 2.0
-"""What waits is to be done within so long, beside what comes in."""
+"""Time within which the waiting tasks should finish, in addition to incoming work."""
 PACKING_EFFICIENCY = 0.85
-"""Part of a VM that tasks of mixed sizes fill on average."""
+"""Average fraction of a VM that tasks of mixed sizes can fill."""
 LOW_SLACK_SIZE_RATIO = 0.6
-"""Part of its first size that a pool keeps whose jobs can't wait for a VM.
+"""Fraction of its initial size that a pool keeps if its jobs can't wait for a VM.
 
-Called at the start of its turn, VMs are there when the jobs of the first second
-and a half are late: a quarter of the turn's jobs.
+VMs that are requested at the start of a burst arrive when the jobs of its first 1.5 s,
+a quarter of the burst's jobs, are already late.
 """
 MIN_SLACK_AFTER_MOVE_SECONDS = 0.6
-"""A queue's jobs can wait for a VM if so much slack is left when it is there."""
+"""A queue's jobs can wait for a VM if more slack than this remains after its move."""
 MIN_VMS = 1
 ROUNDING_TOLERANCE_VMS = 0.05
-"""Demand that exceeds whole VMs by less is not worth another one."""
+"""Demand that exceeds a whole number of VMs by less than this adds no VM."""
 UNPLACEABLE_SECONDS = 1.0
-"""A long-running task that no worker of its pool takes for so long gets another VM;
-room that batch work gives up is there within half a second."""
+"""Waiting time after which a pool gets another VM for an unplaceable long-running task.
+
+Capacity freed by preempting batch work is available within 0.5 s.
+"""
 
 
 def find_pool_needs(
     tables: WorkTables, fleet: FleetTables, pool_ids: Iterable[PoolId], now: Seconds
 ) -> dict[PoolId, PoolNeed]:
-    """Return how many VMs the work of each pool asks for in a moment."""
+    """Return how many VMs the work of each pool will need shortly."""
     largest = _find_largest_resources(tables)
     return {
         pool_id: _find_need(tables, fleet, pool_id, largest, now)
@@ -53,7 +55,7 @@
 def find_pool_need(
     tables: WorkTables, fleet: FleetTables, pool_id: PoolId, now: Seconds
 ) -> PoolNeed:
-    """Return how many VMs a pool's work asks for in a moment."""
+    """Return how many VMs a pool's work will need shortly."""
     return find_pool_needs(tables, fleet, (pool_id,), now)[pool_id]
 
 
@@ -86,11 +88,11 @@
 
 
 def _find_floor(fleet: FleetTables, pool_id: PoolId, slack: Seconds | None) -> int:
-    """Return the VMs that a pool keeps whatever it does now.
+    """Return the number of VMs that a pool keeps regardless of its current work.
 
-    A pool that had no work yet keeps what the operator gave it. It does not grow
-    back to that: after a takeover nothing is known of any pool, and each idle one
-    called its first eight VMs back.
+    A pool that had no work yet keeps at most its initial size, and does not grow back
+    to it. After a takeover no pool's work is known, and otherwise each idle pool would
+    request all of its initial VMs again, for example eight.
     """
     first = fleet.initial_sizes.get(pool_id, 0)
     if slack is None:
@@ -101,7 +103,7 @@
 
 
 def _can_wait(fleet: FleetTables, slack: Seconds | None) -> bool:
-    """Tell whether the pool's jobs are still in time when VMs called now are there."""
+    """Return whether the pool's jobs can wait for a VM move and still be on time."""
     return (
         slack is not None and slack > fleet.move_seconds + MIN_SLACK_AFTER_MOVE_SECONDS
     )
@@ -116,7 +118,7 @@
 
 
 def _measure_long_running(tables: WorkTables, pool_id: PoolId) -> tuple[float, float]:
-    """Return processors and memory that long-running tasks hold."""
+    """Return the millicores and MB that the pool's long-running tasks use."""
     cpu = memory = 0.0
     for worker in tables.workers_by_pool.get(pool_id, {}).values():
         if worker.long_runs:
@@ -138,10 +140,10 @@
 def _measure_waiting(
     tables: WorkTables, pool_id: PoolId, now: Seconds
 ) -> tuple[float, float]:
-    """Return processors and memory that clear what waits within the horizon.
+    """Return the millicores and MB needed to finish waiting tasks within the horizon.
 
-    Work that still counts as incoming is left out: counted twice, each rise of
-    demand called for twice the VMs that it then needed.
+    Work that still counts as incoming is excluded. If it were counted twice, each rise
+    of demand would request twice the VMs that it needs.
     """
     cpu = memory = 0.0
     for step in tables.ready_by_pool.get(pool_id, {}):
@@ -161,7 +163,7 @@
 
 
 def _count_vms_for_task_limits(tables: WorkTables, pool_id: PoolId) -> int:
-    """Return how many VMs the steps need that limit their tasks on one worker."""
+    """Return how many VMs long-running steps need for their tasks-per-worker limits."""
     most = 0
     for step in tables.ready_by_pool.get(pool_id, {}):
         if step.spec.max_per_worker and step.spec.long_running:
@@ -172,11 +174,11 @@
 def _count_vms_for_unplaceable_tasks(
     tables: WorkTables, fleet: FleetTables, pool_id: PoolId, largest: Room, now: Seconds
 ) -> int:
-    """Return the VMs that the pool needs for a long-running task that none takes.
+    """Return how many VMs the pool needs if a long-running task is unplaceable, else 0.
 
-    Workers that are set aside count as the pool's VMs and give no room: in an idle
-    pool a lost task waited next to them for up to 16 s. One VM is called at a time,
-    and none while one is on its way.
+    Quarantined workers count as VMs of the pool but take no new tasks. In an idle pool,
+    a lost task could wait for up to 16 s because of them. VMs are added one at a time,
+    and none while another one is being moved.
     """
     workers = tables.workers_by_pool.get(pool_id, {}).values()
     if not any(
@@ -192,9 +194,9 @@
 def _is_unplaceable(
     step: StepRun, workers: Collection[Worker], largest: Room, now: Seconds
 ) -> bool:
-    """Tell whether no worker takes a step's lost task, even if batch work yields.
+    """Return whether no worker takes a waiting task, even if batch work is preempted.
 
-    Steps that only some workers may run are left out: another VM may not help.
+    Steps that may run only on some workers are excluded, since another VM may not help.
     """
     spec = step.spec
     if not spec.long_running or not step.waiting or step.job.outcome is not None:
--- a/packages/systems/src/medlarspring_systems/scheduling/pool_sizing.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/pool_sizing.py
@@ -1,9 +1,10 @@
-"""How many VMs each pool needs now, and which VMs change their pool.
+"""Planning of VM moves between pools and standby, according to each pool's needs.
 
-The load it answers: each queue in its turn asks for five times its mean for some
-seconds, and for a twentieth of it in between. A VM in a pool is paid for whether
-it works or not; one in a standby pool costs nothing and serves 1.5 s after it is
-called. So pools keep what their work needs, and the rest waits in standby.
+It is designed for bursty load: the queues take turns, each needing five times its mean
+for some seconds and a twentieth of it in between. A VM in a normal pool costs the same
+whether it is busy or idle. A VM in a standby pool costs nothing and takes 1.5 s to
+become available. So pools keep the VMs that their work needs, and all others are moved
+to standby.
 """
 
 from __future__ import annotations
@@ -26,23 +27,23 @@
     from medlarspring_tables.scheduling import VMEntry, WorkTables
 
 MIN_IDLE_SECONDS = 1.0
-"""A VM beyond the need that did nothing for so long goes to standby."""
+"""A surplus VM that was idle for this time moves to standby."""
 NEED_WINDOW_SECONDS = 2.5
-"""A pool keeps what it needed at any time within so long.
+"""A pool keeps as many VMs as it needed at any time within this window.
 
-A move to standby and back costs as much as 1.3 s in the pool, and the way back
-takes another 1.5 s in which work waits.
+A move to standby and back costs as much as 1.3 s in the pool, and the move back takes
+1.5 s during which work waits.
 """
 STARTUP_SECONDS = 6.0
-"""VMs of a fleet that starts come up within so long."""
+"""Time within which all VMs of a starting fleet come up."""
 MAX_LIST_AGE_SECONDS = 2.5
-"""Sizes are planned only on a VM list younger than this."""
+"""Maximum age of the VM list for planning moves."""
 
 
 def plan_moves(
     tables: WorkTables, fleet: FleetTables, now: Seconds, plan: FleetPlan
 ) -> None:
-    """Add the moves that bring each pool to what its work needs."""
+    """Add the moves that bring each pool to the size that its work needs."""
     if not tables.vms_by_id or now - tables.vms_read_at > MAX_LIST_AGE_SECONDS:
         return
     standby_pool_ids = [
@@ -68,8 +69,8 @@
         for pool_id, vms in wanted.items()
     }
     sources = _list_sources(tables, fleet, wanted, vm_counts, now, assigned)
-    # What works or waits now goes before what pools keep in reserve: in a turn's
-    # peak a quarter of the fleet stood by in other pools while jobs became late.
+    # Current work takes precedence over the pools' reserves. Otherwise, at the peak of
+    # a burst, a quarter of the fleet stays idle in other pools while jobs become late.
     busy = {pool_id: need.busy_vms for pool_id, need in fleet.needs_by_pool.items()}
     _grow(tables, busy, wanted, vm_counts, sources, plan, assigned)
     _grow(tables, wanted, wanted, vm_counts, sources, plan, assigned)
@@ -77,7 +78,7 @@
 
 
 def _record_need(fleet: FleetTables, pool_id: PoolId, vms: int, now: Seconds) -> int:
-    """Return the highest need of a pool within the last seconds."""
+    """Record a pool's need and return its highest need within the window."""
     recent = fleet.recent_needs.setdefault(pool_id, [])
     recent.append((now, vms))
     while recent[0][0] < now - NEED_WINDOW_SECONDS:
@@ -88,7 +89,7 @@
 def _record_initial_sizes(
     fleet: FleetTables, vm_counts: dict[PoolId, int], now: Seconds
 ) -> None:
-    """Note the largest size each pool had while the fleet came up."""
+    """Record the largest size that each pool had while the fleet started."""
     if not fleet.initial_sizes_since:
         fleet.initial_sizes_since = now
     for pool_id, vms in vm_counts.items():
@@ -117,10 +118,10 @@
 def _is_unusable(
     tables: WorkTables, fleet: FleetTables, vm: VMEntry, now: Seconds
 ) -> bool:
-    """Tell whether a VM does not count for its pool any more.
+    """Return whether a VM no longer counts for its pool.
 
-    A VM that no entry in the registry leads to takes no tasks. Counted, it was all
-    that an idle pool kept, and the pool's next job waited for ever.
+    A VM without an entry in the worker registry takes no tasks. If it counted, it could
+    be the only VM that an idle pool keeps, and the pool's next job would never start.
     """
     worker = find_vm_worker(tables, vm)
     if is_standby(tables, vm.pool_id) or (worker is not None and worker.listed):
@@ -138,7 +139,10 @@
     now: Seconds,
     assigned: set[VMId],
 ) -> list[VMEntry]:
-    """Return the VMs that may move, standby ones first, maintained ones before."""
+    """Return the VMs that may be moved: those not due for maintenance first.
+
+    Within each group, VMs of standby pools come first.
+    """
     due = {
         vm_id
         for wave in fleet.waves_by_id.values()
@@ -179,10 +183,10 @@
     plan: FleetPlan,
     assigned: set[VMId],
 ) -> None:
-    """Move VMs to the pools that have fewer than wanted, the shortest first.
+    """Move VMs to the pools that have fewer than wanted, the largest shortage first.
 
-    Pools give up what they have beyond ``in_reserve`` first, and then what they
-    have beyond ``wanted``.
+    VMs beyond a pool's ``sizes_with_reserve`` are taken first, then those beyond its
+    size in ``wanted``.
     """
     short = sorted(
         wanted, key=lambda pool_id: vm_counts.get(pool_id, 0) - wanted[pool_id]
@@ -205,7 +209,7 @@
     vm_counts: dict[PoolId, int],
     sources: list[VMEntry],
 ) -> VMEntry | None:
-    """Take a VM of a standby pool, or of one that has more than it keeps."""
+    """Remove and return a VM from a standby pool or one that exceeds its kept size."""
     for vm in sources:
         if vm.pool_id == pool_id:
             continue
--- a/packages/systems/src/medlarspring_systems/scheduling/progress_records.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/progress_records.py
@@ -1,4 +1,4 @@
-"""A job's progress as it is kept in the store, and back into the tables."""
+"""Conversion of a job's progress to and from its record in the store."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def encode_progress(job: ActiveJob) -> ProgressRecord:
-    """Return what a successor has to know of a started job."""
+    """Return the record from which the next controller can continue a started job."""
     steps: dict[str, StepRecord] = {}
     for occurrence, occurrence_steps in job.occurrences_by_index.items():
         for step in occurrence_steps:
@@ -78,24 +78,24 @@
 
 
 def find_progress_fault(record: ProgressRecord, spec: JobSpec) -> str:
-    """Return what in a record does not belong to the job; empty if all of it does.
+    """Return the first inconsistency of a record with its job, or "" if there is none.
 
-    A record that names occurrences or steps the job does not have was written by
-    another program, or by another version; restoring it would end the takeover.
+    A record that names occurrences or steps that the job does not have was written by
+    another program or version. Restoring it would abort the takeover.
     """
     occurrences = max(spec.occurrences, 1)
     if not 0 <= record.occurrences_done <= occurrences:
         return f"{record.occurrences_done} of {occurrences} occurrences are done"
     if any(not 0 <= each < occurrences for each in record.done_beyond):
-        return "an occurrence is done that the job does not have"
+        return "it marks an occurrence as done that the job does not have"
     for key, step in record.steps.items():
         occurrence, _, index = key.partition(".")
         if not (occurrence.isdecimal() and index.isdecimal()):
-            return f"{key} names no step"
+            return f"{key} is not a valid step key"
         if int(occurrence) >= occurrences or int(index) >= len(spec.steps):
             return f"the job has no step {key}"
         if not _is_hex(step.done):
-            return f"the tasks done of step {key} are no bit mask"
+            return f"the done tasks of step {key} are not a hexadecimal bit mask"
     return ""
 
 
@@ -111,7 +111,7 @@
     now: Seconds,
     wall_ms: float,
 ) -> None:
-    """Enter recorded progress; recorded runs count as unknown until listed."""
+    """Restore recorded progress; restored runs are unknown until they are listed."""
     job.started = True
     job.occurrences_done = set(range(record.occurrences_done))
     job.occurrences_done |= set(record.done_beyond)
--- a/packages/systems/src/medlarspring_systems/scheduling/routes.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/routes.py
@@ -1,4 +1,4 @@
-"""Which queue a request's host and path lead to."""
+"""Routing of requests to queues by host and path prefix."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 @dataclass(slots=True)
 class HostRoutes:
-    """Routes of one host by prefix; lengths are tried from the longest down."""
+    """Routes of one host by prefix, with the prefix lengths in descending order."""
 
     queues_by_prefix: dict[str, QueuePolicy] = field(default_factory=dict)
     lengths: tuple[int, ...] = ()
 
 
 RouteIndex = dict[str, HostRoutes]
-"""By host."""
+"""Routes by host name in lower case."""
 
 
 @dataclass(frozen=True, slots=True)
 class RouteMatch:
-    """A queue, and what follows its prefix in the path."""
+    """A matched queue, and the rest of the path after the prefix."""
 
     queue: QueuePolicy
     rest: str
 
 
 def index_routes(routes: Iterable[Route]) -> RouteIndex:
-    """Return an index whose look-up does not grow with the number of routes."""
+    """Return an index with look-up time independent of the number of routes."""
     index: RouteIndex = {}
     for route in routes:
         host = index.setdefault(route.host.lower(), HostRoutes())
@@ -44,7 +44,10 @@
 
 
 def match_route(index: RouteIndex, host: str, path: str) -> RouteMatch | None:
-    """Return the match of the longest prefix that the path begins with."""
+    """Return the queue with the longest matching path prefix, or None.
+
+    The host may include a port, which is ignored if no route names it.
+    """
     routes = index.get(host.lower()) or index.get(host.lower().partition(":")[0])
     if routes is None:
         return None
