--- a/packages/systems/tests/scheduling/test_advice_requests.py
+++ b/packages/systems/tests/scheduling/test_advice_requests.py
@@ -85,8 +85,8 @@
 
 def test_ticket_for_a_previous_incarnation_is_not_used(scene: Scene):
     """
-    A ticket holds for one life of its worker. The worker starts again under its id;
-    each start with the old ticket would be refused, and the step would wait.
+    A ticket is valid for one incarnation of its worker. After a restart under the same
+    id, the worker refuses starts with the old ticket, and the step would not run.
     """
     worker = scene.add_worker(1)
     add_restricted_job(scene, "j", STEP)
--- a/packages/systems/tests/scheduling/test_demand.py
+++ b/packages/systems/tests/scheduling/test_demand.py
@@ -1,4 +1,4 @@
-"""What a controller believes of incoming work when it takes over in mid-turn."""
+"""Demand estimates of a controller that takes over in the middle of a burst."""
 
 from __future__ import annotations
 
@@ -53,9 +53,9 @@
 )
 def test_rebuilt_demand_matches_the_previous_controller(ages, order):  # type: ignore[no-untyped-def]
     """
-    Jobs come over eight seconds; a controller that saw each of them come and one
-    that loads all of them now, in the order of their ids, believe the same of the
-    level and of its means.
+    Jobs arrive over eight seconds. A controller that saw each arrival and one that
+    loads all jobs now, in the order of their ids, must compute the same level and
+    means.
     """
     seen, loaded = create_scene(), create_scene()
     for number, age in enumerate(sorted(ages, reverse=True)):
@@ -71,9 +71,9 @@
 
 def test_pool_does_not_grow_after_a_takeover_once_its_burst_is_over(scene: Scene):
     """
-    A queue's turn ended five seconds ago; what is left of it runs when the
-    controller is replaced. Counted as if all of it had just come, it made the pool
-    want 24 VMs while the queue in turn had four.
+    A queue's burst ended five seconds ago, and the rest of its tasks run when the
+    controller is replaced. When they all counted as new arrivals, the pool requested
+    24 VMs, while the queue with the current burst had four.
     """
     for number in range(20):
         scene.add_worker(number)
@@ -102,8 +102,8 @@
 
 def test_slow_entry_vm_clock_does_not_make_a_new_job_late(scene: Scene):
     """
-    The clock of the entry VM that accepted a job is an hour behind. Its job is not
-    late for that: without a time of its own it counts from its arrival.
+    The clock of the entry VM that accepted a job is one hour slow. The job has no
+    scheduled time, so its objective counts from its arrival.
     """
     queue = scene.create_queue()
     record = JobRecord(
--- a/packages/systems/tests/scheduling/test_lease_plan.py
+++ b/packages/systems/tests/scheduling/test_lease_plan.py
@@ -91,8 +91,8 @@
 
 def test_unresponsive_worker_gets_no_lease_extension(scene: Scene):
     """
-    A worker answers nothing and runs on. An extension that reached it unheard would
-    keep its runs alive for longer than this controller knows.
+    A worker keeps running but its answers are lost. If it received an extension, its
+    runs would last longer than this controller expects.
     """
     worker = scene.add_worker(1)
     note_clock(worker, CLOCK_MS, NOW)
--- a/packages/systems/tests/scheduling/test_listings.py
+++ b/packages/systems/tests/scheduling/test_listings.py
@@ -65,9 +65,9 @@
     scene: Scene, asked_at: float, is_lost: bool
 ):
     """
-    A start and a hold are on their way at once, on different connections. The
-    hold's answer was made before the start and comes after it; taken for the
-    loss of the run, it would start the task a second time.
+    A start and a hold call are in transit at the same time, on different connections.
+    The hold's answer was created before the start and arrives after it. If the missing
+    run counted as lost, the task would start a second time.
     """
     run = start_run(scene)
     outcome = apply(scene, run, [], [], asked_at)
@@ -76,9 +76,9 @@
 
 def test_unanswered_start_is_settled_by_a_stop_and_a_later_listing(scene: Scene):
     """
-    The worker carries an order out that it left unanswered, seconds later. Not
-    listed means only "not yet"; after a confirmed stop of its number it can't
-    begin any more, and the task may run elsewhere.
+    A worker may carry out an unanswered order seconds later, so a run that is not
+    listed may still start. It can't after a confirmed stop of its run number, and then
+    the task may run elsewhere.
     """
     run = start_run(scene, RunState.UNKNOWN)
     assert apply(scene, run, [], []).absent == [run]
@@ -90,8 +90,8 @@
 
 def test_success_of_a_run_assumed_not_started_counts(scene: Scene):
     """
-    A start believed lost was carried out and ended. Once its end is
-    acknowledged, a further start of the task would be a second run.
+    A start order that was assumed lost was carried out, and its run ended. Once the
+    end is acknowledged, another start would run the task a second time.
     """
     run = start_run(scene)
     task = run.task
@@ -129,9 +129,9 @@
 
 def test_end_of_a_detached_gang_member_completes_the_whole_gang(scene: Scene):
     """
-    An order to a member of a gang goes unanswered and is given up as stopped; the
-    gang had run, and lists its one end, which stands for all members. Taken for
-    that member alone, the rest waited for a whole gang that could never be again.
+    The start orders of a gang get no answer and its runs are detached, but the gang
+    ran, and its single listed end counts for all members. When that end counted for
+    one member only, the others waited forever for a complete gang.
     """
     scene.add_worker(1)
     job = scene.add_job("j", create_step(count=3, gang=True))
--- a/packages/systems/tests/scheduling/test_maintenance_waves.py
+++ b/packages/systems/tests/scheduling/test_maintenance_waves.py
@@ -48,7 +48,7 @@
 def start_long_running(
     scene: Scene, spec: StepSpec = LONG_RUNNING, since: float = NOW - 5
 ) -> list[Run]:
-    scene.add_job("lasting", spec)
+    scene.add_job("long-running", spec)
     runs = plan_round(scene.tables, POOL, NOW)
     for run in runs:
         confirm_run(run, since)
@@ -86,8 +86,9 @@
 
 def test_long_running_tasks_of_a_step_are_stopped_one_at_a_time(scene: Scene):
     """
-    Two tasks of a step serve on a VM that is due. Stopped together, the step
-    would serve nobody for a second, although it allows one task to be away.
+    Both tasks of a step run on a VM that is due for maintenance. If they were stopped
+    together, the step would be down for a second, although it allows only one of its
+    tasks to be unavailable.
     """
     scene.add_worker(1)
     runs = start_long_running(scene)
@@ -101,9 +102,9 @@
 
 def test_unresponsive_workers_block_stops_of_long_running_tasks(scene: Scene):
     """
-    A worker misses one call while its zone is busy. Its long-running task still
-    serves; taken for away already, it would be stopped on top of the one that
-    really is away.
+    A worker misses one call while its zone is busy, although its long-running task
+    still runs. If such a task could be stopped, it would be down in addition to
+    another task of its step that may be unavailable.
     """
     first, second = scene.add_worker(1, cpu=2_000), scene.add_worker(2, cpu=2_000)
     runs = start_long_running(scene)
@@ -114,8 +115,8 @@
 
 def test_last_open_vm_of_a_pool_is_replaced_before_it_is_drained(scene: Scene):
     """
-    Every VM of a pool is due at once. Drained together, nothing could be placed
-    and the long-running tasks could not leave, so the wave stood still for ever.
+    Every VM of a pool is due at once. When all of them were drained, the long-running
+    tasks could not be placed anywhere else, and the wave never finished.
     """
     scene.add_worker(1)
     start_long_running(scene)
@@ -136,9 +137,9 @@
     scene: Scene,
 ):
     """
-    A controller orders the stop of a task that serves users, and hands the cell over.
-    Its worker still lists the task at work, so its successor stopped another one of
-    the same step: two were away where one may be.
+    A controller orders the stop of a long-running task and then loses the cell. The
+    worker still lists the task as running, so the next controller stopped another task
+    of the step: two were unavailable although only one may be.
     """
     fleet = FleetTables(initial_sizes_known=True)
     for number in range(1, 4):
--- a/packages/systems/tests/scheduling/test_pacing.py
+++ b/packages/systems/tests/scheduling/test_pacing.py
@@ -16,7 +16,7 @@
 POOL = PoolId("consent")
 NOW = 1_000.0
 MAX_IMPACT_SECONDS = 4.0
-"""The platform allows a missed target for no longer."""
+"""Longest time for which the platform allows a latency target to be missed."""
 SERVING = StepSpec(
     count=1, cpu_millis=2_000, memory_mb=500, long_running=True, latency_target_ms=100
 )
@@ -26,7 +26,7 @@
 def start_both(scene: Scene) -> tuple[Run, Run]:
     scene.add_worker(1)
     scene.add_job("serving", SERVING)
-    scene.add_job("filling", BEST_EFFORT)
+    scene.add_job("best-effort", BEST_EFFORT)
     serving, best_effort = plan_round(scene.tables, POOL, NOW)
     for run in (serving, best_effort):
         confirm_run(run, NOW)
@@ -42,8 +42,8 @@
     scene: Scene,
 ):
     """
-    A task that fills keeps a neighbour over its latency target whatever its pace.
-    Halved again and again, it would still work when the limit is reached.
+    A best-effort task keeps a task on the same worker above its latency target at any
+    pace. If its pace were only halved, it would still run when the limit is reached.
     """
     serving, best_effort = start_both(scene)
     serving.gauge = 250
@@ -69,6 +69,6 @@
     scene.add_job("serving", SERVING)
     plan_round(scene.tables, POOL, NOW)
     scene.add_worker(2)
-    scene.add_job("filling", BEST_EFFORT)
+    scene.add_job("best-effort", BEST_EFFORT)
     (run,) = plan_round(scene.tables, POOL, NOW)
     assert run.worker.id == "i-2"
--- a/packages/systems/tests/scheduling/test_pool_sizing.py
+++ b/packages/systems/tests/scheduling/test_pool_sizing.py
@@ -1,4 +1,4 @@
-"""Replays of the load that pools answer: a queue's turn begins, peaks and ends."""
+"""Pool sizing under replayed load: a queue's burst begins, peaks and ends."""
 
 from __future__ import annotations
 
@@ -50,9 +50,9 @@
 def replay_arrivals(
     scene: Scene, fleet: FleetTables, step: StepSpec, per_second, seconds
 ):  # type: ignore[no-untyped-def]
-    """Let jobs come at a rate that may change, and return the need each 0.2 s.
+    """Submit jobs at a varying rate and return the pool's need every 0.2 s.
 
-    Each job is served within its estimate.
+    Each job completes after the estimate of its step.
     """
     needs, due, submitted, served = [], 0.0, 0, []
     for tick in range(int(seconds / 0.2)):
@@ -72,8 +72,8 @@
     scene: Scene, fleet: FleetTables
 ):
     """
-    Short jobs come at ten a second from one moment to the next. Sized by what
-    waits, the pool would call for VMs when the first jobs are late already.
+    Short jobs suddenly arrive at ten per second. If the pool were sized by its waiting
+    tasks, it would request VMs when the first jobs are already late.
     """
     needs = replay_arrivals(scene, fleet, SHORT, lambda at: 10.0, 1.0)
     steady = 10.0 * 6 * 2_000 * 0.6 / VM_MILLIS
@@ -84,8 +84,8 @@
     scene: Scene, fleet: FleetTables
 ):
     """
-    While VMs are on their way all work waits. Counted twice, it called for twice
-    the VMs that the turn then needed.
+    All work waits while VMs are being moved. When it counted both as incoming and as
+    waiting, the pool requested twice the VMs that the burst needed.
     """
     needs = replay_arrivals(scene, fleet, SHORT, lambda at: 10.0, 0.6)
     need = find_pool_need(scene.tables, fleet, POOL, NOW + 0.5)
@@ -97,8 +97,8 @@
     scene: Scene, fleet: FleetTables
 ):
     """
-    Each job is worth two VMs by itself and can wait for three seconds. Following
-    every job up and down, the pool paid for half as many VMs again.
+    Each job needs two VMs and can wait for three seconds. When the pool followed every
+    single job, it used half as many VMs again.
     """
     needs = replay_arrivals(scene, fleet, LONG, lambda at: 0.5, 12.0)
     steady = 0.5 * 8 * 4_000 * 4.0 / VM_MILLIS
@@ -121,8 +121,8 @@
 
 def test_idle_vm_moves_to_standby_only_after_a_delay(scene: Scene, fleet: FleetTables):
     """
-    Demand falls for a moment between two jobs. A VM sent away then would be called
-    back at once, and its work would wait for it.
+    Demand drops briefly between two jobs. A VM that moves to standby then would be
+    requested again at once, and work would wait for it.
     """
     limits = FleetLimits()
     job = scene.add_job("j", SHORT)
@@ -145,9 +145,9 @@
     scene: Scene, standby: int, taken: int
 ):
     """
-    A queue's turn wants more VMs than are in standby, while another pool keeps
-    idle VMs for a turn of its own. Left there, they would stand by while the
-    first pool's jobs become late; a quarter of a fleet did.
+    A queue's burst needs more VMs than are on standby, while another pool keeps idle
+    VMs as its reserve. When they stayed there, a quarter of the fleet was idle while
+    jobs of the first pool became late.
     """
     other = PoolId("survey")
     scene.tables.config.pools_by_id[other] = PoolPolicy(other)
@@ -172,9 +172,9 @@
     scene: Scene, fleet: FleetTables, has: int, kept: int
 ):
     """
-    A controller takes over between two turns. It knows of no work of any pool;
-    taken for pools that never had work, all of them were grown to their first
-    size, with VMs that a queue's turn was waiting for.
+    A controller takes over between two bursts and knows of no pool's work. When it
+    treated the pools as having had no work yet, it grew all of them to their initial
+    size, with VMs that the next burst needed.
     """
     fleet.vm_counts_by_pool = {POOL: has}
     assert find_pool_need(scene.tables, fleet, POOL, NOW).vms == kept
@@ -204,14 +204,21 @@
         (leave_open, LONG_RUNNING, 1.5, False),
         (quarantine, SHORT, 1.5, False),
     ],
-    ids=["set-aside", "only-just", "room-after-preemption", "open", "no-lasting-task"],
+    ids=[
+        "quarantined",
+        "waiting-briefly",
+        "capacity-after-preemption",
+        "open",
+        "no-long-running-task",
+    ],
 )
 def test_unplaceable_long_running_task_adds_a_vm(  # type: ignore[no-untyped-def]
     scene: Scene, prepare, spec: StepSpec, waited: float, calls: bool
 ):
     """
-    Both VMs of an idle pool are set aside for seconds. They count as the pool's
-    VMs, so it wanted no other, and its lasting task waited until one was tried.
+    Both VMs of an idle pool are quarantined for seconds. They count as VMs of the pool,
+    so it requested no others, and its long-running task waited until a quarantine
+    ended.
     """
     fleet = FleetTables(initial_sizes_known=True, vm_counts_by_pool={POOL: 2})
     for number in (1, 2):
@@ -223,8 +230,8 @@
 
 def test_unplaceable_task_adds_one_vm_at_a_time(scene: Scene):
     """
-    A VM takes 1.5 s to come. Called again at each look until it is there, half of
-    the fleet would be on its way for one task.
+    A VM takes 1.5 s to move. If each planning pass requested another one until the
+    first arrives, half of the fleet would move for a single task.
     """
     fleet = FleetTables(initial_sizes_known=True)
     quarantine(scene.add_worker(1))
