--- a/packages/systems/src/medlarspring_systems/scheduling/pool_needs.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/pool_needs.py
@@ -94,12 +94,12 @@
     to it. After a takeover no pool's work is known, and otherwise each idle pool would
     request all of its initial VMs again, for example eight.
     """
-    first = fleet.initial_sizes.get(pool_id, 0)
+    initial_size = fleet.initial_sizes.get(pool_id, 0)
     if slack is None:
-        return min(first, fleet.vm_counts_by_pool.get(pool_id, first))
+        return min(initial_size, fleet.vm_counts_by_pool.get(pool_id, initial_size))
     if _can_wait(fleet, slack):
         return MIN_VMS
-    return math.ceil(first * LOW_SLACK_SIZE_RATIO)
+    return math.ceil(initial_size * LOW_SLACK_SIZE_RATIO)
 
 
 def _can_wait(fleet: FleetTables, slack: Seconds | None) -> bool:
