--- a/packages/systems/src/medlarspring_systems/scheduling/demand.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/demand.py
@@ -149,4 +149,4 @@
     meter.at = max(meter.at, at)
 
 
-__all__ = ["find_slack", "record_arrival", "record_slack", "project_demand"]
+__all__ = ["find_slack", "project_demand", "record_arrival", "record_slack"]
--- a/packages/systems/src/medlarspring_systems/scheduling/fleet.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/fleet.py
@@ -263,7 +263,7 @@
     "is_available_for_operation",
     "is_standby",
     "record_operation_done",
-    "record_operation_sent",
     "record_operation_refused",
+    "record_operation_sent",
     "record_wave_order",
 ]
--- a/packages/systems/src/medlarspring_systems/scheduling/late_orders.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/late_orders.py
@@ -45,4 +45,4 @@
     ]
 
 
-__all__ = ["record_unanswered_order", "pop_late_orders"]
+__all__ = ["pop_late_orders", "record_unanswered_order"]
--- a/packages/systems/src/medlarspring_systems/scheduling/lease_plan.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/lease_plan.py
@@ -69,4 +69,4 @@
     return until
 
 
-__all__ = ["plan_lease_end", "plan_start_deadline", "plan_hold_wait"]
+__all__ = ["plan_hold_wait", "plan_lease_end", "plan_start_deadline"]
--- a/packages/systems/src/medlarspring_systems/scheduling/listings.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/listings.py
@@ -217,7 +217,7 @@
 
 __all__ = [
     "ListingOutcome",
+    "apply_listing",
     "find_task",
     "list_changed_jobs",
-    "apply_listing",
 ]
