--- a/packages/systems/tests/scheduling/test_maintenance_waves.py
+++ b/packages/systems/tests/scheduling/test_maintenance_waves.py
@@ -133,9 +133,7 @@
     assert plan(scene, fleet).stops
 
 
-def test_new_controller_waits_before_stopping_long_running_tasks(
-    scene: Scene,
-):
+def test_new_controller_waits_before_stopping_long_running_tasks(scene: Scene):
     """
     A controller orders the stop of a long-running task and then loses the cell. The
     worker still lists the task as running, so the next controller stopped another task
--- a/packages/systems/tests/scheduling/test_pacing.py
+++ b/packages/systems/tests/scheduling/test_pacing.py
@@ -38,9 +38,7 @@
     assert scene.tables.workers_by_id["i-1"].cpu_free == 14_000  # type: ignore[index]
 
 
-def test_best_effort_task_stops_well_before_the_impact_limit(
-    scene: Scene,
-):
+def test_best_effort_task_stops_well_before_the_impact_limit(scene: Scene):
     """
     A best-effort task keeps a task on the same worker above its latency target at any
     pace. If its pace were only halved, it would still run when the limit is reached.
