--- a/packages/systems/src/medlarspring_systems/scheduling/maintenance.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/maintenance.py
@@ -1,8 +1,8 @@
-"""Maintenance waves: which VM goes down next, and what has to leave it first.
+"""Planning of maintenance waves: the order of VMs, and draining them beforehand.
 
-VMs that do nothing go first. Others are emptied: they get no new tasks, and
-batch tasks end by themselves within seconds. Long-running tasks are stopped and
-placed elsewhere, never more of a step at once than it allows to be away.
+Idle VMs go first. Busy VMs are drained: they get no new tasks, and their batch tasks
+finish within seconds. Long-running tasks are stopped and placed elsewhere, within the
+number of tasks that their step allows to be unavailable.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from medlarspring_systems.scheduling.availability import may_stop_long_run
 from medlarspring_systems.scheduling.fleet import (
     MaintainVM,
-    find_worker_of,
-    is_free,
+    find_vm_worker,
+    is_available_for_operation,
     is_standby,
 )
 from medlarspring_tables.scheduling import VMPhase
@@ -27,10 +27,10 @@
     from medlarspring_tables import Seconds
     from medlarspring_tables.scheduling import VMEntry, Worker, WorkTables
 
-DRAIN_AHEAD = 2
-"""VMs emptied ahead of a free place in the wave, so that none is left unused."""
-FORCE_SECONDS = 3.0
-"""So long before its deadline a wave ends batch work that still runs."""
+EXTRA_DRAINS = 2
+"""VMs drained beyond the wave's free slots, so that a freed slot is used at once."""
+FORCE_MARGIN_SECONDS = 3.0
+"""Time before a wave's deadline from which VMs go down with batch tasks running."""
 
 
 def plan_maintenance(
@@ -39,7 +39,7 @@
     now: Seconds,
     plan: FleetPlan,
 ) -> None:
-    """Add the operations and stops that the open waves call for."""
+    """Add the operations and stops that the open waves require to the plan."""
     for wave in fleet.waves_by_id.values():
         if not wave.reported:
             _plan_wave(tables, fleet, wave, now, plan)
@@ -54,39 +54,41 @@
 ) -> None:
     if not tables.vms_by_id:
         return
-    left = [
+    remaining = [
         tables.vms_by_id[vm_id]
         for vm_id in wave.order.vm_ids
         if vm_id in tables.vms_by_id and vm_id not in wave.done
     ]
-    if not left:
+    if not remaining:
         wave.complete = True
         plan.to_report.append(wave)
         return
     if not wave.announced:
         plan.to_report.append(wave)
-    places = wave.order.max_at_once - _count_down(tables, fleet, wave)
-    candidates = [vm for vm in left if is_free(fleet, vm, now)]
-    candidates.sort(key=lambda vm: _rate(tables, vm))
-    forced = now > wave.deadline_at - FORCE_SECONDS
-    drains = max(places, 0) + DRAIN_AHEAD
+    free_slots = wave.order.max_at_once - _count_vms_down(tables, fleet, wave)
+    candidates = [vm for vm in remaining if is_available_for_operation(fleet, vm, now)]
+    candidates.sort(key=lambda vm: _measure_disruption(tables, vm))
+    forced = now > wave.deadline_at - FORCE_MARGIN_SECONDS
+    drains = max(free_slots, 0) + EXTRA_DRAINS
     for vm in candidates:
-        worker = find_worker_of(tables, vm)
+        worker = find_vm_worker(tables, vm)
         if worker is None or not worker.runs:
-            if places > 0 and _may_go_down(tables, vm, worker):
+            if free_slots > 0 and _may_take_down(tables, vm, worker):
                 plan.operations.append(MaintainVM(vm.id, wave.id))
-                places -= 1
+                free_slots -= 1
             continue
         if drains <= 0:
             continue
         drains -= 1
         _drain(tables, fleet, vm, worker, now, plan)
-        if forced and places > 0 and not worker.long_runs:
+        if forced and free_slots > 0 and not worker.long_runs:
             plan.operations.append(MaintainVM(vm.id, wave.id))
-            places -= 1
+            free_slots -= 1
 
 
-def _has_other_open(tables: WorkTables, fleet: FleetTables, worker: Worker) -> bool:
+def _has_other_open_worker(
+    tables: WorkTables, fleet: FleetTables, worker: Worker
+) -> bool:
     return any(
         each is not worker
         and each.listed
@@ -98,8 +100,8 @@
     )
 
 
-def _may_go_down(tables: WorkTables, vm: VMEntry, worker: Worker | None) -> bool:
-    """Tell whether the pool still has another VM for its work."""
+def _may_take_down(tables: WorkTables, vm: VMEntry, worker: Worker | None) -> bool:
+    """Return whether the pool keeps another VM for its work."""
     if worker is None or is_standby(tables, vm.pool_id):
         return True
     others = [
@@ -110,8 +112,8 @@
     return bool(others)
 
 
-def _count_down(tables: WorkTables, fleet: FleetTables, wave: WaveProgress) -> int:
-    """Return how many VMs of the wave are down for it, or may be."""
+def _count_vms_down(tables: WorkTables, fleet: FleetTables, wave: WaveProgress) -> int:
+    """Return how many VMs of the wave are in maintenance or may be."""
     down = 0
     for vm_id in wave.order.vm_ids:
         vm = tables.vms_by_id.get(vm_id)
@@ -122,9 +124,9 @@
     return down
 
 
-def _rate(tables: WorkTables, vm: VMEntry) -> tuple[float, ...]:
-    """Return how costly it is to take a VM down; the smallest goes first."""
-    worker = find_worker_of(tables, vm)
+def _measure_disruption(tables: WorkTables, vm: VMEntry) -> tuple[float, ...]:
+    """Return a sort key for the cost of taking a VM down; the smallest goes first."""
+    worker = find_vm_worker(tables, vm)
     if worker is None:
         return (0.0, 0.0, 0.0)
     busy = worker.resources.cpu_millis - worker.cpu_free
@@ -139,13 +141,13 @@
     now: Seconds,
     plan: FleetPlan,
 ) -> None:
-    """Give a VM no new tasks, and move its long-running ones.
+    """Exclude a VM from new tasks and stop its long-running ones for a move.
 
-    The last open VM of a pool is not drained: nothing would be placed any more,
-    and nothing could leave it. Its pool is given another VM first.
+    The last open VM of a pool is not drained, because its tasks could not be placed
+    anywhere else. The pool gets another VM first.
     """
     fleet.due_next.add(vm.id)
-    if not _has_other_open(tables, fleet, worker):
+    if not _has_other_open_worker(tables, fleet, worker):
         return
     fleet.drained_for_wave.add(vm.id)
     for run in worker.runs.values():
@@ -153,7 +155,7 @@
             continue
         if may_stop_long_run(tables, run, now):
             plan.stops.append((run, "VM is due for maintenance"))
-            # Counted as away from here on, also by what is planned next.
+            # The rest of this planning pass must count the task as unavailable.
             run.stopping = True
             plan.changed_pools[worker.pool_id] = None
 
--- a/packages/systems/src/medlarspring_systems/scheduling/repair.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/repair.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.scheduling.estimates import expect_seconds
+from medlarspring_systems.scheduling.estimates import estimate_seconds
 from medlarspring_systems.scheduling.pacing import plan_paces
 from medlarspring_systems.scheduling.placement import (
     choose_worker,
@@ -109,7 +109,7 @@
     stalled_for = last_contact - max(run.advanced_at, run.confirmed_at)
     if stalled_for <= STALL_SECONDS:
         return 0.0
-    expected = expect_seconds(
+    expected = estimate_seconds(
         tables, step.job.queue.id, step.spec, step.mean_duration_ms
     )
     return stalled_for / max(STALL_SECONDS, STALL_FRACTION * expected)
--- a/packages/systems/tests/scheduling/test_crashes.py
+++ b/packages/systems/tests/scheduling/test_crashes.py
@@ -14,8 +14,8 @@
     record_worker_end,
 )
 from medlarspring_systems.scheduling.jobs import admit_job
-from medlarspring_systems.scheduling.listings import take_listing
-from medlarspring_systems.scheduling.recording import (
+from medlarspring_systems.scheduling.listings import apply_listing
+from medlarspring_systems.scheduling.progress_records import (
     encode_progress,
     restore_progress,
 )
@@ -255,7 +255,7 @@
     begin_incarnation(scene.tables, worker, BORN_MS + 1, 10.0, NOW + 0.1)
     assert get_task(job).crashes.total == 1
     run.stop_confirmed_at = NOW + 0.2
-    take_listing(scene.tables, worker, [], [], NOW + 0.3, NOW + 0.3)
+    apply_listing(scene.tables, worker, [], [], NOW + 0.3, NOW + 0.3)
     assert get_task(job).crashes.total == 1
     assert get_task(job).runs == []
 
@@ -281,7 +281,7 @@
     (run,) = plan_round(scene.tables, POOL, NOW)
     run.life_ms, worker.born_ms = life_ms, BORN_MS + 1
     run.state, run.stop_confirmed_at = RunState.UNKNOWN, NOW + 0.2
-    take_listing(scene.tables, worker, [], [], NOW + 0.3, NOW + 0.3)
+    apply_listing(scene.tables, worker, [], [], NOW + 0.3, NOW + 0.3)
     assert get_task(job).crashes.total == total
 
 
