--- a/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
@@ -12,7 +12,7 @@
 from medlarspring_adapters.prefix_follower import PrefixFollower
 from medlarspring_daemon.scheduling.advice_desk import AdviceDesk
 from medlarspring_daemon.scheduling.job_feed import JobFeed
-from medlarspring_daemon.scheduling.journal import WRITTEN_FOR_GOOD, Journal
+from medlarspring_daemon.scheduling.job_record_writer import FINAL_VERSION, JobRecordWriter
 from medlarspring_daemon.scheduling.load_gauge import LoadGauge
 from medlarspring_daemon.scheduling.load_report import LoadReport
 from medlarspring_daemon.scheduling.round_timer import RoundTimer
@@ -51,7 +51,7 @@
     from medlarspring_adapters.store import Listing
     from medlarspring_daemon.scheduling.context import SchedulingNode
     from medlarspring_daemon.scheduling.directory import Directory
-    from medlarspring_daemon.scheduling.election import Tenure
+    from medlarspring_daemon.scheduling.election import Term
     from medlarspring_systems.scheduling.listings import ListingOutcome
     from medlarspring_tables import PoolId, Seconds
     from medlarspring_tables.scheduling import (
@@ -70,25 +70,25 @@
     """Implements ``Term`` and ``LinkOwner``."""
 
     def __init__(
-        self, node: SchedulingNode, directory: Directory, tenure: Tenure
+        self, node: SchedulingNode, directory: Directory, term: Term
     ) -> None:
         self._node = node
         self._directory = directory
-        self._tenure = tenure
+        self._term = term
         self._tasks = Tasks(node.log)
-        self._journal = Journal(node, tenure, self._note_written)
+        self._record_writer = JobRecordWriter(node, term, self._handle_record_written)
         self._links_by_id: dict[WorkerId, WorkerLink] = {}
-        self._unrecorded = UnrecordedEnds()
+        self._unrecorded_ends = UnrecordedEnds()
         self._closing: set[asyncio.Task[None]] = set()
         self._followers: list[PrefixFollower] = []
         self._workers: WorkerFeed | None = None
         self._running = False
-        self._load = LoadGauge()
+        self._load_gauge = LoadGauge()
         assert directory.config is not None
         self.tables = WorkTables(config=directory.config)
-        self._rounds = RoundTimer(self.tables, self._place)
-        self._keeper = VMKeeper(node, tenure, directory, self)
-        self._lives = WorkerLives(node, self)
+        self._rounds = RoundTimer(self.tables, self._run_round)
+        self._vm_manager = VMKeeper(node, term, directory, self)
+        self._liveness = WorkerLives(node, self)
 
     # Term
 
@@ -106,26 +106,26 @@
         links = list(self._links_by_id.values())
         await asyncio.gather(*(link.close() for link in links))
         await asyncio.gather(*(follower.stop() for follower in self._followers))
-        await self._journal.close(flush=graceful)
+        await self._record_writer.close(flush=graceful)
         await asyncio.gather(*self._closing, return_exceptions=True)
         self._directory.listeners = [
-            each for each in self._directory.listeners if each != self._take_config
+            each for each in self._directory.listeners if each != self._apply_config
         ]
 
     def is_overloaded(self) -> bool:
         """Tell whether this process can't keep up with the cell's work."""
-        return self._load.is_overloaded()
+        return self._load_gauge.is_overloaded()
 
     async def _take_over(self) -> None:
         """Read what is recorded, then follow the inbox and the workers."""
         began_at = self._node.clock.now()
-        prefix = self._tenure.keys.progress_prefix
+        prefix = self._term.keys.progress_prefix
         progress = await self._read_until(prefix)
         records = {entry.key.removeprefix(prefix): entry for entry in progress.entries}
-        feed = JobFeed(self._node, self._tenure, self, records)
+        feed = JobFeed(self._node, self._term, self, records)
         workers = self._workers = WorkerFeed(self._node, self)
         store, rng = self._node.store, self._node.rng
-        inbox = self._tenure.keys.inbox_prefix
+        inbox = self._term.keys.inbox_prefix
         self._followers = [
             PrefixFollower(store, inbox, feed, rng, LOAD_RETRY_SECONDS),
             PrefixFollower(
@@ -138,25 +138,25 @@
         self._running = True
         for worker in list(self.tables.workers_by_id.values()):
             self.note_worker(worker)
-        self._directory.listeners.append(self._take_config)
-        self._take_config()
+        self._directory.listeners.append(self._apply_config)
+        self._apply_config()
         took_ms = (self._node.clock.now() - began_at) * 1_000
         self._node.metrics.timing(Metric.TAKEOVER_MS, took_ms)
         self._node.log.info(
             Event.CELL_LOADED,
-            cell=self._tenure.cell_id,
-            fence=self._tenure.fence,
+            cell=self._term.cell_id,
+            fence=self._term.fence,
             jobs=len(self.tables.jobs_by_id),
             workers=len(self.tables.workers_by_id),
             took_ms=round(took_ms),
         )
         self._tasks.keep(self._tick_forever)
-        self._tasks.keep(LoadReport(self._node, self._tenure, self.tables).run)
-        self._tasks.keep(self._lives.run)
-        self._tasks.keep(self._keeper.run)
+        self._tasks.keep(LoadReport(self._node, self._term, self.tables).run)
+        self._tasks.keep(self._liveness.run)
+        self._tasks.keep(self._vm_manager.run)
         if self._node.adviser is not None:
-            desk = AdviceDesk(self._node, self._node.adviser, self)
-            self._tasks.keep(desk.run)
+            advice_service = AdviceDesk(self._node, self._node.adviser, self)
+            self._tasks.keep(advice_service.run)
         self.plan_all()
 
     async def _read_until(self, prefix: str) -> Listing:
@@ -173,17 +173,17 @@
 
     # What the feeds tell
 
-    def note_job(self, job: ActiveJob) -> None:
+    def open_job(self, job: ActiveJob) -> None:
         """Open a job that was accepted or loaded."""
         now, wall_ms = self._node.clock.now(), self._node.clock.wall() * 1_000
         open_due_occurrences(self.tables, job, now, wall_ms)
-        self._journal.mark(job)
+        self._record_writer.schedule_write(job)
         self.plan(job.queue.pool_id)
 
-    def note_cancelled(self, job: ActiveJob) -> None:
+    def stop_cancelled_job(self, job: ActiveJob) -> None:
         """Stop a job at its customer's wish."""
         cancel_job(job)
-        self._settle_job(job)
+        self._record_job(job)
 
     def note_worker(self, worker: Worker) -> None:
         """Connect to a worker that the registry lists.
@@ -195,17 +195,17 @@
             return
         link = self._links_by_id.get(worker.id)
         if link is not None and not link.leads_to(worker.address):
-            self._leave_address(worker)
+            self._disconnect_from_old_address(worker)
             link = None
         if link is None and worker.address:
-            link = WorkerLink(self._node, self._tenure, self, worker)
+            link = WorkerLink(self._node, self._term, self, worker)
             self._links_by_id[worker.id] = link
             link.start()
         elif link is not None and not worker.settled:
             link.look()
         self.plan(worker.pool_id)
 
-    def _leave_address(self, worker: Worker) -> None:
+    def _disconnect_from_old_address(self, worker: Worker) -> None:
         """Close the connections to a worker that is at another address now.
 
         Nobody waits any more for the answers to orders that are on their way; left
@@ -224,13 +224,13 @@
         longest = self._node.limits.worker_lease
         now = self._node.clock.now()
         verdict = note_worker_end(self.tables, worker, now)
-        over = begin_life(self.tables, worker, born_ms, longest, now)
-        log_started_again(self._node, worker, former_ms, len(over), verdict)
-        for run in over:
+        lost_runs = begin_life(self.tables, worker, born_ms, longest, now)
+        log_started_again(self._node, worker, former_ms, len(lost_runs), verdict)
+        for run in lost_runs:
             log_lost(self._node, run, "its worker started again")
-        self.note_lost(over)
+        self.note_lost(lost_runs)
         for job in verdict.jobs:
-            self._settle_job(job)
+            self._record_job(job)
 
     def note_entry_gone(self, worker: Worker) -> None:
         """Look whether a worker that the registry dropped is still alive."""
@@ -247,11 +247,11 @@
             log_lost(self._node, run, "not on its worker")
         if outcome.newly_doubted:
             log_doubted(self._node, worker)
-        self._unrecorded.note(worker.id, outcome.ends)
+        self._unrecorded_ends.add_ends(worker.id, outcome.ends)
         for job_id in list_jobs(outcome):
             job = self.tables.jobs_by_id.get(job_id)
             if job is not None:
-                self._settle_job(job)
+                self._record_job(job)
         for run, _ in outcome.ended:
             self._stop_copies(run)
         self._stop_unwanted(worker)
@@ -260,7 +260,7 @@
 
     def note_changed(self, worker: Worker, run: Run) -> None:
         """Record that a run is over or was refused, and plan anew."""
-        self._journal.mark(run.task.step.job)
+        self._record_writer.schedule_write(run.task.step.job)
         self.plan(worker.pool_id)
 
     def note_silent(self, worker: Worker) -> None:
@@ -269,15 +269,15 @@
 
     def look_at_vms(self) -> None:
         """Read the VM list soon."""
-        self._lives.look_soon()
+        self._liveness.look_soon()
 
     def note_order(self, *, answered: bool) -> None:
         """Note whether a worker answered an order in time."""
-        self._load.note_order(answered=answered)
+        self._load_gauge.note_order(answered=answered)
 
     def note_superseded(self) -> None:
         """Stop: a controller with a higher fence has been at a worker."""
-        self._tenure.end()
+        self._term.end()
 
     # Planning
 
@@ -297,20 +297,20 @@
         if link is not None and run.state is not RunState.INTENDED:
             link.send_stop(run, reason)
 
-    def _place(self, pool_id: PoolId) -> None:
-        if not self._running or not self._tenure.holds():
+    def _run_round(self, pool_id: PoolId) -> None:
+        if not self._running or not self._term.is_active():
             return
         for run in plan_round(self.tables, pool_id, self._node.clock.now()):
-            self._journal.mark(run.task.step.job)
+            self._record_writer.schedule_write(run.task.step.job)
 
-    def _note_written(self, job: ActiveJob) -> None:
+    def _handle_record_written(self, job: ActiveJob) -> None:
         """Send the orders whose intents are now recorded."""
-        if job.written_version == WRITTEN_FOR_GOOD:
-            self._note_end_written(job)
+        if job.written_version == FINAL_VERSION:
+            self._handle_final_record_written(job)
             return
         for run in list(job.runs):
             self._send_if_recorded(run)
-        self._wake_acknowledging(job)
+        self._acknowledge_recorded_ends(job)
 
     def _send_if_recorded(self, run: Run) -> None:
         if run.state is not RunState.INTENDED:
@@ -319,32 +319,32 @@
             return
         link = self._links_by_id.get(run.worker.id)
         # Its room may have shrunk while the intent was being recorded.
-        closed = run.worker.gone or run.worker.draining or is_overfull(run.worker)
-        if link is None or closed:
+        is_unavailable = run.worker.gone or run.worker.draining or is_overfull(run.worker)
+        if link is None or is_unavailable:
             detach_run(self.tables, run, self._node.clock.now())
             self.note_changed(run.worker, run)
             return
         link.send_start(run)
 
-    def _wake_acknowledging(self, job: ActiveJob) -> None:
+    def _acknowledge_recorded_ends(self, job: ActiveJob) -> None:
         """Have ends acknowledged that the job's record holds now."""
-        for worker_id in self._unrecorded.take(job):
+        for worker_id in self._unrecorded_ends.collect_waiting_workers(job):
             link = self._links_by_id.get(worker_id)
             if link is not None:
                 link.note_recorded()
 
-    def _note_end_written(self, job: ActiveJob) -> None:
+    def _handle_final_record_written(self, job: ActiveJob) -> None:
         forget_job(self.tables, job, self._node.clock.now())
         log_job_ended(self._node, job)
-        self._wake_acknowledging(job)
+        self._acknowledge_recorded_ends(job)
 
-    def _settle_job(self, job: ActiveJob) -> None:
+    def _record_job(self, job: ActiveJob) -> None:
         """Record a job, and stop what still runs of it once it has ended."""
         if job.outcome is None:
-            self._journal.mark_ends(job)
+            self._record_writer.schedule_ends_write(job)
             self.plan(job.queue.pool_id)
             return
-        self._journal.mark(job)
+        self._record_writer.schedule_write(job)
         now = self._node.clock.now()
         for run in list(job.runs):
             if run.state is RunState.INTENDED:
@@ -377,8 +377,8 @@
             slept_at = self._node.clock.now()
             await asyncio.sleep(TICK_SECONDS)
             late = self._node.clock.now() - slept_at - TICK_SECONDS
-            self._load.note_tick(late)
-            if self._tenure.holds():
+            self._load_gauge.note_tick(late)
+            if self._term.is_active():
                 self._tick()
 
     def _tick(self) -> None:
@@ -388,7 +388,7 @@
                 self.tables, job, now, wall_ms
             ):
                 self.plan(job.queue.pool_id)
-        self._lives.drop_lapsed(now)
+        self._liveness.drop_lapsed(now)
         self._repair(now)
         self.plan_all()
 
@@ -399,13 +399,13 @@
         for run, reason in repairs.stops:
             self.stop_run(run, reason)
         for run in repairs.copies:
-            self._journal.mark(run.task.step.job)
+            self._record_writer.schedule_write(run.task.step.job)
         for run, percent in repairs.paces:
             link = self._links_by_id.get(run.worker.id)
             if link is not None:
                 link.send_pace(run, percent)
 
-    def _take_config(self) -> None:
+    def _apply_config(self) -> None:
         """Take the operator's configuration over."""
         if self._directory.config is None:
             return
@@ -419,9 +419,9 @@
         """Record that runs are over without an end, and plan anew."""
         for job in dict.fromkeys(run.task.step.job for run in runs):
             if job.outcome is not None:
-                self._settle_job(job)
+                self._record_job(job)
                 continue
-            self._journal.mark(job)
+            self._record_writer.schedule_write(job)
             self.plan(job.queue.pool_id)
 
     def drop_link(self, worker: Worker) -> None:
--- a/packages/daemon/src/medlarspring_daemon/scheduling/directory.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/directory.py
@@ -83,7 +83,7 @@
     def _take_config(self, entry: Entry) -> None:
         decoded = self._node.codec.decode_config(entry.key, entry.value)
         if not is_successful(decoded):
-            self._node.unreadable.note(entry.key, decoded.failure().message())
+            self._node.unreadable.report(entry.key, decoded.failure().message())
             return
         self._node.unreadable.forget(entry.key)
         config = decoded.unwrap()
@@ -105,7 +105,7 @@
     def _take_wave(self, entry: Entry) -> None:
         decoded = self._node.codec.decode_wave(entry.key, entry.value)
         if not is_successful(decoded):
-            self._node.unreadable.note(entry.key, decoded.failure().message())
+            self._node.unreadable.report(entry.key, decoded.failure().message())
             return
         self._node.unreadable.forget(entry.key)
         order = decoded.unwrap()
--- a/packages/daemon/src/medlarspring_daemon/scheduling/election.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/election.py
@@ -37,21 +37,21 @@
 starts wait. Much shorter leases lapse in a store that answers in 250 ms."""
 RENEW_SECONDS = 0.3
 """Four tries in a lease; a renewal costs a tenth of a read."""
-MARGIN_SECONDS = 0.25
+LEASE_MARGIN_SECONDS = 0.25
 """The holder stops so much before the lease can lapse, by its own clock."""
-JITTER_SECONDS = 0.06
+MAX_JITTER_SECONDS = 0.06
 """Candidates try at random moments, so that most see the winner's key first."""
 TICK_SECONDS = 0.1
-STRONG_CORES = 1.0
+PREFERRED_CORES = 1.0
 """An entry VM with less leaves the cell to others if it can: a controller of 1,300
 tasks a second took 0.5 of a core, and on half a core its orders timed out."""
-WEAK_SECONDS_PER_CORE = 0.6
+DELAY_SECONDS_PER_MISSING_CORE = 0.6
 """A weaker candidate waits so much longer for each core that it lacks."""
-SHY_SECONDS = 3.0
+OVERLOAD_BACKOFF_SECONDS = 3.0
 """An overloaded controller that gave the cell up lets others try for so long."""
 
 
-class Term(Protocol):
+class Controller(Protocol):
     """What runs while this process controls a cell."""
 
     tables: WorkTables
@@ -70,7 +70,7 @@
         ...
 
 
-class Tenure:
+class Term:
     """One holding of a cell's key; its fence never changes."""
 
     def __init__(
@@ -81,13 +81,13 @@
         self.keys = CellKeys(cell_id)
         self.lease_id = lease_id
         self.fence = Fence(0)
-        self.safe_until: Seconds = 0.0
+        self.valid_until: Seconds = 0.0
         self.began_at: Seconds = 0.0
         self.superseded = False
 
-    def holds(self) -> bool:
+    def is_active(self) -> bool:
         """Tell whether this process may still act for the cell, by its own clock."""
-        return not self.superseded and self._node.clock.now() < self.safe_until
+        return not self.superseded and self._node.clock.now() < self.valid_until
 
     def expect(self) -> Expect:
         """Return the condition that each write for the cell carries."""
@@ -97,7 +97,7 @@
         """Note that another process holds the cell, or may."""
         self.superseded = True
 
-    def outlives(self, refused: Committed) -> bool:
+    def check_still_holder(self, refused: Committed) -> bool:
         """Tell whether a write was refused for another reason than the holder's key.
 
         The write must have asked for that key. Ends the tenure otherwise.
@@ -117,23 +117,23 @@
         self,
         node: SchedulingNode,
         cell_id: CellId,
-        may_try: Callable[[], bool],
-        create_term: Callable[[Tenure], Term],
+        may_control: Callable[[], bool],
+        create_controller: Callable[[Term], Controller],
     ) -> None:
         self._node = node
         self._cell_id = cell_id
         self._keys = CellKeys(cell_id)
-        self._may_try = may_try
-        self._create_term = create_term
+        self._may_control = may_control
+        self._create_controller = create_controller
         self._tasks = Tasks(node.log)
         self._holder: Entry | None = None
         """The key as last seen; None while nobody holds the cell."""
-        self._known = False
+        self._is_holder_known = False
         """Whether the key was read at all."""
         self._changed = asyncio.Event()
-        self._shy_until: Seconds = 0.0
-        self.tenure: Tenure | None = None
+        self._backoff_until: Seconds = 0.0
         self.term: Term | None = None
+        self.controller: Controller | None = None
         self._follower = PrefixFollower(
             node.store, self._keys.controller, self, node.rng, TICK_SECONDS
         )
@@ -147,44 +147,44 @@
         """Give the cell up at once, so that a successor need not wait."""
         await self._tasks.cancel()
         await self._follower.stop()
-        if self.tenure is not None:
-            await self._leave(self.tenure, graceful=True)
+        if self.term is not None:
+            await self._release(self.term, graceful=True)
 
     def take_listing(self, listing: Listing) -> None:
         """Take the key as listed."""
         key = self._keys.controller
         matching = [entry for entry in listing.entries if entry.key == key]
-        self._note_holder(matching[0] if matching else None, listing.revision)
+        self._record_holder(matching[0] if matching else None, listing.revision)
 
     def take_batch(self, batch: WatchBatch) -> None:
         """Take a change of the key."""
         if self._keys.controller in batch.deleted:
-            self._note_holder(None, batch.revision)
+            self._record_holder(None, batch.revision)
         for entry in batch.changed:
             if entry.key == self._keys.controller:
-                self._note_holder(entry, batch.revision)
+                self._record_holder(entry, batch.revision)
 
-    def _note_holder(self, entry: Entry | None, revision: Revision) -> None:
-        tenure = self.tenure
+    def _record_holder(self, entry: Entry | None, revision: Revision) -> None:
+        term = self.term
         # News from before this process won the key tells of its predecessor.
-        if tenure is not None and revision < tenure.fence:
+        if term is not None and revision < term.fence:
             return
         self._holder = entry
-        self._known = True
-        if tenure is not None and tenure.fence:
-            is_ours = entry is not None and entry.mod_revision <= tenure.fence
+        self._is_holder_known = True
+        if term is not None and term.fence:
+            is_ours = entry is not None and entry.mod_revision <= term.fence
             if not is_ours:
-                tenure.end()
+                term.end()
         self._changed.set()
 
     async def _run(self) -> None:
         while True:
-            if self.tenure is not None:
-                await self._keep(self.tenure)
-            elif self._known and self._holder is None and self._may_try():
-                await asyncio.sleep(self._choose_wait())
+            if self.term is not None:
+                await self._renew(self.term)
+            elif self._is_holder_known and self._holder is None and self._may_control():
+                await asyncio.sleep(self._choose_candidacy_delay())
                 if self._holder is None:
-                    await self._try()
+                    await self._acquire()
             self._changed.clear()
             try:
                 async with asyncio.timeout(TICK_SECONDS):
@@ -192,35 +192,35 @@
             except TimeoutError:
                 continue
 
-    def _choose_wait(self) -> Seconds:
+    def _choose_candidacy_delay(self) -> Seconds:
         """Return how long to let stronger entry VMs go first."""
-        lacking = max(STRONG_CORES - self._node.cores, 0.0)
-        shy = max(self._shy_until - self._node.clock.now(), 0.0)
-        jitter = self._node.rng.uniform(0.0, JITTER_SECONDS)
-        return jitter + lacking * WEAK_SECONDS_PER_CORE + shy
+        missing_cores = max(PREFERRED_CORES - self._node.cores, 0.0)
+        backoff = max(self._backoff_until - self._node.clock.now(), 0.0)
+        jitter = self._node.rng.uniform(0.0, MAX_JITTER_SECONDS)
+        return jitter + missing_cores * DELAY_SECONDS_PER_MISSING_CORE + backoff
 
-    async def _try(self) -> None:
+    async def _acquire(self) -> None:
         sent_at = self._node.clock.now()
         granted = await self._node.store.grant_lease(LEASE_SECONDS)
         if not is_successful(granted):
             return
-        tenure = Tenure(self._node, self._cell_id, granted.unwrap())
-        tenure.safe_until = sent_at + LEASE_SECONDS - MARGIN_SECONDS
-        if not await self._write_key(tenure):
+        term = Term(self._node, self._cell_id, granted.unwrap())
+        term.valid_until = sent_at + LEASE_SECONDS - LEASE_MARGIN_SECONDS
+        if not await self._write_key(term):
             return
-        tenure.began_at = self._node.clock.now()
-        self.tenure = tenure
+        term.began_at = self._node.clock.now()
+        self.term = term
         self._node.log.info(
             Event.CELL_HELD,
             cell=self._cell_id,
-            fence=tenure.fence,
+            fence=term.fence,
             lease_seconds=LEASE_SECONDS,
         )
         self._node.metrics.gauge(Metric.CELLS_HELD, 1)
-        self.term = self._create_term(tenure)
-        await self.term.start()
+        self.controller = self._create_controller(term)
+        await self.controller.start()
 
-    async def _write_key(self, tenure: Tenure) -> bool:
+    async def _write_key(self, term: Term) -> bool:
         record = ControllerRecord(
             entry_vm_id=self._node.id,
             peer_address=self._node.peer_address,
@@ -229,10 +229,10 @@
         key = self._keys.controller
         transaction = Transaction(
             expects=(Expect(key, Revision(0)),),
-            writes=(Put(key, msgspec.json.encode(record), tenure.lease_id),),
+            writes=(Put(key, msgspec.json.encode(record), term.lease_id),),
             read_on_failure=(key,),
         )
-        while tenure.holds():
+        while term.is_active():
             answer = await self._node.store.commit(transaction)
             if not is_successful(answer):
                 if isinstance(answer.failure(), LeaseGone):
@@ -241,84 +241,84 @@
             committed = answer.unwrap()
             found = committed.read_by_key.get(key)
             if committed.succeeded:
-                tenure.fence = Fence(committed.revision)
+                term.fence = Fence(committed.revision)
                 return True
             if found is None:
                 # Absent and yet refused: the key went between check and read.
                 continue
-            if found.lease_id == tenure.lease_id:
+            if found.lease_id == term.lease_id:
                 # The answer of an earlier try was lost; the key is ours.
-                tenure.fence = Fence(found.mod_revision)
+                term.fence = Fence(found.mod_revision)
                 return True
-            self._note_holder(found, found.mod_revision)
+            self._record_holder(found, found.mod_revision)
             return False
         return False
 
-    async def _keep(self, tenure: Tenure) -> None:
+    async def _renew(self, term: Term) -> None:
         """Renew the lease, or find out whether another process holds the cell.
 
         A process whose renewals get no answer does nothing for the cell any more.
         It goes on asking: after an outage of the store its key is often still
         there, and a successor could come only after another whole lease.
         """
-        if tenure.superseded:
-            await self._leave(tenure, graceful=False)
+        if term.superseded:
+            await self._release(term, graceful=False)
             return
-        if self._should_yield():
-            self._shy_until = self._node.clock.now() + SHY_SECONDS
-            await self._leave(tenure, graceful=True)
+        if self._should_step_down():
+            self._backoff_until = self._node.clock.now() + OVERLOAD_BACKOFF_SECONDS
+            await self._release(term, graceful=True)
             return
-        remaining = tenure.safe_until - self._node.clock.now()
-        full = LEASE_SECONDS - MARGIN_SECONDS
-        if remaining > full - RENEW_SECONDS:
+        remaining = term.valid_until - self._node.clock.now()
+        full_validity = LEASE_SECONDS - LEASE_MARGIN_SECONDS
+        if remaining > full_validity - RENEW_SECONDS:
             return
         sent_at = self._node.clock.now()
-        kept = await self._node.store.keep_lease(tenure.lease_id)
-        if not is_successful(kept):
+        renewed = await self._node.store.keep_lease(term.lease_id)
+        if not is_successful(renewed):
             return
-        if kept.unwrap() <= 0.0:
-            tenure.end()
-            await self._leave(tenure, graceful=False)
+        if renewed.unwrap() <= 0.0:
+            term.end()
+            await self._release(term, graceful=False)
             return
-        if not tenure.holds() and not await self._still_has_key(tenure):
+        if not term.is_active() and not await self._still_has_key(term):
             return
-        tenure.safe_until = max(tenure.safe_until, sent_at + full)
+        term.valid_until = max(term.valid_until, sent_at + full_validity)
 
-    def _should_yield(self) -> bool:
+    def _should_step_down(self) -> bool:
         """Tell whether a stronger entry VM should control the cell instead."""
-        if self._node.cores >= STRONG_CORES or self.term is None:
+        if self._node.cores >= PREFERRED_CORES or self.controller is None:
             return False
-        return self.term.is_overloaded()
+        return self.controller.is_overloaded()
 
-    async def _still_has_key(self, tenure: Tenure) -> bool:
+    async def _still_has_key(self, term: Term) -> bool:
         """Tell whether the key outlived a pause; a lease alone does not prove it."""
         found = await self._node.store.read(self._keys.controller)
         if not is_successful(found):
             return False
         entry = found.unwrap()
-        if entry is None or entry.mod_revision != tenure.expect().mod_revision:
-            tenure.end()
+        if entry is None or entry.mod_revision != term.expect().mod_revision:
+            term.end()
             return False
-        self._node.log.info(Event.CELL_RESUMED, cell=self._cell_id, fence=tenure.fence)
+        self._node.log.info(Event.CELL_RESUMED, cell=self._cell_id, fence=term.fence)
         return True
 
-    async def _leave(self, tenure: Tenure, *, graceful: bool) -> None:
-        term, self.term = self.term, None
-        if term is not None:
-            await term.stop(graceful=graceful)
-        self.tenure = None
+    async def _release(self, term: Term, *, graceful: bool) -> None:
+        controller, self.controller = self.controller, None
+        if controller is not None:
+            await controller.stop(graceful=graceful)
+        self.term = None
         self._node.metrics.gauge(Metric.CELLS_HELD, 0)
         event = Event.CELL_RELEASED if graceful else Event.CELL_LOST
         log = self._node.log.info if graceful else self._node.log.warning
-        log(event, cell=self._cell_id, fence=tenure.fence)
-        if graceful and tenure.holds():
-            tenure.end()
+        log(event, cell=self._cell_id, fence=term.fence)
+        if graceful and term.is_active():
+            term.end()
             transaction = Transaction(
-                (tenure.expect(),), (Delete(self._keys.controller),)
+                (term.expect(),), (Delete(self._keys.controller),)
             )
             await self._node.store.commit(transaction)
-        tenure.end()
+        term.end()
         self._holder = None if graceful else self._holder
 
 
-__all__ = ["Election", "Tenure", "Term"]
+__all__ = ["Election", "Term", "Controller"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/intake.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/intake.py
@@ -47,7 +47,7 @@
 """Each takes a condition and a write of the 32 entries of a transaction."""
 RETRY_SECONDS = 0.04
 """Pause before a call to the store is repeated within the customer's deadline."""
-LOST_SECONDS = 0.25
+STORE_LOST_SECONDS = 0.25
 """The store counts as lost once it fails all calls for so long; calls on jobs are
 then refused at once, before anything is sent. The watches notice its return."""
 REFUSE_AFTER_SECONDS = 0.4
@@ -55,17 +55,17 @@
 
 Longer waits use up the customer's time, which another entry VM could serve.
 """
-GIVE_UP_SECONDS = 1.0
+UNKNOWN_AFTER_SECONDS = 1.0
 """A write without a known outcome is reported as unknown after so long; held to the
 customer's deadline instead, its repeat with the same id came three seconds later."""
-LEAST_RETRY_AFTER = 1
-MOST_RETRY_AFTER = 4
+MIN_RETRY_AFTER_SECONDS = 1
+MAX_RETRY_AFTER_SECONDS = 4
 """Whole seconds. An outage is taken to last as long again as it has lasted, so that
 a customer's few tries are not used up within the first seconds of a long one."""
 ANSWER_MARGIN_SECONDS = 0.15
 """An answer leaves so much before the customer stops waiting."""
 UNREADABLE_JOB = "the job's record can't be read"
-LOAD_AGE_SECONDS = 0.5
+MAX_LOAD_AGE_SECONDS = 0.5
 """Counts of waiting jobs are read again after so long; they may be 2 s old."""
 
 
@@ -87,7 +87,7 @@
 
 
 @dataclass(slots=True)
-class ReadLoad:
+class CachedLoad:
     """A load record and when it was read."""
 
     record: LoadRecord
@@ -102,16 +102,16 @@
         self._commits = GroupCommit(
             node.store, node.clock, lambda: 0.0, MAX_ACCEPTED_PER_CALL
         )
-        self._loads_by_cell: dict[str, ReadLoad] = {}
+        self._loads_by_cell: dict[str, CachedLoad] = {}
 
     async def submit(
-        self, queue: QueuePolicy, job_id: JobId, spec: JobSpec, patience: Seconds
+        self, queue: QueuePolicy, job_id: JobId, spec: JobSpec, timeout: Seconds
     ) -> Result[None, IntakeError]:
         """Accept a job; a job of this id that is there already is the same one.
 
         ``patience`` is how long the customer waits for the answer, in seconds.
         """
-        came_at = self._node.clock.now()
+        received_at = self._node.clock.now()
         record = JobRecord(
             queue=queue,
             spec=spec,
@@ -123,25 +123,25 @@
             writes=(Put(key, msgspec.json.encode(record)),),
             read_on_failure=(key,),
         )
-        answer = await self._commit_until(transaction, patience)
-        self._log_submission(queue, job_id, answer, came_at)
+        answer = await self._commit_until(transaction, timeout)
+        self._log_submission(queue, job_id, answer, received_at)
         return answer.map(lambda _: None)
 
     async def cancel(
-        self, job_id: JobId, patience: Seconds
+        self, job_id: JobId, timeout: Seconds
     ) -> Result[None, IntakeError]:
         """Record the wish to cancel a job; its controller stops the tasks."""
-        answer = await self._cancel(job_id, patience)
+        answer = await self._cancel(job_id, timeout)
         self._log_refused_call("cancel", job_id, answer)
         return answer
 
     async def _cancel(
-        self, job_id: JobId, patience: Seconds
+        self, job_id: JobId, timeout: Seconds
     ) -> Result[None, IntakeError]:
         keys = self._keys(job_id)
-        ends_at = self._node.clock.now() + patience
+        deadline = self._node.clock.now() + timeout
         while True:
-            found = await self._read(keys.job(job_id), ends_at)
+            found = await self._read(keys.job(job_id), deadline)
             if not is_successful(found):
                 return Failure(found.failure())
             entry = found.unwrap()
@@ -152,12 +152,12 @@
                 return Failure(self._create_refusal(UNREADABLE_JOB))
             if record.outcome is not None:
                 return Success(None)
-            wish = CancelRecord(requested_at_ms=round(self._node.clock.wall() * 1_000))
+            request = CancelRecord(requested_at_ms=round(self._node.clock.wall() * 1_000))
             transaction = Transaction(
                 expects=(Expect(entry.key, entry.mod_revision),),
-                writes=(Put(keys.cancel(job_id), msgspec.json.encode(wish)),),
+                writes=(Put(keys.cancel(job_id), msgspec.json.encode(request)),),
             )
-            left = ends_at - self._node.clock.now()
+            left = deadline - self._node.clock.now()
             answer = await self._commit_until(transaction, left)
             if not is_successful(answer):
                 return Failure(answer.failure())
@@ -169,19 +169,19 @@
             # The job ended between the read and the write; read again.
 
     async def find_status(
-        self, job_id: JobId, patience: Seconds
+        self, job_id: JobId, timeout: Seconds
     ) -> Result[JobStatus, IntakeError]:
         """Return what became of a job."""
-        answer = await self._find_status(job_id, patience)
+        answer = await self._find_status(job_id, timeout)
         self._log_refused_call("status", job_id, answer)
         return answer
 
     async def _find_status(
-        self, job_id: JobId, patience: Seconds
+        self, job_id: JobId, timeout: Seconds
     ) -> Result[JobStatus, IntakeError]:
         keys = self._keys(job_id)
-        ends_at = self._node.clock.now() + patience
-        found = await self._read(keys.job(job_id), ends_at)
+        deadline = self._node.clock.now() + timeout
+        found = await self._read(keys.job(job_id), deadline)
         if not is_successful(found):
             return Failure(found.failure())
         entry = found.unwrap()
@@ -192,49 +192,49 @@
             return Failure(self._create_refusal(UNREADABLE_JOB))
         if record.outcome is not None:
             return Success(STATUS_BY_OUTCOME[record.outcome])
-        progress = await self._read(keys.progress(job_id), ends_at)
+        progress = await self._read(keys.progress(job_id), deadline)
         if not is_successful(progress):
             return Failure(progress.failure())
         started = progress.unwrap() is not None
         return Success(JobStatus.ACTIVE if started else JobStatus.QUEUED)
 
     async def count_waiting(
-        self, queue_id: QueueId, patience: Seconds
+        self, queue_id: QueueId, timeout: Seconds
     ) -> Result[int, IntakeError]:
         """Return how many accepted jobs of a queue have not started."""
         total = 0
         for cell_id in self._node.cells:
-            load = await self._read_load(CellKeys(cell_id), patience)
+            load = await self._read_load(CellKeys(cell_id), timeout)
             if not is_successful(load):
                 return Failure(load.failure())
             total += load.unwrap().waiting_by_queue.get(queue_id, 0)
         return Success(total)
 
     async def _read_load(
-        self, keys: CellKeys, patience: Seconds
+        self, keys: CellKeys, timeout: Seconds
     ) -> Result[LoadRecord, IntakeError]:
         now = self._node.clock.now()
-        known = self._loads_by_cell.get(keys.cell_id)
-        if known is not None and now - known.read_at < LOAD_AGE_SECONDS:
-            return Success(known.record)
-        found = await self._read(keys.load, now + patience)
+        cached = self._loads_by_cell.get(keys.cell_id)
+        if cached is not None and now - cached.read_at < MAX_LOAD_AGE_SECONDS:
+            return Success(cached.record)
+        found = await self._read(keys.load, now + timeout)
         if not is_successful(found):
             return Failure(found.failure())
         entry = found.unwrap()
         record = LoadRecord(at_ms=0)
         if entry is not None:
             record = self._node.unreadable.decode(entry, LoadRecord) or record
-        self._loads_by_cell[keys.cell_id] = ReadLoad(record, now)
+        self._loads_by_cell[keys.cell_id] = CachedLoad(record, now)
         return Success(record)
 
     def _keys(self, job_id: JobId) -> CellKeys:
         return CellKeys(find_cell(job_id, self._node.cells))
 
     async def _read(
-        self, key: str, ends_at: Seconds
+        self, key: str, deadline: Seconds
     ) -> Result[Entry | None, IntakeError]:
         clock = self._node.clock
-        refuse_at = min(clock.now() + REFUSE_AFTER_SECONDS, ends_at)
+        refuse_at = min(clock.now() + REFUSE_AFTER_SECONDS, deadline)
         while not self._is_store_lost():
             answer = await self._node.store.read(key)
             if is_successful(answer):
@@ -245,7 +245,7 @@
         return Failure(self._create_refusal("the store gives no answer"))
 
     async def _commit_until(
-        self, transaction: Transaction, patience: Seconds
+        self, transaction: Transaction, timeout: Seconds
     ) -> Result[bool, IntakeError]:
         """Commit until the outcome is known; tells whether the conditions held.
 
@@ -255,27 +255,27 @@
         reported as unknown.
         """
         clock = self._node.clock
-        ends_at = clock.now() + patience - ANSWER_MARGIN_SECONDS
-        refuse_at = min(clock.now() + REFUSE_AFTER_SECONDS, ends_at)
-        give_up_at = min(clock.now() + GIVE_UP_SECONDS, ends_at)
-        may_follow = False
-        while may_follow or not self._is_store_lost():
+        deadline = clock.now() + timeout - ANSWER_MARGIN_SECONDS
+        refuse_at = min(clock.now() + REFUSE_AFTER_SECONDS, deadline)
+        unknown_at = min(clock.now() + UNKNOWN_AFTER_SECONDS, deadline)
+        may_be_applied = False
+        while may_be_applied or not self._is_store_lost():
             answer = await self._commits.commit(transaction)
             if is_successful(answer):
                 return Success(answer.unwrap().succeeded)
             error = answer.failure()
-            may_follow = may_follow or isinstance(error, StoreOutcomeUnknown)
+            may_be_applied = may_be_applied or isinstance(error, StoreOutcomeUnknown)
             now = clock.now()
-            if may_follow and now >= give_up_at:
+            if may_be_applied and now >= unknown_at:
                 return Failure(OutcomeUnknown())
-            if not may_follow and now >= refuse_at:
+            if not may_be_applied and now >= refuse_at:
                 break
             await asyncio.sleep(RETRY_SECONDS)
         detail = "the store takes no writes from this entry VM"
         return Failure(self._create_refusal(detail))
 
     def _is_store_lost(self) -> bool:
-        return self._measure_outage() >= LOST_SECONDS
+        return self._measure_outage() >= STORE_LOST_SECONDS
 
     def _measure_outage(self) -> Seconds:
         failing_since = self._node.store_health.failing_since
@@ -286,7 +286,7 @@
     def _create_refusal(self, detail: str) -> NotReady:
         """Return a refusal that names a useful moment to come back."""
         seconds = math.ceil(self._measure_outage())
-        return NotReady(detail, min(max(seconds, LEAST_RETRY_AFTER), MOST_RETRY_AFTER))
+        return NotReady(detail, min(max(seconds, MIN_RETRY_AFTER_SECONDS), MAX_RETRY_AFTER_SECONDS))
 
     def _log_refused_call(
         self, call: str, job_id: JobId, answer: Result[Any, IntakeError]
@@ -306,9 +306,9 @@
         queue: QueuePolicy,
         job_id: JobId,
         answer: Result[bool, IntakeError],
-        came_at: Seconds,
+        received_at: Seconds,
     ) -> None:
-        took_ms = (self._node.clock.now() - came_at) * 1_000
+        took_ms = (self._node.clock.now() - received_at) * 1_000
         metrics = self._node.metrics
         metrics.timing(Metric.JOB_ACCEPT_MS, took_ms)
         if is_successful(answer):
--- a/packages/daemon/src/medlarspring_daemon/scheduling/job_feed.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/job_feed.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from medlarspring_adapters.store import Entry, Listing, WatchBatch
     from medlarspring_daemon.scheduling.context import SchedulingNode
-    from medlarspring_daemon.scheduling.election import Tenure
+    from medlarspring_daemon.scheduling.election import Term
     from medlarspring_tables import JobId, Seconds
     from medlarspring_tables.scheduling import ActiveJob, JobSpec, WorkTables
 
@@ -29,11 +29,11 @@
 
     tables: WorkTables
 
-    def note_job(self, job: ActiveJob) -> None:
+    def open_job(self, job: ActiveJob) -> None:
         """Open a job that was accepted or loaded."""
         ...
 
-    def note_cancelled(self, job: ActiveJob) -> None:
+    def stop_cancelled_job(self, job: ActiveJob) -> None:
         """Stop a job at its customer's wish."""
         ...
 
@@ -44,12 +44,12 @@
     def __init__(
         self,
         node: SchedulingNode,
-        tenure: Tenure,
+        term: Term,
         owner: JobOwner,
         progress_by_id: dict[str, Entry],
     ) -> None:
         self._node = node
-        self._keys = tenure.keys
+        self._keys = term.keys
         self._owner = owner
         self._progress_by_id = progress_by_id
         """Progress recorded by predecessors, until its job is listed."""
@@ -57,29 +57,29 @@
 
     def take_listing(self, listing: Listing) -> None:
         """Take the whole inbox; jobs first, since a wish needs its job."""
-        self._take_entries(listing.entries)
+        self._process_entries(listing.entries)
         self._progress_by_id.clear()
         self.loaded.set()
 
     def take_batch(self, batch: WatchBatch) -> None:
         """Take what is new."""
-        self._take_entries(batch.changed)
+        self._process_entries(batch.changed)
 
-    def _take_entries(self, entries: tuple[Entry, ...]) -> None:
-        wishes: list[JobId] = []
+    def _process_entries(self, entries: tuple[Entry, ...]) -> None:
+        cancelled_ids: list[JobId] = []
         for entry in entries:
             parsed = self._keys.parse_inbox(entry.key)
             if parsed is None:
                 continue
             kind, job_id = parsed
             if kind is InboxKind.JOB:
-                self._take_job(job_id, entry)
+                self._load_job(job_id, entry)
             else:
-                wishes.append(job_id)
-        for job_id in wishes:
-            self._take_wish(job_id)
+                cancelled_ids.append(job_id)
+        for job_id in cancelled_ids:
+            self._cancel_job(job_id)
 
-    def _take_job(self, job_id: JobId, entry: Entry) -> None:
+    def _load_job(self, job_id: JobId, entry: Entry) -> None:
         tables = self._owner.tables
         if job_id in tables.jobs_by_id or job_id in tables.ended_job_ids:
             return
@@ -88,21 +88,21 @@
             return
         fault = check_job(record.spec)
         if fault is not None:
-            self._node.unreadable.note(entry.key, fault.message())
+            self._node.unreadable.report(entry.key, fault.message())
             return
         progress_entry = self._progress_by_id.pop(job_id, None)
         progress = self._read_progress(progress_entry, record.spec)
         if progress_entry is not None and progress is None:
             # Begun anew, its tasks that are done would run a second time.
             return
-        arrived_at = self._find_arrival(record)
+        arrived_at = self._find_arrival_time(record)
         job = admit_job(tables, job_id, record, entry.mod_revision, arrived_at)
         if progress_entry is not None and progress is not None:
             job.progress_revision = progress_entry.mod_revision
             self._restore(job, progress)
-        self._owner.note_job(job)
+        self._owner.open_job(job)
 
-    def _find_arrival(self, record: JobRecord) -> Seconds:
+    def _find_arrival_time(self, record: JobRecord) -> Seconds:
         """Return when a job came; for one that is loaded by its record's clock."""
         now = self._node.clock.now()
         if self.loaded.is_set():
@@ -120,7 +120,7 @@
             return None
         fault = find_progress_fault(record, spec)
         if fault:
-            self._node.unreadable.note(entry.key, fault)
+            self._node.unreadable.report(entry.key, fault)
             return None
         return record
 
@@ -136,11 +136,11 @@
             wall_ms,
         )
 
-    def _take_wish(self, job_id: JobId) -> None:
+    def _cancel_job(self, job_id: JobId) -> None:
         job = self._owner.tables.jobs_by_id.get(job_id)
         if job is not None and not job.cancelled:
             self._node.log.info(Event.JOB_CANCELLED, job=job_id, queue=job.queue.id)
-            self._owner.note_cancelled(job)
+            self._owner.stop_cancelled_job(job)
 
 
 __all__ = ["JobFeed", "JobOwner"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/load_report.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/load_report.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from medlarspring_daemon.scheduling.context import SchedulingNode
-    from medlarspring_daemon.scheduling.election import Tenure
+    from medlarspring_daemon.scheduling.election import Term
     from medlarspring_tables.scheduling import WorkTables
 
 REPORT_SECONDS = 0.8
@@ -28,10 +28,10 @@
     """Publishes the counts of a cell whenever they changed."""
 
     def __init__(
-        self, node: SchedulingNode, tenure: Tenure, tables: WorkTables
+        self, node: SchedulingNode, term: Term, tables: WorkTables
     ) -> None:
         self._node = node
-        self._tenure = tenure
+        self._term = term
         self._tables = tables
         self._published: dict[str, int] | None = None
 
@@ -65,14 +65,14 @@
         for job in self._tables.jobs_by_id.values():
             if is_waiting(job):
                 waiting[job.queue.id] = waiting.get(job.queue.id, 0) + 1
-        if waiting == self._published or not self._tenure.holds():
+        if waiting == self._published or not self._term.is_active():
             return
         record = LoadRecord(
             at_ms=round(self._node.clock.wall() * 1_000), waiting_by_queue=waiting
         )
-        put = Put(self._tenure.keys.load, msgspec.json.encode(record))
+        put = Put(self._term.keys.load, msgspec.json.encode(record))
         answer = await self._node.store.commit(
-            Transaction((self._tenure.expect(),), (put,))
+            Transaction((self._term.expect(),), (put,))
         )
         if is_successful(answer):
             self._published = waiting
--- a/packages/daemon/src/medlarspring_daemon/scheduling/round_timer.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/round_timer.py
@@ -23,9 +23,9 @@
 class RoundTimer:
     """Lets what happens in a moment share one round of each pool."""
 
-    def __init__(self, tables: WorkTables, place: Callable[[PoolId], None]) -> None:
+    def __init__(self, tables: WorkTables, run_round: Callable[[PoolId], None]) -> None:
         self._tables = tables
-        self._place = place
+        self._run_round = run_round
         self._due: dict[PoolId, None] = {}
         self._timer: asyncio.TimerHandle | None = None
 
@@ -34,14 +34,14 @@
         self._due[pool_id] = None
         if self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(self._plan_wait(pool_id), self._run)
+            self._timer = loop.call_later(self._choose_delay(pool_id), self._run)
 
     def cancel(self) -> None:
         """Run no round any more."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _plan_wait(self, pool_id: PoolId) -> Seconds:
+    def _choose_delay(self, pool_id: PoolId) -> Seconds:
         steps = len(self._tables.ready_by_pool.get(pool_id, ()))
         workers = len(self._tables.workers_by_pool.get(pool_id, ()))
         wait = ROUND_SECONDS + ROUND_SECONDS_PER_ROW * (steps + workers)
@@ -51,7 +51,7 @@
         self._timer = None
         due, self._due = self._due, {}
         for pool_id in due:
-            self._place(pool_id)
+            self._run_round(pool_id)
 
 
 __all__ = ["RoundTimer"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/service.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/service.py
@@ -13,10 +13,10 @@
 
 if TYPE_CHECKING:
     from medlarspring_daemon.scheduling.context import SchedulingNode
-    from medlarspring_daemon.scheduling.election import Tenure, Term
+    from medlarspring_daemon.scheduling.election import Term, Controller
     from medlarspring_tables.scheduling import WorkTables
 
-READY_SILENCE_SECONDS = 1.0
+NOT_READY_AFTER_SECONDS = 1.0
 """An entry VM that the store fails for so long takes itself out of rotation."""
 
 
@@ -29,7 +29,7 @@
         self.directory = Directory(node)
         self.intake = Intake(node)
         self._elections = [
-            Election(node, cell_id, self._may_control, self._create_term)
+            Election(node, cell_id, self._may_control, self._create_controller)
             for cell_id in node.cells
         ]
 
@@ -54,28 +54,28 @@
         failing_since = self._node.store_health.failing_since
         if failing_since is None:
             return True
-        return self._node.clock.now() - failing_since < READY_SILENCE_SECONDS
+        return self._node.clock.now() - failing_since < NOT_READY_AFTER_SECONDS
 
     def is_controlling(self) -> bool:
         """Tell whether this process controls a cell, by its own belief."""
         return any(
-            election.tenure is not None and election.tenure.holds()
+            election.term is not None and election.term.is_active()
             for election in self._elections
         )
 
     def list_tables(self) -> list[WorkTables]:
         """Return what this process knows of the cells that it controls."""
         return [
-            election.term.tables
+            election.controller.tables
             for election in self._elections
-            if election.term is not None
+            if election.controller is not None
         ]
 
     def _may_control(self) -> bool:
         return self.directory.config is not None and not self._node.stopping
 
-    def _create_term(self, tenure: Tenure) -> Term:
-        return CellController(self._node, self.directory, tenure)
+    def _create_controller(self, term: Term) -> Controller:
+        return CellController(self._node, self.directory, term)
 
 
 def create_scheduling_service(node: SchedulingNode) -> SchedulingService:
--- a/packages/daemon/src/medlarspring_daemon/scheduling/store_watch.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/store_watch.py
@@ -11,7 +11,7 @@
     from medlarspring_daemon.scheduling.context import SchedulingNode
     from medlarspring_tables import Seconds
 
-LOST_SECONDS = 0.3
+STORE_LOST_SECONDS = 0.3
 """The store counts as lost once it fails all calls for so long."""
 LOOK_SECONDS = 0.1
 
@@ -34,7 +34,7 @@
         now = self._node.clock.now()
         if failing_since is None:
             self._note_answering(now)
-        elif self._lost_since is None and now - failing_since >= LOST_SECONDS:
+        elif self._lost_since is None and now - failing_since >= STORE_LOST_SECONDS:
             self._lost_since = failing_since
             failing_ms = round((now - failing_since) * 1_000)
             self._node.log.warning(Event.STORE_LOST, failing_ms=failing_ms)
--- a/packages/daemon/src/medlarspring_daemon/scheduling/end_ledger.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/unacknowledged_ends.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListedEnd:
+class UnacknowledgedEnd:
     """An end that the worker keeps until its job's record holds it."""
 
     number: int
@@ -26,18 +26,18 @@
     """Version of the job's record that holds the end."""
 
 
-LISTED_SECONDS = 0.055
+MAX_LISTING_AGE_SECONDS = 0.055
 """A worker that listed its runs so lately has not started again since; no process is
 up in less. A little more than the pause between calls while ends are unrecorded."""
 
 
-class EndLedger:
+class UnacknowledgedEnds:
     """The ends of one life of a worker that are not acknowledged, in listed order."""
 
     def __init__(self, life_ms: Milliseconds) -> None:
         self.life_ms = life_ms
         """Start of the life."""
-        self._ends: deque[ListedEnd] = deque()
+        self._ends: deque[UnacknowledgedEnd] = deque()
         self._listed_at: Seconds = float("-inf")
         """When the last listing came; never, if a call went unanswered since."""
 
@@ -47,17 +47,17 @@
     def add(self, number: int, job: ActiveJob | None) -> None:
         """Enter an end, as the job's tables stand now."""
         version = job.version if job is not None else 0
-        self._ends.append(ListedEnd(number, job, version))
+        self._ends.append(UnacknowledgedEnd(number, job, version))
 
-    def note_listed(self, now: Seconds) -> None:
+    def record_listing(self, now: Seconds) -> None:
         """Note that the life has just listed its runs and ends."""
         self._listed_at = now
 
-    def note_unanswered(self) -> None:
+    def record_unanswered_call(self) -> None:
         """Note that the life may be over since its last listing."""
         self._listed_at = float("-inf")
 
-    def find_acknowledged(self, now: Seconds) -> int:
+    def find_acknowledgeable(self, now: Seconds) -> int:
         """Return up to which end the worker may forget; 0 while that is not sure.
 
         A worker that listed nothing for a moment may have started again; only a
@@ -65,11 +65,11 @@
         former life would make the new one forget ends that nobody has read, and
         their tasks would run again.
         """
-        if now - self._listed_at > LISTED_SECONDS:
+        if now - self._listed_at > MAX_LISTING_AGE_SECONDS:
             return 0
-        return self.find_recorded()
+        return self.find_last_recorded()
 
-    def find_recorded(self) -> int:
+    def find_last_recorded(self) -> int:
         """Return the highest end that is recorded, and all before it; 0 for none."""
         recorded = 0
         for end in self._ends:
@@ -84,4 +84,4 @@
             self._ends.popleft()
 
 
-__all__ = ["EndLedger"]
+__all__ = ["UnacknowledgedEnds"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/unreadable.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/unreadable_records.py
@@ -12,7 +12,7 @@
     from medlarspring_adapters.events import EventLog
     from medlarspring_adapters.store import Entry
 
-MOST_REMEMBERED = 1_000
+MAX_REMEMBERED_KEYS = 1_000
 """Keys; a writer of many bad records must not fill the memory."""
 
 Record = TypeVar("Record", bound=msgspec.Struct)
@@ -29,12 +29,12 @@
         self._log = log
         self._faults_by_key: dict[str, str] = {}
 
-    def note(self, key: str, fault: str) -> None:
+    def report(self, key: str, fault: str) -> None:
         """Log a record that can't be read, unless that was said before."""
         if self._faults_by_key.get(key) == fault:
             return
         self._faults_by_key.pop(key, None)
-        if len(self._faults_by_key) >= MOST_REMEMBERED:
+        if len(self._faults_by_key) >= MAX_REMEMBERED_KEYS:
             del self._faults_by_key[next(iter(self._faults_by_key))]
         self._faults_by_key[key] = fault
         self._log.error(Event.RECORD_UNREADABLE, key=key, fault=fault)
@@ -48,7 +48,7 @@
         try:
             record = msgspec.json.decode(entry.value, type=record_type)
         except msgspec.MsgspecError as error:
-            self.note(entry.key, str(error))
+            self.report(entry.key, str(error))
             return None
         self.forget(entry.key)
         return record
--- a/packages/daemon/src/medlarspring_daemon/scheduling/unrecorded_ends.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/unrecorded_ends.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self._workers_by_job: dict[ActiveJob, dict[WorkerId, None]] = {}
 
-    def note(
+    def add_ends(
         self, worker_id: WorkerId, ends: Iterable[tuple[int, ActiveJob | None]]
     ) -> None:
         """Note the ends that a worker lists, by number and job."""
@@ -29,7 +29,7 @@
             if job is not None:
                 self._workers_by_job.setdefault(job, {})[worker_id] = None
 
-    def take(self, job: ActiveJob) -> Iterable[WorkerId]:
+    def collect_waiting_workers(self, job: ActiveJob) -> Iterable[WorkerId]:
         """Return the workers that wait for the job's record.
 
         They stay noted while the record lacks a newer end, which may be one of
--- a/packages/daemon/src/medlarspring_daemon/scheduling/vm_keeper.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/vm_keeper.py
@@ -34,7 +34,7 @@
     from medlarspring_adapters.store import Committed, StoreError
     from medlarspring_daemon.scheduling.context import SchedulingNode
     from medlarspring_daemon.scheduling.directory import Directory
-    from medlarspring_daemon.scheduling.election import Tenure
+    from medlarspring_daemon.scheduling.election import Term
     from medlarspring_systems.scheduling.fleet import VMOperation, WaveProgress
     from medlarspring_tables import Seconds
     from medlarspring_tables.scheduling import Run, WorkTables
@@ -84,17 +84,17 @@
     def __init__(
         self,
         node: SchedulingNode,
-        tenure: Tenure,
+        term: Term,
         directory: Directory,
         owner: KeeperOwner,
     ) -> None:
         self._node = node
-        self._tenure = tenure
+        self._term = term
         self._directory = directory
         self._owner = owner
         self.fleet = FleetTables()
-        self._maintain_at: Seconds = tenure.began_at + LEASE_SECONDS + SETTLE_SECONDS
-        self._move_at: Seconds = tenure.began_at
+        self._maintain_at: Seconds = term.began_at + LEASE_SECONDS + SETTLE_SECONDS
+        self._move_at: Seconds = term.began_at
         self._sent_ms_by_vm: dict[str, int] = {}
         self._operations_revision = Revision(0)
         """Store revision of the record of operations; 0 before the first one."""
@@ -111,7 +111,7 @@
             await asyncio.sleep(TICK_SECONDS)
 
     async def _load_waves(self) -> None:
-        prefix = self._tenure.keys.waves_prefix
+        prefix = self._term.keys.waves_prefix
         listing = await self._ask(lambda: self._node.store.read_prefix(prefix))
         for entry in listing.entries:
             wave_id = entry.key.removeprefix(prefix)
@@ -125,7 +125,7 @@
 
     async def _load_sizes(self) -> None:
         """Take the pools' first sizes over, or record them if nobody has."""
-        key = self._tenure.keys.sizes
+        key = self._term.keys.sizes
         entry = await self._ask(lambda: self._node.store.read(key))
         if entry is None:
             return
@@ -139,7 +139,7 @@
 
     async def _load_operations(self) -> None:
         """Leave the VMs alone that predecessors operated on a moment ago."""
-        key = self._tenure.keys.operations
+        key = self._term.keys.operations
         entry = await self._ask(lambda: self._node.store.read(key))
         if entry is None:
             return
@@ -176,15 +176,15 @@
             return
         sizes = {str(pool): vms for pool, vms in self.fleet.first_sizes.items()}
         put = Put(
-            self._tenure.keys.sizes, msgspec.json.encode(SizesRecord(vms_by_pool=sizes))
+            self._term.keys.sizes, msgspec.json.encode(SizesRecord(vms_by_pool=sizes))
         )
         answer = await self._node.store.commit(
-            Transaction((self._tenure.expect(),), (put,))
+            Transaction((self._term.expect(),), (put,))
         )
         self._sizes_recorded = is_successful(answer) and answer.unwrap().succeeded
 
     async def _step(self) -> None:
-        if not self._tenure.holds():
+        if not self._term.is_active():
             return
         now = self._node.clock.now()
         for order, seen_at in self._directory.waves_by_key.values():
@@ -248,9 +248,9 @@
             if isinstance(operation, MaintainVM):
                 put = self._encode_wave(operation.wave_id)
                 puts[put.key] = put
-        key = self._tenure.keys.operations
+        key = self._term.keys.operations
         puts[key] = Put(key, msgspec.json.encode(self._note_sent(operations)))
-        expects = (self._tenure.expect(), Expect(key, self._operations_revision))
+        expects = (self._term.expect(), Expect(key, self._operations_revision))
         transaction = Transaction(
             expects, tuple(puts.values()), tuple(each.key for each in expects)
         )
@@ -266,15 +266,15 @@
 
     def _take_conflict(self, committed: Committed) -> None:
         """Learn whether another process holds the cell, or which record stands."""
-        if not self._tenure.outlives(committed):
+        if not self._term.check_still_holder(committed):
             return
-        found = committed.read_by_key.get(self._tenure.keys.operations)
+        found = committed.read_by_key.get(self._term.keys.operations)
         self._operations_revision = found.mod_revision if found else Revision(0)
 
     def _encode_wave(self, wave_id: WaveId) -> Put:
         begun = self.fleet.done_by_wave.get(wave_id, set())
         record = WaveRecord(begun=tuple(sorted(begun)))
-        key = f"{self._tenure.keys.waves_prefix}{wave_id}"
+        key = f"{self._term.keys.waves_prefix}{wave_id}"
         return Put(key, msgspec.json.encode(record))
 
     def _note_sent(self, operations: list[VMOperation]) -> OperationsRecord:
@@ -286,10 +286,10 @@
         return OperationsRecord(sent_ms_by_vm=kept)
 
     async def _operate(self, operation: VMOperation) -> None:
-        if not self._tenure.holds():
+        if not self._term.is_active():
             self._note_refused(operation)
             return
-        authority = Authority(self._node.id, self._tenure.fence)
+        authority = Authority(self._node.id, self._term.fence)
         lifecycle = self._node.lifecycle
         if isinstance(operation, MoveVM):
             answer = await lifecycle.move(operation.vm_id, operation.pool_id, authority)
@@ -316,7 +316,7 @@
             metric = Metric.VMS_MOVED if is_move else Metric.VMS_MAINTAINED
             self._node.metrics.count(metric)
             self._node.log.info(
-                Event.VM_OPERATION_DONE, fence=self._tenure.fence, **fields
+                Event.VM_OPERATION_DONE, fence=self._term.fence, **fields
             )
             return
         self._node.log.warning(
@@ -335,8 +335,8 @@
         # the operator that a complete wave was active again.
         writes = (Put(key, value), self._encode_wave(wave.id))
         # A report that is carried out late must not hide later operations.
-        operations = Expect(self._tenure.keys.operations, self._operations_revision)
-        expects = (self._tenure.expect(), operations)
+        operations = Expect(self._term.keys.operations, self._operations_revision)
+        expects = (self._term.expect(), operations)
         transaction = Transaction(expects, writes, tuple(each.key for each in expects))
         answer = await self._node.store.commit(transaction)
         if is_successful(answer) and not answer.unwrap().succeeded:
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
@@ -154,7 +154,7 @@
 
         What runs there goes on: the entry proves nothing about the worker's life.
         """
-        self._node.unreadable.note(entry.key, fault)
+        self._node.unreadable.report(entry.key, fault)
         prefix = self._node.codec.worker_prefix
         self._drop(WorkerId(entry.key.removeprefix(prefix)))
 
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
@@ -17,7 +17,7 @@
     StopOrder,
     WorkerAddress,
 )
-from medlarspring_daemon.scheduling.end_ledger import EndLedger
+from medlarspring_daemon.scheduling.unacknowledged_ends import UnacknowledgedEnds
 from medlarspring_daemon.scheduling.run_log import (
     log_refused,
     log_started,
@@ -47,7 +47,7 @@
 if TYPE_CHECKING:
     from medlarspring_adapters.worker_orders import HoldAnswer, OrderAnswer
     from medlarspring_daemon.scheduling.context import SchedulingNode
-    from medlarspring_daemon.scheduling.election import Tenure
+    from medlarspring_daemon.scheduling.election import Term
     from medlarspring_daemon.scheduling.link_owner import LinkOwner
     from medlarspring_systems.scheduling.listings import ListingOutcome
     from medlarspring_tables import Seconds
@@ -67,10 +67,10 @@
     """All calls to one worker under one tenure."""
 
     def __init__(
-        self, node: SchedulingNode, tenure: Tenure, owner: LinkOwner, worker: Worker
+        self, node: SchedulingNode, term: Term, owner: LinkOwner, worker: Worker
     ) -> None:
         self._node = node
-        self._tenure = tenure
+        self._term = term
         self._owner = owner
         self._worker = worker
         self._address = WorkerAddress(worker.id, worker.address)
@@ -78,7 +78,7 @@
         self._next_call = asyncio.Event()
         """Set when a call has something to tell or to learn before its pause ends."""
         self._tasks = Tasks(node.log)
-        self._ends = EndLedger(worker.born_ms)
+        self._ends = UnacknowledgedEnds(worker.born_ms)
         self._stops_sent: dict[tuple[str, int], Seconds] = {}
         self._look_now = False
         self._in_hold = False
@@ -154,7 +154,7 @@
     async def _start(self, run: Run) -> None:
         worker = self._worker
         sent_at = self._node.clock.now()
-        if not self._tenure.holds():
+        if not self._term.is_active():
             # Left as ordered, the run would be waited for after a pause of the
             # tenure, although nobody was told to start it.
             detach_run(self._owner.tables, run, sent_at)
@@ -167,7 +167,7 @@
             run=run.number,
             payload=run.task.step.job.spec.payload,
             not_after_ms=until,
-            fence=self._tenure.fence,
+            fence=self._term.fence,
             checkpoint=run.checkpoint,
             ticket=self._find_ticket(run),
         )
@@ -238,7 +238,7 @@
         self._tasks.start(self._stop(run.task.id, run.number, run))
 
     async def _stop(self, task_id: str, number: int, run: Run | None) -> None:
-        order = StopOrder(task_id, number, self._tenure.fence)
+        order = StopOrder(task_id, number, self._term.fence)
         answer = await self._node.orders.stop(self._address, order, ORDER_SECONDS)
         now = self._node.clock.now()
         if not is_successful(answer):
@@ -256,7 +256,7 @@
             self.wake()
 
     async def _pace(self, run: Run, percent: int) -> None:
-        order = PaceOrder(run.task.id, run.number, percent, self._tenure.fence)
+        order = PaceOrder(run.task.id, run.number, percent, self._term.fence)
         answer = await self._node.orders.pace(self._address, order, ORDER_SECONDS)
         if is_successful(answer) and answer.unwrap().refusal is Refusal.FENCE:
             self._owner.note_superseded()
@@ -279,7 +279,7 @@
         worker = self._worker
         if not worker.settled or worker.unanswered_since or self._look_now:
             return True
-        if self._ends.find_recorded():
+        if self._ends.find_last_recorded():
             return True
         return any(run.state is not RunState.INTENDED for run in worker.runs.values())
 
@@ -289,8 +289,8 @@
         self._look_now = False
         asked_at = self._node.clock.now()
         order = HoldOrder(
-            fence=self._tenure.fence,
-            acknowledged=0 if aside else ends.find_acknowledged(asked_at),
+            fence=self._term.fence,
+            acknowledged=0 if aside else ends.find_acknowledgeable(asked_at),
             lease_until_ms=self._plan_lease(asked_at),
             wait_ms=wait_ms,
             aside=aside,
@@ -307,10 +307,10 @@
         if self._ends and not self._look_now:
             await self._await_record()
 
-    def _enter_life(self) -> EndLedger:
+    def _enter_life(self) -> UnacknowledgedEnds:
         """Return the ledger of the present life; that of a former one is left."""
         if self._ends.life_ms != self._worker.born_ms:
-            self._ends = EndLedger(self._worker.born_ms)
+            self._ends = UnacknowledgedEnds(self._worker.born_ms)
             self._stops_sent.clear()
         return self._ends
 
@@ -321,7 +321,7 @@
         them time in the HTTP client, for answers that tell nothing new.
         """
         self._next_call.clear()
-        if self._ends.find_recorded():
+        if self._ends.find_last_recorded():
             return
         try:
             async with asyncio.timeout(UNRECORDED_SECONDS):
@@ -330,7 +330,7 @@
             return
 
     def _plan_lease(self, now: Seconds) -> int:
-        if not self._tenure.holds():
+        if not self._term.is_active():
             return 0
         return extend_lease(self._worker, self._node.limits.worker_lease, now)
 
@@ -355,7 +355,7 @@
         self._note_answered(now)
         if is_other_life(worker, answer.born_ms):
             self._owner.note_started_again(worker, answer.born_ms)
-        self._enter_life().note_listed(now)
+        self._enter_life().record_listing(now)
         note_clock(worker, answer.clock_ms, now)
         outcome = take_listing(
             self._owner.tables,
@@ -418,7 +418,7 @@
 
     def _note_unanswered(self, now: Seconds) -> None:
         worker = self._worker
-        self._ends.note_unanswered()
+        self._ends.record_unanswered_call()
         if not worker.unanswered_since:
             worker.unanswered_since = now
             self._node.log.warning(
--- a/packages/daemon/tests/scheduling/stories.py
+++ b/packages/daemon/tests/scheduling/scenarios.py
@@ -21,8 +21,8 @@
 END_SECONDS = 60.0
 
 
-def play(
-    story: Callable[[World, Customers], Awaitable[None]],
+def run_scenario(
+    scenario: Callable[[World, Customers], Awaitable[None]],
     seed: int,
     *,
     checked: bool = True,
@@ -37,7 +37,7 @@
         world = World(plan or WorldPlan(), clock, seed)
         await world.start()
         await asyncio.sleep(SETTLED_SECONDS)
-        await story(world, Customers(world, world.rng))
+        await scenario(world, Customers(world, world.rng))
         await world.stop()
         return world
 
--- a/packages/daemon/tests/scheduling/test_crashing_tasks.py
+++ b/packages/daemon/tests/scheduling/test_crashing_tasks.py
@@ -11,7 +11,7 @@
 from medlarspring_bench.platform_world.faults import CRASH_SECONDS
 from medlarspring_tables.scheduling import JobSpec, StepSpec
 
-from .stories import play, submit, wait_for_end
+from .scenarios import run_scenario, submit, wait_for_end
 
 if TYPE_CHECKING:
     from medlarspring_bench.platform_world.customers import Customers
@@ -69,7 +69,7 @@
         await wait_until_failed(customers, crashing)
         await wait_for_end(customers, neighbours)
 
-    play(story, SEED)
+    run_scenario(story, SEED)
 
 
 @pytest.mark.parametrize("step", [GANG, LASTING], ids=["gang", "long-running"])
@@ -82,7 +82,7 @@
         await wait_until_failed(customers, crashing)
         await wait_for_end(customers, neighbours)
 
-    play(story, SEED)
+    run_scenario(story, SEED)
 
 
 @pytest.mark.parametrize(
@@ -118,7 +118,7 @@
         world.weather.lost_answers = 0.0
 
     for seed in range(SEED, SEED + 5):
-        play(story, seed)
+        run_scenario(story, seed)
 
 
 def test_tasks_beside_lost_zones_are_not_given_up():
@@ -140,4 +140,4 @@
         assert await customers.ask(lasting_id) == "active"
 
     for seed in range(SEED, SEED + 5):
-        play(story, seed)
+        run_scenario(story, seed)
--- a/packages/daemon/tests/scheduling/test_foreign_records.py
+++ b/packages/daemon/tests/scheduling/test_foreign_records.py
@@ -13,7 +13,7 @@
 from medlarspring_adapters.events import Event
 from medlarspring_bench.key_value_ops import PutOp, RangeOp, RangeReply
 
-from .stories import play, submit, wait_for_end
+from .scenarios import run_scenario, submit, wait_for_end
 
 if TYPE_CHECKING:
     from medlarspring_bench.platform_world.customers import Customers
@@ -57,7 +57,7 @@
     ]
 
 
-def list_named(world: World, key: str) -> list[dict[str, Any]]:
+def list_unreadable_lines(world: World, key: str) -> list[dict[str, Any]]:
     return [
         line
         for line in read_lines(world)
@@ -80,14 +80,14 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"\xff\xfe", b"[]", b"{}", b'{"wave": {}}'])
-def test_bad_records_everywhere_hold_up_nothing(value: bytes):
+def test_unreadable_records_do_not_block_takeover_or_jobs(value: bytes):
     """
     Another program wrote unreadable values under every prefix that a controller
     reads. The controller is killed; its successor reads them all while taking
     over. Jobs are accepted and completed before, meanwhile and after.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         for key in BAD_KEYS:
             put(world, key, value)
         await complete(customers)
@@ -96,7 +96,7 @@
         world.forget_history()
         await complete(customers)
 
-    world = play(story, SEED)
+    world = run_scenario(scenario, SEED)
     failed = [line for line in read_lines(world) if line["event"] == TASK_FAILED]
     assert failed == []
 
@@ -108,7 +108,7 @@
     suppress_health_check=[HealthCheck.too_slow],
 )
 @given(seed=st.integers(0, 2**32))
-def test_damaged_copies_of_real_records_hold_up_nothing(seed: int):
+def test_corrupted_copies_of_records_do_not_block_jobs(seed: int):
     """
     Real records of jobs, progress and workers are written again with bytes cut,
     changed or doubled, under ids of their own, while jobs run. A takeover reads
@@ -127,7 +127,7 @@
         )
         return rng.choice(choices)
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         job_id, spec = customers.create_batch()
         assert await customers.submit("lookup", job_id, spec)
         await asyncio.sleep(0.4)
@@ -143,24 +143,24 @@
         await complete(customers, 2)
 
     # A damaged copy may still be a readable job that no customer submitted.
-    play(story, SEED, checked=False)
+    run_scenario(scenario, SEED, checked=False)
 
 
-def test_bad_record_is_named_once():
+def test_unreadable_record_is_logged_once():
     """
     A worker's entry is written again every 1.5 s. One that can't be read gets one
     line, not one for each write and each listing.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         for _ in range(5):
             put(world, "servers/i-foreign", b"{}")
             await asyncio.sleep(0.5)
         world.forget_history()
         await asyncio.sleep(1.0)
 
-    world = play(story, SEED)
-    assert len(list_named(world, "servers/i-foreign")) == 1
+    world = run_scenario(scenario, SEED)
+    assert len(list_unreadable_lines(world, "servers/i-foreign")) == 1
 
 
 def test_worker_whose_entry_turns_unreadable_gets_no_new_tasks_and_keeps_its_own():
@@ -170,7 +170,7 @@
     entry can be read again.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         job_id, spec = customers.create_batch()
         assert await customers.submit("lookup", job_id, spec)
         await asyncio.sleep(0.3)
@@ -197,17 +197,17 @@
         put(world, key, entry)
         await complete(customers, 6)
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
-def test_entry_of_a_pool_that_comes_later_is_taken_with_its_configuration():
+def test_worker_entry_is_used_once_its_pool_is_configured():
     """
     A worker registers for a pool that no configuration names yet. It is left out;
     when the configuration with the pool arrives, its jobs run there without the
     worker having to write its entry again.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         busy = next(iter(world.fleet.workers_by_id.values()))
         entry = json.loads(read(world, f"servers/{busy.id}") or b"{}")
         put(
@@ -216,7 +216,7 @@
             json.dumps(entry | {"service": "later", "machineId": "m-x"}).encode(),
         )
         await asyncio.sleep(0.3)
-        assert len(list_named(world, "servers/i-later")) == 1
+        assert len(list_unreadable_lines(world, "servers/i-later")) == 1
         controller = world.find_controller()
         assert controller is not None
         config = json.loads(read(world, "op/config") or b"{}")
@@ -229,17 +229,17 @@
             json.loads(line).get("worker") == "i-later" for line in log.splitlines()
         )
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
-def test_job_with_unreadable_progress_is_not_begun_anew():
+def test_job_with_unreadable_progress_is_not_restarted():
     """
     A job has tasks done when its progress record is overwritten and the controller
     is killed. Begun anew, its tasks would run a second time; it is left alone and
     named, and other jobs go on.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         job_id, spec = customers.create_batch()
         assert await customers.submit("lookup", job_id, spec)
         await asyncio.sleep(0.4)
@@ -251,10 +251,10 @@
         starts = len(world.history.runs)
         await asyncio.sleep(4.0)
         assert len(world.history.runs) == starts
-        assert list_named(world, f"progress/0/{job_id}")
+        assert list_unreadable_lines(world, f"progress/0/{job_id}")
         await complete(customers)
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
 def test_tasks_of_a_worker_whose_entry_is_lost_run_again_after_their_lease():
@@ -265,7 +265,7 @@
     beside their first runs.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         job_id, spec = customers.create_batch()
         assert await customers.submit("lookup", job_id, spec)
         await asyncio.sleep(0.3)
@@ -278,4 +278,4 @@
             while await customers.ask(job_id) != "complete":
                 await asyncio.sleep(0.2)
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
--- a/packages/daemon/tests/scheduling/test_intake.py
+++ b/packages/daemon/tests/scheduling/test_intake.py
@@ -20,16 +20,16 @@
 
     from medlarspring_bench.platform_world.virtual_time import VirtualClock
 
-PATIENCE = 3.0
-HELD_TOO_LONG = 1.5
+TIMEOUT_SECONDS = 3.0
+MAX_ANSWER_SECONDS = 1.5
 
 
-def play(story: Callable[[World, Customers], Awaitable[None]]) -> None:
+def run_scenario(scenario: Callable[[World, Customers], Awaitable[None]]) -> None:
     async def main(clock: VirtualClock) -> None:
         world = World(WorldPlan(), clock, 3)
         await world.start()
         await asyncio.sleep(3.0)
-        await story(world, Customers(world, world.rng))
+        await scenario(world, Customers(world, world.rng))
         await world.stop()
 
     run_virtual(main)
@@ -42,7 +42,7 @@
     match = service.directory.match(HOST, f"/lookup/{job_id}")
     assert match is not None
     sent_at = world.clock.now()
-    answer = await service.intake.submit(match.queue, job_id, spec, PATIENCE)
+    answer = await service.intake.submit(match.queue, job_id, spec, TIMEOUT_SECONDS)
     return answer, world.clock.now() - sent_at
 
 
@@ -53,7 +53,7 @@
     without an answer in time; told at once, the customer knows when to come back.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         world.weather.store_mood = mood
         await submit(world, customers)
         answer, took = await submit(world, customers)
@@ -62,18 +62,18 @@
         job_id, _ = customers.create_batch()
         intake = world.nodes_by_name["entry-0"].service.intake
         asked_at = world.clock.now()
-        status = await intake.find_status(job_id, PATIENCE)
+        status = await intake.find_status(job_id, TIMEOUT_SECONDS)
         assert isinstance(status.failure(), NotReady)
         assert world.clock.now() - asked_at < 0.05
         log = world.nodes_by_name["entry-0"].log.getvalue()
         refused = [line for line in log.splitlines() if '"job_call_refused"' in line]
         assert any(job_id in line and '"call": "status"' in line for line in refused)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_refusals_of_a_long_outage_name_a_later_return():
-    async def story(world: World, customers: Customers) -> None:
+def test_retry_after_grows_with_the_length_of_an_outage():
+    async def scenario(world: World, customers: Customers) -> None:
         world.weather.store_mood = StoreMood.BUSY
         first, _ = await submit(world, customers)
         assert first.failure().retry_after == 1
@@ -81,11 +81,11 @@
         later, _ = await submit(world, customers)
         assert 3 <= later.failure().retry_after <= 4
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_store_that_is_back_is_used_at_once():
-    async def story(world: World, customers: Customers) -> None:
+def test_calls_succeed_as_soon_as_the_store_recovers():
+    async def scenario(world: World, customers: Customers) -> None:
         world.weather.store_mood = StoreMood.SILENT
         await submit(world, customers)
         await asyncio.sleep(2.0)
@@ -95,26 +95,26 @@
         assert is_successful(answer)
         assert took < 0.1
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_submission_caught_by_an_outage_is_unknown_and_soon_said_to_be():
+def test_submission_interrupted_by_an_outage_is_soon_reported_unknown():
     """
     The store takes the write in and falls silent. "Not run" may be untrue, so the
     answer is "unknown", and soon enough for the customer to repeat it elsewhere.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         world.weather.store_mood = StoreMood.SILENT
         answer, took = await submit(world, customers)
         assert isinstance(answer.failure(), OutcomeUnknown)
-        assert took < HELD_TOO_LONG
+        assert took < MAX_ANSWER_SECONDS
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_lost_reply_is_followed_until_the_job_is_seen_to_stand():
-    async def story(world: World, customers: Customers) -> None:
+def test_submission_is_repeated_after_a_lost_reply_until_the_job_is_found():
+    async def scenario(world: World, customers: Customers) -> None:
         world.weather.lost_replies = 1.0
         task = asyncio.ensure_future(submit(world, customers))
         await asyncio.sleep(0.2)
@@ -122,4 +122,4 @@
         answer, _ = await task
         assert is_successful(answer)
 
-    play(story)
+    run_scenario(scenario)
--- a/packages/daemon/tests/scheduling/test_journal.py
+++ b/packages/daemon/tests/scheduling/test_job_record_writer.py
@@ -17,7 +17,7 @@
 from medlarspring_bench.platform_world.plans import WorldPlan
 from medlarspring_bench.platform_world.virtual_time import run_virtual
 from medlarspring_bench.platform_world.world import World
-from medlarspring_daemon.scheduling.journal import Journal
+from medlarspring_daemon.scheduling.job_record_writer import JobRecordWriter
 from medlarspring_daemon.scheduling.keys import CellKeys
 from medlarspring_tables import JobId, PoolId, Revision
 from medlarspring_tables.scheduling import (
@@ -36,10 +36,10 @@
 
 SEED = 21
 JOBS = 60
-MOST_WRITES_PER_RUN = 1.0
+MAX_WRITES_PER_RUN = 1.0
 
 
-def test_ends_are_recorded_with_the_starts_that_take_their_room():
+def test_ends_are_recorded_with_the_starts_that_follow_them():
     """
     Sixty jobs come in a second and keep a pool full, so that each end makes room
     for a start. Written by themselves, ends took a third of the controller's writes;
@@ -71,7 +71,7 @@
     assert check_history(world.history) == []
     runs = len(world.history.runs)
     assert runs > 5 * JOBS
-    assert writes < MOST_WRITES_PER_RUN * runs
+    assert writes < MAX_WRITES_PER_RUN * runs
 
 
 def create_job(number: int) -> ActiveJob:
@@ -86,7 +86,7 @@
     )
 
 
-def test_records_are_written_while_more_come_than_fit_in_flight():
+def test_all_records_are_written_when_more_change_than_fit_in_flight():
     """
     A hundred jobs change in one moment; four writes are in flight and the rest
     waits. As writes end, more ends of the same jobs come. On the event loop that
@@ -96,18 +96,18 @@
     jobs = [create_job(number) for number in range(100)]
     keys = CellKeys(CellId("0"))
     faults: list[dict[str, Any]] = []
-    journal: Journal
+    writer: JobRecordWriter
 
     async def commit(transaction: Transaction) -> Any:
         await asyncio.sleep(0)
         for job in jobs:
             if job.version < 4:
                 job.version += 1
-                journal.mark_ends(job)
+                writer.schedule_ends_write(job)
         return Success(Committed(succeeded=True, revision=Revision(2), read_by_key={}))
 
     async def main() -> None:
-        nonlocal journal
+        nonlocal writer
         asyncio.get_running_loop().set_exception_handler(
             lambda _, context: faults.append(context)
         )
@@ -116,18 +116,18 @@
             metrics=NoMetrics(),
             store=SimpleNamespace(commit=commit),
         )
-        tenure: Any = SimpleNamespace(
+        term: Any = SimpleNamespace(
             keys=keys,
-            holds=lambda: True,
+            is_active=lambda: True,
             expect=lambda: Expect(keys.controller, Revision(1)),
         )
-        journal = Journal(node, tenure, lambda job: None)
+        writer = JobRecordWriter(node, term, lambda job: None)
         for job in jobs:
-            journal.mark(job)
+            writer.schedule_write(job)
         async with asyncio.timeout(10.0):
             while any(job.written_version < job.version for job in jobs):
                 await asyncio.sleep(0.005)
-        await journal.close(flush=True)
+        await writer.close(flush=True)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(main())
--- a/packages/daemon/tests/scheduling/test_load_gauge.py
+++ b/packages/daemon/tests/scheduling/test_load_gauge.py
@@ -9,7 +9,7 @@
 
 from medlarspring_daemon.scheduling.load_gauge import LoadGauge
 
-from .stories import play, submit, wait_for_end
+from .scenarios import run_scenario, submit, wait_for_end
 
 if TYPE_CHECKING:
     from medlarspring_bench.platform_world.customers import Customers
@@ -65,4 +65,4 @@
         world.weather.lost_orders = 0.0
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    run_scenario(story, SEED)
--- a/packages/daemon/tests/scheduling/test_resized_workers.py
+++ b/packages/daemon/tests/scheduling/test_resized_workers.py
@@ -8,7 +8,7 @@
 from medlarspring_bench.platform_world.plans import WorldPlan
 from medlarspring_tables.scheduling import Room
 
-from .stories import play, submit, wait_for_end
+from .scenarios import run_scenario, submit, wait_for_end
 
 if TYPE_CHECKING:
     from medlarspring_bench.platform_world.customers import Customers
@@ -46,7 +46,7 @@
         resize_all(world, world.plan.room)
         await wait_for_end(customers, jobs)
 
-    play(story, SEED, plan=UNGUARDED)
+    run_scenario(story, SEED, plan=UNGUARDED)
 
 
 def test_waiting_work_starts_as_soon_as_room_grows_again():
@@ -64,7 +64,7 @@
                 await asyncio.sleep(0.01)
         await wait_for_end(customers, jobs)
 
-    play(story, SEED, plan=UNGUARDED)
+    run_scenario(story, SEED, plan=UNGUARDED)
 
 
 def test_takeover_tells_of_no_resized_workers():
@@ -78,4 +78,4 @@
         await wait_for_end(customers, jobs)
         assert not any("worker_resized" in log.getvalue() for _, log in world.logs)
 
-    play(story, SEED)
+    run_scenario(story, SEED)
--- a/packages/daemon/tests/scheduling/test_takeover.py
+++ b/packages/daemon/tests/scheduling/test_takeover.py
@@ -9,7 +9,7 @@
 from medlarspring_bench.key_value_ops import PutOp, RangeOp, RangeReply
 from medlarspring_bench.platform_world.weather import StoreMood
 
-from .stories import play, submit, wait_for_end
+from .scenarios import run_scenario, submit, wait_for_end
 
 if TYPE_CHECKING:
     from medlarspring_bench.platform_world.customers import Customers
@@ -19,7 +19,7 @@
 LEASE_SECONDS = 2.0
 
 
-def kill_controller_beside_a_cut(world: World) -> None:
+def cut_off_worker_and_kill_controller(world: World) -> None:
     """Cut a worker that runs tasks off from all entry VMs, and end the controller."""
     busy = next(
         worker.vm_id for worker in world.fleet.workers_by_id.values() if worker.runs
@@ -37,7 +37,7 @@
     and its task ran again.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         jobs = await submit(customers)
         await asyncio.sleep(0.3)
         controller = world.find_controller()
@@ -45,11 +45,11 @@
         world.kill_node(controller)
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
 def test_killed_controller_is_replaced_within_its_lease():
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         controller = world.find_controller()
         assert controller is not None
         killed_at = world.clock.now()
@@ -58,11 +58,11 @@
             await asyncio.sleep(0.05)
         assert world.clock.now() - killed_at < LEASE_SECONDS + 0.5
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
 def test_stopped_controller_hands_over_at_once():
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         controller = world.find_controller()
         assert controller is not None
         jobs = await submit(customers)
@@ -73,17 +73,17 @@
         assert world.clock.now() - stopped_at < 0.3
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
-def test_controller_goes_on_after_an_outage_in_which_leases_stood_still():
+def test_controller_resumes_after_an_outage_that_paused_leases():
     """
     The store answers nobody for some seconds. The controller stops by its own
     clock; when the store is back its key is still there. Waiting for a successor
     would cost another lease in which nothing starts.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         controller = world.find_controller()
         world.weather.leases_pause = True
         world.weather.store_mood = StoreMood.BUSY
@@ -94,17 +94,17 @@
         assert world.find_controller() == controller
         await wait_for_end(customers, await submit(customers))
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
-def test_vm_is_left_alone_after_a_predecessors_operation():
+def test_successor_delays_operations_on_vms_its_predecessor_moved():
     """
     A controller moves a VM and is stopped. Its successor wants the VM elsewhere
     at once; the platform allows two holders' orders for one VM only some seconds
     apart, and does not check fences.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         await asyncio.sleep(8.0)
         world.order_wave(1, list(world.fleet.vms_by_id), 3, 25)
         await asyncio.sleep(1.0)
@@ -117,7 +117,7 @@
         holders = {operation.holder for operation in world.history.operations}
         assert len(holders) > 1
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
 def test_tasks_on_an_unreachable_worker_wait_and_others_go_on():
@@ -127,33 +127,33 @@
     run twice, and held back altogether every job would be late.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         jobs = await submit(customers, 12)
         await asyncio.sleep(0.1)
-        kill_controller_beside_a_cut(world)
+        cut_off_worker_and_kill_controller(world)
         await asyncio.sleep(4.0)
         done = [job for job in jobs if await customers.ask(job) == "complete"]
         assert done
         world.weather.cut_links.clear()
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
-def test_tasks_on_a_worker_that_stays_unreachable_run_elsewhere_in_the_end():
+def test_tasks_on_a_worker_that_stays_unreachable_eventually_run_elsewhere():
     """
     The successor never reaches a worker that is up and listed, so it never learns
     its clock. The leases there end all the same, since nobody extends them; waited
     for by that clock, the tasks would wait as long as the cut lasts.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         jobs = await submit(customers, 12)
         await asyncio.sleep(0.1)
-        kill_controller_beside_a_cut(world)
+        cut_off_worker_and_kill_controller(world)
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
 def test_controller_cut_off_from_the_store_starts_nothing_more():
@@ -162,7 +162,7 @@
     reach the workers; what the first one still had in mind must not start.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         jobs = await submit(customers)
         controller = world.find_controller()
         assert controller is not None
@@ -173,11 +173,11 @@
         world.weather.moods_by_node.clear()
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
-def test_everything_killed_at_once_comes_back_with_every_job():
-    async def story(world: World, customers: Customers) -> None:
+def test_no_job_is_lost_when_all_entry_vms_are_killed():
+    async def scenario(world: World, customers: Customers) -> None:
         jobs = await submit(customers)
         names = list(world.nodes_by_name)
         for name in names:
@@ -187,7 +187,7 @@
             await world.start_node(name)
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
 def test_hand_over_is_quick_while_ends_come_in():
@@ -197,7 +197,7 @@
     its lease lapse instead of giving the key back.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         world.weather.store_seconds = 0.04
         jobs = await submit(customers, 60)
         controller = world.find_controller()
@@ -207,10 +207,10 @@
         assert world.clock.now() - stopped_at < 0.2
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
-def test_takeover_that_an_outage_interrupts_goes_on_after_it():
+def test_takeover_continues_after_a_store_outage():
     """
     A candidate wins the cell and the store falls silent before the records are
     read; leases stand still meanwhile. When the store is back the key is still
@@ -218,7 +218,7 @@
     candidate reads on.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         jobs = await submit(customers)
         first = world.find_controller()
         assert first is not None
@@ -231,7 +231,7 @@
         world.weather.store_mood = StoreMood.WELL
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
 def test_complete_wave_stays_complete_after_a_takeover():
@@ -241,7 +241,7 @@
     wave was active again, and ordered their maintenance once more.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         vms = list(world.fleet.vms_by_id)
         world.order_wave(1, vms, len(vms), 25)
         while world.read_wave_state(1) != "complete":
@@ -256,7 +256,7 @@
         kinds = [each.kind for each in world.history.operations[operations:]]
         assert "maintain" not in kinds
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
 def test_successor_moves_vms_without_waiting_for_a_whole_lease():
@@ -266,7 +266,7 @@
     successor knows the workers, and not 1.6 s later.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         await asyncio.sleep(8.0)
         controller = world.find_controller()
         assert controller is not None
@@ -281,10 +281,10 @@
         assert min(moves) < elected_at + 0.8
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
-def test_vms_of_the_last_record_are_left_alone_by_the_successor():
+def test_successor_delays_operations_on_vms_in_the_last_record():
     """
     The store takes a controller's key away while it moves VMs; by its own clock it
     holds the cell for another second and sends what it has recorded. Its successor
@@ -292,7 +292,7 @@
     less than the platform's 3 s apart.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         await asyncio.sleep(8.0)
         for _ in range(4):
             jobs = await submit(customers, 40)
@@ -303,7 +303,7 @@
         holders = {operation.holder for operation in world.history.operations}
         assert len(holders) > 1
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
 def test_unreadable_record_of_operations_makes_the_successor_wait():
@@ -312,7 +312,7 @@
     predecessor still operates on. None is touched until that is over for all.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         await asyncio.sleep(8.0)
         controller = world.find_controller()
         assert controller is not None
@@ -326,13 +326,13 @@
         moves = [each.at for each in world.history.operations if each.at >= elected_at]
         assert min(moves, default=elected_at + 9.0) > elected_at + 3.0
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
-def test_successor_hands_on_what_its_predecessor_operated_on():
+def test_successor_keeps_its_predecessors_operations_in_the_record():
     """Guards against two holders' orders for one VM after two quick takeovers."""
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         await asyncio.sleep(8.0)
         controller = world.find_controller()
         assert controller is not None
@@ -351,13 +351,13 @@
         assert len(kept) > 1
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    run_scenario(scenario, SEED)
 
 
 def test_late_write_does_not_replace_a_newer_record_of_operations():
     """Guards against operations that no successor knows of."""
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         await asyncio.sleep(8.0)
         world.weather.lost_replies, world.weather.late_writes = 0.6, 1.0
         jobs = await submit(customers, 60)
@@ -375,13 +375,13 @@
         assert known
 
     for seed in range(SEED, SEED + 4):
-        play(story, seed)
+        run_scenario(scenario, seed)
 
 
 def test_wave_is_reported_complete_after_writes_without_answers():
     """Guards against reports that wait for a record that nobody writes any more."""
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         await asyncio.sleep(8.0)
         world.weather.lost_replies, world.weather.late_writes = 0.6, 0.5
         world.order_wave(1, list(world.fleet.vms_by_id)[:4], 2, 25)
@@ -392,4 +392,4 @@
                 await asyncio.sleep(0.2)
 
     for seed in range(SEED, SEED + 4):
-        play(story, seed)
+        run_scenario(scenario, seed)
--- a/packages/daemon/tests/scheduling/test_unrecorded_ends.py
+++ b/packages/daemon/tests/scheduling/test_unrecorded_ends.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from medlarspring_daemon.scheduling.journal import WRITTEN_FOR_GOOD
+from medlarspring_daemon.scheduling.job_record_writer import FINAL_VERSION
 from medlarspring_daemon.scheduling.unrecorded_ends import UnrecordedEnds
 from medlarspring_tables import JobId, PoolId, Revision
 from medlarspring_tables.scheduling import (
@@ -37,14 +37,14 @@
 def test_workers_wait_for_the_record_of_their_job_only():
     ends = UnrecordedEnds()
     job, other = create_job("a"), create_job("b")
-    ends.note(FIRST, [(1, job), (2, None), (3, job)])
-    ends.note(SECOND, [(1, other)])
-    assert list(ends.take(job)) == [FIRST]
-    assert list(ends.take(job)) == []
-    assert list(ends.take(other)) == [SECOND]
+    ends.add_ends(FIRST, [(1, job), (2, None), (3, job)])
+    ends.add_ends(SECOND, [(1, other)])
+    assert list(ends.collect_waiting_workers(job)) == [FIRST]
+    assert list(ends.collect_waiting_workers(job)) == []
+    assert list(ends.collect_waiting_workers(other)) == [SECOND]
 
 
-def test_worker_whose_end_the_record_lacks_is_told_again():
+def test_worker_is_kept_until_the_record_holds_its_end():
     """
     A record is on its way to the store when another worker lists an end of the same
     job. Forgotten with the first answer of the store, that worker would keep the end,
@@ -53,19 +53,19 @@
     ends = UnrecordedEnds()
     job = create_job("a")
     job.version, job.written_version = 2, 1
-    ends.note(FIRST, [(1, job)])
-    ends.note(SECOND, [(7, job)])
-    assert set(ends.take(job)) == {FIRST, SECOND}
+    ends.add_ends(FIRST, [(1, job)])
+    ends.add_ends(SECOND, [(7, job)])
+    assert set(ends.collect_waiting_workers(job)) == {FIRST, SECOND}
     job.written_version = 2
-    assert set(ends.take(job)) == {FIRST, SECOND}
-    assert list(ends.take(job)) == []
+    assert set(ends.collect_waiting_workers(job)) == {FIRST, SECOND}
+    assert list(ends.collect_waiting_workers(job)) == []
 
 
-def test_nothing_is_kept_of_a_job_whose_end_is_recorded():
+def test_job_is_dropped_once_its_final_record_is_written():
     ends = UnrecordedEnds()
     job = create_job("a")
     job.version = 5
-    ends.note(FIRST, [(1, job)])
-    job.written_version = WRITTEN_FOR_GOOD
-    assert list(ends.take(job)) == [FIRST]
-    assert list(ends.take(job)) == []
+    ends.add_ends(FIRST, [(1, job)])
+    job.written_version = FINAL_VERSION
+    assert list(ends.collect_waiting_workers(job)) == [FIRST]
+    assert list(ends.collect_waiting_workers(job)) == []
--- a/packages/daemon/tests/scheduling/test_work_per_event.py
+++ b/packages/daemon/tests/scheduling/test_work_per_event.py
@@ -15,7 +15,7 @@
 from medlarspring_bench.platform_world.world import World
 from medlarspring_daemon.scheduling.controller import CellController
 
-from .stories import submit, wait_for_end
+from .scenarios import submit, wait_for_end
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -57,7 +57,7 @@
         return self.lines
 
 
-def play_jobs(vms_per_pool: int) -> None:
+def run_jobs(vms_per_pool: int) -> None:
     """Have some jobs done by a fleet of this size."""
 
     async def main(clock: VirtualClock) -> None:
@@ -82,7 +82,7 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(CellController, name, wrapper)
-        play_jobs(vms_per_pool)
+        run_jobs(vms_per_pool)
     assert counted
     return mean(counted)
 
--- a/packages/daemon/tests/scheduling/test_worker_calls.py
+++ b/packages/daemon/tests/scheduling/test_worker_calls.py
@@ -11,7 +11,7 @@
 from medlarspring_bench.platform_world.calls import SimulatedOrders
 from medlarspring_bench.platform_world.weather import StoreMood
 
-from .stories import play, submit, wait_for_end
+from .scenarios import run_scenario, submit, wait_for_end
 
 if TYPE_CHECKING:
     from medlarspring_adapters.worker_orders import HoldOrder, WorkerAddress
@@ -67,7 +67,7 @@
         assert most <= CALLS_PER_SECOND * OUTAGE_SECONDS
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    run_scenario(story, SEED)
 
 
 def test_ends_take_few_calls(calls_by_worker: Counter[str]):
@@ -86,4 +86,4 @@
         assert ends > 0
         assert calls <= CALLS_PER_END * ends
 
-    play(story, SEED)
+    run_scenario(story, SEED)
--- a/packages/daemon/tests/scheduling/test_worker_lives.py
+++ b/packages/daemon/tests/scheduling/test_worker_lives.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from .stories import play, submit, wait_for_end
+from .scenarios import run_scenario, submit, wait_for_end
 
 if TYPE_CHECKING:
     from medlarspring_bench.platform_world.customers import Customers
@@ -40,7 +40,7 @@
             await asyncio.sleep(seconds + BACK_SECONDS)
         await wait_for_end(customers, await submit(customers))
 
-    play(story, SEED)
+    run_scenario(story, SEED)
 
 
 def test_ends_of_a_life_that_nobody_saw_begin_are_taken():
@@ -55,7 +55,7 @@
         restart_all(world, 0.0)
         await wait_for_end(customers, await submit(customers))
 
-    play(story, SEED)
+    run_scenario(story, SEED)
 
 
 def test_tasks_of_a_life_that_is_over_run_again_at_once():
@@ -71,7 +71,7 @@
         async with asyncio.timeout(LEASE_SECONDS):
             await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    run_scenario(story, SEED)
 
 
 @pytest.mark.parametrize("seconds", [0.0, AWAY_SECONDS], ids=["unseen", "away"])
@@ -101,4 +101,4 @@
             assert task_id in worker.refused_up_to
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    run_scenario(story, SEED)
