--- a/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
@@ -12,7 +12,10 @@
 from medlarspring_adapters.prefix_follower import PrefixFollower
 from medlarspring_daemon.scheduling.advice_desk import AdviceDesk
 from medlarspring_daemon.scheduling.job_feed import JobFeed
-from medlarspring_daemon.scheduling.job_record_writer import FINAL_VERSION, JobRecordWriter
+from medlarspring_daemon.scheduling.job_record_writer import (
+    FINAL_VERSION,
+    JobRecordWriter,
+)
 from medlarspring_daemon.scheduling.load_gauge import LoadGauge
 from medlarspring_daemon.scheduling.load_report import LoadReport
 from medlarspring_daemon.scheduling.round_timer import RoundTimer
@@ -69,9 +72,7 @@
 class CellController:
     """Implements ``Term`` and ``LinkOwner``."""
 
-    def __init__(
-        self, node: SchedulingNode, directory: Directory, term: Term
-    ) -> None:
+    def __init__(self, node: SchedulingNode, directory: Directory, term: Term) -> None:
         self._node = node
         self._directory = directory
         self._term = term
@@ -319,7 +320,9 @@
             return
         link = self._links_by_id.get(run.worker.id)
         # Its room may have shrunk while the intent was being recorded.
-        is_unavailable = run.worker.gone or run.worker.draining or is_overfull(run.worker)
+        is_unavailable = (
+            run.worker.gone or run.worker.draining or is_overfull(run.worker)
+        )
         if link is None or is_unavailable:
             detach_run(self.tables, run, self._node.clock.now())
             self.note_changed(run.worker, run)
--- a/packages/daemon/src/medlarspring_daemon/scheduling/intake.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/intake.py
@@ -152,7 +152,9 @@
                 return Failure(self._create_refusal(UNREADABLE_JOB))
             if record.outcome is not None:
                 return Success(None)
-            request = CancelRecord(requested_at_ms=round(self._node.clock.wall() * 1_000))
+            request = CancelRecord(
+                requested_at_ms=round(self._node.clock.wall() * 1_000)
+            )
             transaction = Transaction(
                 expects=(Expect(entry.key, entry.mod_revision),),
                 writes=(Put(keys.cancel(job_id), msgspec.json.encode(request)),),
@@ -286,7 +288,9 @@
     def _create_refusal(self, detail: str) -> NotReady:
         """Return a refusal that names a useful moment to come back."""
         seconds = math.ceil(self._measure_outage())
-        return NotReady(detail, min(max(seconds, MIN_RETRY_AFTER_SECONDS), MAX_RETRY_AFTER_SECONDS))
+        return NotReady(
+            detail, min(max(seconds, MIN_RETRY_AFTER_SECONDS), MAX_RETRY_AFTER_SECONDS)
+        )
 
     def _log_refused_call(
         self, call: str, job_id: JobId, answer: Result[Any, IntakeError]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/job_record_writer.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/job_record_writer.py
@@ -103,7 +103,9 @@
         if self._closed or job.written_version >= job.version or job.writing:
             return
         self._urgent_by_job[job] = urgent or self._urgent_by_job.get(job, False)
-        self._schedule_flush(BATCH_WINDOW_SECONDS if urgent else ENDS_BATCH_WINDOW_SECONDS)
+        self._schedule_flush(
+            BATCH_WINDOW_SECONDS if urgent else ENDS_BATCH_WINDOW_SECONDS
+        )
 
     async def close(self, *, flush: bool) -> None:
         """Stop writing; with ``flush``, first write the marked jobs for a moment."""
--- a/packages/daemon/src/medlarspring_daemon/scheduling/load_report.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/load_report.py
@@ -27,9 +27,7 @@
 class LoadReport:
     """Publishes the counts of a cell whenever they changed."""
 
-    def __init__(
-        self, node: SchedulingNode, term: Term, tables: WorkTables
-    ) -> None:
+    def __init__(self, node: SchedulingNode, term: Term, tables: WorkTables) -> None:
         self._node = node
         self._term = term
         self._tables = tables
--- a/packages/daemon/src/medlarspring_daemon/scheduling/service.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/service.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from medlarspring_daemon.scheduling.context import SchedulingNode
-    from medlarspring_daemon.scheduling.election import Term, Controller
+    from medlarspring_daemon.scheduling.election import Controller, Term
     from medlarspring_tables.scheduling import WorkTables
 
 NOT_READY_AFTER_SECONDS = 1.0
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
@@ -17,12 +17,12 @@
     StopOrder,
     WorkerAddress,
 )
-from medlarspring_daemon.scheduling.unacknowledged_ends import UnacknowledgedEnds
 from medlarspring_daemon.scheduling.run_log import (
     log_refused,
     log_started,
     log_unanswered,
 )
+from medlarspring_daemon.scheduling.unacknowledged_ends import UnacknowledgedEnds
 from medlarspring_daemon.tasks import Tasks
 from medlarspring_systems.scheduling.evidence import note_accepted, note_refusal
 from medlarspring_systems.scheduling.late_orders import (
--- a/packages/daemon/tests/scheduling/test_unacknowledged_ends.py
+++ b/packages/daemon/tests/scheduling/test_unacknowledged_ends.py
@@ -4,7 +4,10 @@
 
 import pytest
 
-from medlarspring_daemon.scheduling.unacknowledged_ends import MAX_LISTING_AGE_SECONDS, UnacknowledgedEnds
+from medlarspring_daemon.scheduling.unacknowledged_ends import (
+    MAX_LISTING_AGE_SECONDS,
+    UnacknowledgedEnds,
+)
 
 NOW = 1_000.0
 BORN_MS = 1_774_442_565_332
@@ -29,9 +32,7 @@
 @pytest.mark.parametrize(
     ("age", "acknowledged"), [(0.0, 1), (MAX_LISTING_AGE_SECONDS * 0.9, 1), (0.1, 0)]
 )
-def test_end_is_acknowledged_only_after_a_recent_listing(
-    age: float, acknowledged: int
-):
+def test_end_is_acknowledged_only_after_a_recent_listing(age: float, acknowledged: int):
     """
     A worker starts again between its listing and the acknowledgement, while this
     process stands still. The new life would forget its own first ends unread.
--- a/packages/daemon/tests/scheduling/test_work_per_event.py
+++ b/packages/daemon/tests/scheduling/test_work_per_event.py
@@ -29,7 +29,12 @@
 """VMs of each of two pools: 40 and 272 in all with those in standby."""
 STANDBY_VMS = 4
 ALLOWED_GROWTH = 1.1
-EVENTS = ("note_listing", "_note_written", "_settle_job", "_wake_acknowledging")
+EVENTS = (
+    "note_listing",
+    "_handle_record_written",
+    "_record_job",
+    "_acknowledge_recorded_ends",
+)
 
 
 class LineCounter:
