--- a/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
@@ -240,7 +240,7 @@
 
     # LinkOwner
 
-    def note_listing(self, worker: Worker, outcome: ListingOutcome) -> None:
+    def handle_listing(self, worker: Worker, outcome: ListingOutcome) -> None:
         """Record what a listing changed, and plan anew."""
         for run, end in outcome.ended:
             log_ended(self._node, run, end)
--- a/packages/daemon/src/medlarspring_daemon/scheduling/link_owner.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/link_owner.py
@@ -14,7 +14,7 @@
 
     tables: WorkTables
 
-    def note_listing(self, worker: Worker, outcome: ListingOutcome) -> None:
+    def handle_listing(self, worker: Worker, outcome: ListingOutcome) -> None:
         """Record what a listing changed, and plan anew."""
         ...
 
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
@@ -377,7 +377,7 @@
         for run in outcome.confirmed:
             log_started(self._node, run)
         self._settle_rest(outcome)
-        self._owner.note_listing(worker, outcome)
+        self._owner.handle_listing(worker, outcome)
 
     def _refuse_late_orders(self, now: Seconds) -> None:
         """Have a new life refuse what its former one may have left to be done."""
--- a/packages/daemon/tests/scheduling/test_foreign_records.py
+++ b/packages/daemon/tests/scheduling/test_foreign_records.py
@@ -57,7 +57,7 @@
     ]
 
 
-def list_unreadable_lines(world: World, key: str) -> list[dict[str, Any]]:
+def list_unreadable_events(world: World, key: str) -> list[dict[str, Any]]:
     return [
         line
         for line in read_lines(world)
@@ -160,7 +160,7 @@
         await asyncio.sleep(1.0)
 
     world = run_scenario(scenario, SEED)
-    assert len(list_unreadable_lines(world, "servers/i-foreign")) == 1
+    assert len(list_unreadable_events(world, "servers/i-foreign")) == 1
 
 
 def test_worker_whose_entry_turns_unreadable_gets_no_new_tasks_and_keeps_its_own():
@@ -216,7 +216,7 @@
             json.dumps(entry | {"service": "later", "machineId": "m-x"}).encode(),
         )
         await asyncio.sleep(0.3)
-        assert len(list_unreadable_lines(world, "servers/i-later")) == 1
+        assert len(list_unreadable_events(world, "servers/i-later")) == 1
         controller = world.find_controller()
         assert controller is not None
         config = json.loads(read(world, "op/config") or b"{}")
@@ -251,7 +251,7 @@
         starts = len(world.history.runs)
         await asyncio.sleep(4.0)
         assert len(world.history.runs) == starts
-        assert list_unreadable_lines(world, f"progress/0/{job_id}")
+        assert list_unreadable_events(world, f"progress/0/{job_id}")
         await complete(customers)
 
     run_scenario(scenario, SEED)
--- a/packages/daemon/tests/scheduling/test_takeover.py
+++ b/packages/daemon/tests/scheduling/test_takeover.py
@@ -97,7 +97,7 @@
     run_scenario(scenario, SEED)
 
 
-def test_successor_delays_operations_on_vms_its_predecessor_moved():
+def test_next_controller_delays_operations_on_vms_moved_before_it():
     """
     A controller moves a VM and is stopped. Its successor wants the VM elsewhere
     at once; the platform allows two holders' orders for one VM only some seconds
@@ -156,7 +156,7 @@
     run_scenario(scenario, SEED)
 
 
-def test_controller_cut_off_from_the_store_starts_nothing_more():
+def test_controller_cut_off_from_the_store_starts_no_more_tasks():
     """
     The store turns the controller away and gives its key to another one. Both
     reach the workers; what the first one still had in mind must not start.
@@ -259,7 +259,7 @@
     run_scenario(scenario, SEED)
 
 
-def test_successor_moves_vms_without_waiting_for_a_whole_lease():
+def test_next_controller_moves_vms_without_waiting_for_a_whole_lease():
     """
     The controller is killed at the start of a queue's turn. Its last record names
     the VMs that it may still have operated on; the others are moved as soon as its
@@ -284,7 +284,7 @@
     run_scenario(scenario, SEED)
 
 
-def test_successor_delays_operations_on_vms_in_the_last_record():
+def test_next_controller_delays_operations_on_vms_in_the_last_record():
     """
     The store takes a controller's key away while it moves VMs; by its own clock it
     holds the cell for another second and sends what it has recorded. Its successor
@@ -306,7 +306,7 @@
     run_scenario(scenario, SEED)
 
 
-def test_unreadable_record_of_operations_makes_the_successor_wait():
+def test_unreadable_record_of_operations_delays_the_next_controller():
     """
     The record of the last operations can't be read, so any VM may be one that the
     predecessor still operates on. None is touched until that is over for all.
@@ -329,7 +329,7 @@
     run_scenario(scenario, SEED)
 
 
-def test_successor_keeps_its_predecessors_operations_in_the_record():
+def test_next_controller_keeps_earlier_operations_in_the_record():
     """Guards against two holders' orders for one VM after two quick takeovers."""
 
     async def scenario(world: World, customers: Customers) -> None:
--- a/packages/daemon/tests/scheduling/test_work_per_event.py
+++ b/packages/daemon/tests/scheduling/test_work_per_event.py
@@ -30,7 +30,7 @@
 STANDBY_VMS = 4
 ALLOWED_GROWTH = 1.1
 EVENTS = (
-    "note_listing",
+    "handle_listing",
     "_handle_record_written",
     "_record_job",
     "_acknowledge_recorded_ends",
