--- a/packages/daemon/src/medlarspring_daemon/scheduling/__init__.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/__init__.py
@@ -1,3 +1,3 @@
-"""Scheduling of jobs: accepting them, and controlling a cell of the fleet."""
+"""Job scheduling: accepts jobs and controls the cells of the fleet."""
 
 from __future__ import annotations
--- a/packages/daemon/src/medlarspring_daemon/scheduling/context.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/context.py
@@ -1,4 +1,4 @@
-"""What the services of scheduling share in one process."""
+"""Shared dependencies of the scheduling services in one process."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
     from medlarspring_tables.scheduling import FleetLimits
 
 CELLS = (CellId("0"),)
-"""One controller carries a fleet of the present size; see docs/CAPACITY.md."""
+"""A single controller is enough for the present fleet size; see docs/CAPACITY.md."""
 
 
 class StoreHealth(Protocol):
-    """How the store answers this process."""
+    """Whether the store answers this process."""
 
     @property
     def failing_since(self) -> Seconds | None:
-        """When the first call failed that no answered one has followed."""
+        """Time of the first failed call since the last answered one; None if none."""
         ...
 
 
 @dataclass(slots=True)
 class SchedulingNode:
-    """The outside world and the identity of one process."""
+    """Identity, adapters and limits of one scheduling process."""
 
     id: EntryVMId
     incarnation: int
-    """Random number of this process; a restart changes it."""
+    """Random number of this process; it changes with each restart."""
     clock: Clock
     rng: random.Random
     log: EventLog
@@ -55,7 +55,7 @@
     adviser: Adviser | None = None
     peer_address: str = ""
     cores: float = 1.0
-    """Processors that this process may use on average."""
+    """CPU cores that this process may use on average."""
     cells: tuple[CellId, ...] = CELLS
     stopping: bool = field(default=False)
     unreadable: UnreadableRecords = field(init=False)
--- a/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
@@ -1,4 +1,4 @@
-"""Controls one cell while this process holds it: jobs, workers and their runs."""
+"""Controls the jobs, workers and runs of one cell during a leadership term."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 
 class CellController:
-    """Implements ``Term`` and ``LinkOwner``."""
+    """Controls one cell; implements ``Controller`` and ``LinkOwner``."""
 
     def __init__(self, node: SchedulingNode, directory: Directory, term: Term) -> None:
         self._node = node
@@ -91,19 +91,19 @@
         self._vm_manager = VMKeeper(node, term, directory, self)
         self._liveness = WorkerLives(node, self)
 
-    # Term
+    # Controller
 
     async def start(self) -> None:
-        """Take the cell over in the background."""
+        """Start to take over the cell, in the background."""
         self._tasks.start(self._take_over())
 
     async def stop(self, *, graceful: bool) -> None:
-        """Stop deciding; a graceful end records what is known."""
+        """Stop all work for the cell; if ``graceful``, write pending records first."""
         self._running = False
         self._rounds.cancel()
         await self._tasks.cancel()
-        # First the links: while ends come in there is always more to record, and
-        # the hand-over took 0.7 s of the lease instead of some milliseconds.
+        # Close the links first. While they report ends there is always more to
+        # record, and the handover took 0.7 s of the lease instead of milliseconds.
         links = list(self._links_by_id.values())
         await asyncio.gather(*(link.close() for link in links))
         await asyncio.gather(*(follower.stop() for follower in self._followers))
@@ -114,11 +114,11 @@
         ]
 
     def is_overloaded(self) -> bool:
-        """Tell whether this process can't keep up with the cell's work."""
+        """Return whether this process can't keep up with the cell's work."""
         return self._load_gauge.is_overloaded()
 
     async def _take_over(self) -> None:
-        """Read what is recorded, then follow the inbox and the workers."""
+        """Load the records, then follow the inbox and the worker registry."""
         began_at = self._node.clock.now()
         prefix = self._term.keys.progress_prefix
         progress = await self._read_until(prefix)
@@ -161,10 +161,10 @@
         self.plan_all()
 
     async def _read_until(self, prefix: str) -> Listing:
-        """Read a prefix, through an outage of the store if need be.
+        """Read a prefix, retrying until the store answers.
 
-        The key may outlive an outage in which leases stand still. A controller
-        that had stopped reading would then hold the cell and do nothing for it.
+        The controller's key may survive an outage that pauses leases. A controller
+        that stopped reading would then hold the cell without doing any work.
         """
         while True:
             listing = await self._node.store.read_prefix(prefix)
@@ -172,25 +172,25 @@
                 return listing.unwrap()
             await asyncio.sleep(LOAD_RETRY_SECONDS)
 
-    # What the feeds tell
+    # Callbacks of the feeds
 
     def open_job(self, job: ActiveJob) -> None:
-        """Open a job that was accepted or loaded."""
+        """Start scheduling a job that was accepted or loaded."""
         now, wall_ms = self._node.clock.now(), self._node.clock.wall() * 1_000
         open_due_occurrences(self.tables, job, now, wall_ms)
         self._record_writer.schedule_write(job)
         self.plan(job.queue.pool_id)
 
     def stop_cancelled_job(self, job: ActiveJob) -> None:
-        """Stop a job at its customer's wish."""
+        """Cancel a job and stop its runs, on the customer's request."""
         cancel_job(job)
         self._record_job(job)
 
     def note_worker(self, worker: Worker) -> None:
         """Connect to a worker that the registry lists.
 
-        Not before the recorded jobs are loaded: an end listed by the worker would
-        find no task, be acknowledged as unknown, and its task would run again.
+        Does nothing until the recorded jobs are loaded. Otherwise an end listed by
+        the worker would be acknowledged as unknown, and its task would run again.
         """
         if not self._running:
             return
@@ -207,10 +207,11 @@
         self.plan(worker.pool_id)
 
     def _disconnect_from_old_address(self, worker: Worker) -> None:
-        """Close the connections to a worker that is at another address now.
+        """Close the connections to a worker whose address has changed.
 
-        Nobody waits any more for the answers to orders that are on their way; left
-        as ordered, their tasks would wait for good.
+        Answers to orders in flight are no longer received. Runs that stayed in
+        state ``ORDERED`` would block their tasks forever, so their state becomes
+        ``UNKNOWN``.
         """
         now = self._node.clock.now()
         for run in worker.runs.values():
@@ -220,7 +221,7 @@
         self.drop_link(worker)
 
     def note_started_again(self, worker: Worker, born_ms: Milliseconds) -> None:
-        """Note that a worker speaks from another life than the one that is known."""
+        """Handle a worker whose incarnation is not the known one."""
         former_ms = worker.born_ms
         longest = self._node.limits.worker_lease
         now = self._node.clock.now()
@@ -228,24 +229,24 @@
         lost_runs = begin_life(self.tables, worker, born_ms, longest, now)
         log_started_again(self._node, worker, former_ms, len(lost_runs), verdict)
         for run in lost_runs:
-            log_lost(self._node, run, "its worker started again")
+            log_lost(self._node, run, "its worker restarted")
         self.note_lost(lost_runs)
         for job in verdict.jobs:
             self._record_job(job)
 
     def note_entry_gone(self, worker: Worker) -> None:
-        """Look whether a worker that the registry dropped is still alive."""
+        """Check whether a worker that left the registry is still alive."""
         if worker.runs or worker.unanswered_since:
             self.note_silent(worker)
 
     # LinkOwner
 
     def handle_listing(self, worker: Worker, outcome: ListingOutcome) -> None:
-        """Record what a listing changed, and plan anew."""
+        """Record the changes from a listing, and schedule a placement round."""
         for run, end in outcome.ended:
             log_ended(self._node, run, end)
         for run in outcome.lost:
-            log_lost(self._node, run, "not on its worker")
+            log_lost(self._node, run, "not listed by its worker")
         if outcome.newly_doubted:
             log_doubted(self._node, worker)
         self._unrecorded_ends.add_ends(worker.id, outcome.ends)
@@ -260,40 +261,40 @@
             self.plan(worker.pool_id)
 
     def note_changed(self, worker: Worker, run: Run) -> None:
-        """Record that a run is over or was refused, and plan anew."""
+        """Record that a run ended or was refused, and schedule a placement round."""
         self._record_writer.schedule_write(run.task.step.job)
         self.plan(worker.pool_id)
 
     def note_silent(self, worker: Worker) -> None:
-        """Read the VM list: it tells whether a worker's life is over."""
+        """Read the VM list, which shows whether the worker's incarnation has ended."""
         self.look_at_vms()
 
     def look_at_vms(self) -> None:
-        """Read the VM list soon."""
+        """Request an early read of the VM list."""
         self._liveness.look_soon()
 
     def note_order(self, *, answered: bool) -> None:
-        """Note whether a worker answered an order in time."""
+        """Record whether a worker answered an order in time."""
         self._load_gauge.note_order(answered=answered)
 
     def note_superseded(self) -> None:
-        """Stop: a controller with a higher fence has been at a worker."""
+        """End the term: a worker has seen a controller with a higher fence."""
         self._term.end()
 
     # Planning
 
     def plan(self, pool_id: PoolId) -> None:
-        """Place what waits in a pool, soon."""
+        """Schedule a placement round for a pool."""
         if self._running:
             self._rounds.plan(pool_id)
 
     def plan_all(self) -> None:
-        """Place what waits in every pool."""
+        """Schedule placement rounds for all pools with ready steps."""
         for pool_id in list(self.tables.ready_by_pool):
             self.plan(pool_id)
 
     def stop_run(self, run: Run, reason: str) -> None:
-        """Have a run stopped."""
+        """Order a run to stop, if it was sent to its worker."""
         link = self._links_by_id.get(run.worker.id)
         if link is not None and run.state is not RunState.INTENDED:
             link.send_stop(run, reason)
@@ -305,7 +306,7 @@
             self._record_writer.schedule_write(run.task.step.job)
 
     def _handle_record_written(self, job: ActiveJob) -> None:
-        """Send the orders whose intents are now recorded."""
+        """Send the start orders whose intents are now recorded."""
         if job.written_version == FINAL_VERSION:
             self._handle_final_record_written(job)
             return
@@ -319,7 +320,7 @@
         if run.version > run.task.step.job.written_version:
             return
         link = self._links_by_id.get(run.worker.id)
-        # Its room may have shrunk while the intent was being recorded.
+        # The worker's resources may have shrunk while the intent was recorded.
         is_unavailable = (
             run.worker.gone or run.worker.draining or is_overfull(run.worker)
         )
@@ -330,7 +331,7 @@
         link.send_start(run)
 
     def _acknowledge_recorded_ends(self, job: ActiveJob) -> None:
-        """Have ends acknowledged that the job's record holds now."""
+        """Have the links acknowledge the ends that the job's record now contains."""
         for worker_id in self._unrecorded_ends.collect_waiting_workers(job):
             link = self._links_by_id.get(worker_id)
             if link is not None:
@@ -342,7 +343,7 @@
         self._acknowledge_recorded_ends(job)
 
     def _record_job(self, job: ActiveJob) -> None:
-        """Record a job, and stop what still runs of it once it has ended."""
+        """Schedule a write of a job's record, and stop its runs if it has ended."""
         if job.outcome is None:
             self._record_writer.schedule_ends_write(job)
             self.plan(job.queue.pool_id)
@@ -358,9 +359,10 @@
     def _stop_unwanted(self, worker: Worker) -> None:
         """Stop the runs of jobs that have ended.
 
-        A job may be cancelled while nobody controls the cell. Its end is recorded
-        as soon as it is read, when its runs are known from the record only and
-        there is no connection yet to stop them by.
+        A job may be cancelled while no process controls the cell. The next
+        controller records the outcome as soon as it reads the request. At that
+        time it knows the runs from the record only, and has no connection to
+        their workers yet.
         """
         for run in list(worker.runs.values()):
             job = run.task.step.job
@@ -373,7 +375,7 @@
         for run in list(ended.task.runs):
             self.stop_run(run, "another copy finished")
 
-    # Time
+    # Periodic work
 
     async def _tick_forever(self) -> None:
         while True:
@@ -409,17 +411,17 @@
                 link.send_pace(run, percent)
 
     def _apply_config(self) -> None:
-        """Take the operator's configuration over."""
+        """Apply the operator's configuration."""
         if self._directory.config is None:
             return
         self.tables.config = self._directory.config
         if self._workers is not None:
             self._workers.take_config()
 
-    # What the workers' lives tell
+    # Callbacks of the worker liveness check
 
     def note_lost(self, runs: Iterable[Run]) -> None:
-        """Record that runs are over without an end, and plan anew."""
+        """Record that runs were lost, and schedule placement rounds."""
         for job in dict.fromkeys(run.task.step.job for run in runs):
             if job.outcome is not None:
                 self._record_job(job)
@@ -428,7 +430,7 @@
             self.plan(job.queue.pool_id)
 
     def drop_link(self, worker: Worker) -> None:
-        """Close the connections to a worker that is gone."""
+        """Close the connections to a worker."""
         link = self._links_by_id.pop(worker.id, None)
         if link is None:
             return
--- a/packages/daemon/src/medlarspring_daemon/scheduling/election.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/election.py
@@ -1,4 +1,4 @@
-"""Who controls a cell: one key under a lease, and a fence that rises."""
+"""Leader election for a cell: a key under a lease, with an increasing fence."""
 
 from __future__ import annotations
 
@@ -33,45 +33,48 @@
     from medlarspring_tables.scheduling import CellId, WorkTables
 
 LEASE_SECONDS = 1.4
-"""A killed controller is replaced so much later; tasks run on meanwhile, and only
-starts wait. Much shorter leases lapse in a store that answers in 250 ms."""
+"""A killed controller is replaced after this time. Running tasks go on meanwhile; only
+starts wait. Much shorter leases expire while the store takes 250 ms to answer."""
 RENEW_SECONDS = 0.3
-"""Four tries in a lease; a renewal costs a tenth of a read."""
+"""Allows four attempts per lease; a renewal costs a tenth of a read."""
 LEASE_MARGIN_SECONDS = 0.25
-"""The holder stops so much before the lease can lapse, by its own clock."""
+"""The holder stops acting this long before its lease can expire, by its own clock."""
 MAX_JITTER_SECONDS = 0.06
-"""Candidates try at random moments, so that most see the winner's key first."""
+"""Random delay that lets most candidates see the winner's key before they try."""
 TICK_SECONDS = 0.1
 PREFERRED_CORES = 1.0
-"""An entry VM with less leaves the cell to others if it can: a controller of 1,300
-tasks a second took 0.5 of a core, and on half a core its orders timed out."""
+"""An entry VM with fewer cores leaves the cell to others if possible. A controller of
+1,300 tasks per second used 0.5 of a core, and on half a core its orders timed out."""
 DELAY_SECONDS_PER_MISSING_CORE = 0.6
-"""A weaker candidate waits so much longer for each core that it lacks."""
+"""Extra delay of a candidate for each core that it has below the preferred number."""
 OVERLOAD_BACKOFF_SECONDS = 3.0
-"""An overloaded controller that gave the cell up lets others try for so long."""
+"""Delay before an overloaded controller that released the cell competes again."""
 
 
 class Controller(Protocol):
-    """What runs while this process controls a cell."""
+    """Work that runs while this process holds a cell."""
 
     tables: WorkTables
-    """What the controller knows of its cell."""
+    """State of the cell as known to the controller."""
 
     async def start(self) -> None:
-        """Take the cell over."""
+        """Start to take over the cell."""
         ...
 
     async def stop(self, *, graceful: bool) -> None:
-        """End all work for the cell; a graceful end records what is known."""
+        """Stop all work for the cell; if ``graceful``, write pending records first."""
         ...
 
     def is_overloaded(self) -> bool:
-        """Tell whether this process can't keep up with the cell's work."""
+        """Return whether this process can't keep up with the cell's work."""
         ...
 
 
 class Term:
-    """One holding of a cell's key; its fence never changes."""
+    """One leadership term: a period in which this process holds a cell's key.
+
+    The fence is the same for the whole term.
+    """
 
     def __init__(
         self, node: SchedulingNode, cell_id: CellId, lease_id: LeaseId
@@ -86,21 +89,22 @@
         self.superseded = False
 
     def is_active(self) -> bool:
-        """Tell whether this process may still act for the cell, by its own clock."""
+        """Return whether this process may still act for the cell, by its own clock."""
         return not self.superseded and self._node.clock.now() < self.valid_until
 
     def expect(self) -> Expect:
-        """Return the condition that each write for the cell carries."""
+        """Return the condition for every write to the cell's records."""
         return Expect(self.keys.controller, Revision(self.fence))
 
     def end(self) -> None:
-        """Note that another process holds the cell, or may."""
+        """End the term: another process holds the cell, or may hold it."""
         self.superseded = True
 
     def check_still_holder(self, refused: Committed) -> bool:
-        """Tell whether a write was refused for another reason than the holder's key.
+        """Return whether a refused write still found this term's key in the store.
 
-        The write must have asked for that key. Ends the tenure otherwise.
+        The write must have read that key on failure. If the key has changed, this
+        ends the term.
         """
         fence = self.expect()
         holder = refused.read_by_key.get(fence.key)
@@ -111,7 +115,7 @@
 
 
 class Election:
-    """Tries to hold one cell, and keeps its lease while it does."""
+    """Competes for one cell, and renews the lease while this process holds it."""
 
     def __init__(
         self,
@@ -127,9 +131,9 @@
         self._create_controller = create_controller
         self._tasks = Tasks(node.log)
         self._holder: Entry | None = None
-        """The key as last seen; None while nobody holds the cell."""
+        """The key as last seen; None while no process holds the cell."""
         self._is_holder_known = False
-        """Whether the key was read at all."""
+        """Whether the key has been read at least once."""
         self._changed = asyncio.Event()
         self._backoff_until: Seconds = 0.0
         self.term: Term | None = None
@@ -139,25 +143,25 @@
         )
 
     async def start(self) -> None:
-        """Begin to follow the key and to try for it."""
+        """Start to watch the key and to compete for it."""
         self._follower.start()
         self._tasks.keep(self._run)
 
     async def stop(self) -> None:
-        """Give the cell up at once, so that a successor need not wait."""
+        """Release the cell at once, so that the next controller need not wait."""
         await self._tasks.cancel()
         await self._follower.stop()
         if self.term is not None:
             await self._release(self.term, graceful=True)
 
     def take_listing(self, listing: Listing) -> None:
-        """Take the key as listed."""
+        """Apply a listing of the key."""
         key = self._keys.controller
         matching = [entry for entry in listing.entries if entry.key == key]
         self._record_holder(matching[0] if matching else None, listing.revision)
 
     def take_batch(self, batch: WatchBatch) -> None:
-        """Take a change of the key."""
+        """Apply changes of the key."""
         if self._keys.controller in batch.deleted:
             self._record_holder(None, batch.revision)
         for entry in batch.changed:
@@ -166,7 +170,7 @@
 
     def _record_holder(self, entry: Entry | None, revision: Revision) -> None:
         term = self.term
-        # News from before this process won the key tells of its predecessor.
+        # A change from before this process won the key concerns an earlier holder.
         if term is not None and revision < term.fence:
             return
         self._holder = entry
@@ -193,7 +197,7 @@
                 continue
 
     def _choose_candidacy_delay(self) -> Seconds:
-        """Return how long to let stronger entry VMs go first."""
+        """Return how long to wait so that entry VMs with more cores can go first."""
         missing_cores = max(PREFERRED_CORES - self._node.cores, 0.0)
         backoff = max(self._backoff_until - self._node.clock.now(), 0.0)
         jitter = self._node.rng.uniform(0.0, MAX_JITTER_SECONDS)
@@ -244,10 +248,10 @@
                 term.fence = Fence(committed.revision)
                 return True
             if found is None:
-                # Absent and yet refused: the key went between check and read.
+                # Refused although absent: the key was deleted between check and read.
                 continue
             if found.lease_id == term.lease_id:
-                # The answer of an earlier try was lost; the key is ours.
+                # An earlier attempt succeeded but its answer was lost.
                 term.fence = Fence(found.mod_revision)
                 return True
             self._record_holder(found, found.mod_revision)
@@ -255,11 +259,11 @@
         return False
 
     async def _renew(self, term: Term) -> None:
-        """Renew the lease, or find out whether another process holds the cell.
+        """Renew the lease, or release the cell once the term is over.
 
-        A process whose renewals get no answer does nothing for the cell any more.
-        It goes on asking: after an outage of the store its key is often still
-        there, and a successor could come only after another whole lease.
+        A process whose renewals get no answer stops acting for the cell, but keeps
+        trying to renew. After an outage of the store its key is often still there,
+        and another process could take over only after one more whole lease.
         """
         if term.superseded:
             await self._release(term, graceful=False)
@@ -285,13 +289,13 @@
         term.valid_until = max(term.valid_until, sent_at + full_validity)
 
     def _should_step_down(self) -> bool:
-        """Tell whether a stronger entry VM should control the cell instead."""
+        """Return whether an entry VM with more cores should take over the cell."""
         if self._node.cores >= PREFERRED_CORES or self.controller is None:
             return False
         return self.controller.is_overloaded()
 
     async def _still_has_key(self, term: Term) -> bool:
-        """Tell whether the key outlived a pause; a lease alone does not prove it."""
+        """Return whether the key is still ours; a live lease is not proof of that."""
         found = await self._node.store.read(self._keys.controller)
         if not is_successful(found):
             return False
--- a/packages/daemon/src/medlarspring_daemon/scheduling/intake.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/intake.py
@@ -1,4 +1,4 @@
-"""Accepts jobs from customers, and answers what became of them."""
+"""Accepts jobs and cancellations from customers, and reports the status of jobs."""
 
 from __future__ import annotations
 
@@ -44,33 +44,37 @@
     from medlarspring_tables.scheduling import JobSpec, QueuePolicy
 
 MAX_ACCEPTED_PER_CALL = 16
-"""Each takes a condition and a write of the 32 entries of a transaction."""
+"""Each job takes a condition and a write of a transaction's 32 entries."""
 RETRY_SECONDS = 0.04
-"""Pause before a call to the store is repeated within the customer's deadline."""
+"""Pause before a call to the store is repeated, within the customer's deadline."""
 STORE_LOST_SECONDS = 0.25
-"""The store counts as lost once it fails all calls for so long; calls on jobs are
-then refused at once, before anything is sent. The watches notice its return."""
+"""The store counts as lost after all calls have failed for this long. Calls on jobs are
+then refused at once, without a call to the store. The watches detect its recovery."""
 REFUSE_AFTER_SECONDS = 0.4
-"""A call that the store turned down for so long is refused as not run.
+"""A call that the store has refused for this long is refused as not carried out.
 
-Longer waits use up the customer's time, which another entry VM could serve.
+A longer wait uses up time in which another entry VM could serve the customer.
 """
 UNKNOWN_AFTER_SECONDS = 1.0
-"""A write without a known outcome is reported as unknown after so long; held to the
-customer's deadline instead, its repeat with the same id came three seconds later."""
+"""A write without a known outcome is reported as unknown after this time. If it waits
+until the customer's deadline instead, the customer's retry with the same id comes three
+seconds later."""
 MIN_RETRY_AFTER_SECONDS = 1
 MAX_RETRY_AFTER_SECONDS = 4
-"""Whole seconds. An outage is taken to last as long again as it has lasted, so that
-a customer's few tries are not used up within the first seconds of a long one."""
+"""Whole seconds. An outage is expected to last as long again as it has lasted so far,
+so that customers don't use up their few retries in the first seconds of a long one."""
 ANSWER_MARGIN_SECONDS = 0.15
-"""An answer leaves so much before the customer stops waiting."""
+"""An answer is sent at least this long before the customer stops waiting."""
 UNREADABLE_JOB = "the job's record can't be read"
 MAX_LOAD_AGE_SECONDS = 0.5
-"""Counts of waiting jobs are read again after so long; they may be 2 s old."""
+"""Cached counts of waiting jobs are read again after this time.
+
+The counts may be up to 2 s old.
+"""
 
 
 class JobStatus(Enum):
-    """What a customer is told of a job."""
+    """Status of a job as reported to customers."""
 
     QUEUED = "queued"
     ACTIVE = "active"
@@ -88,14 +92,14 @@
 
 @dataclass(slots=True)
 class CachedLoad:
-    """A load record and when it was read."""
+    """A load record and the time at which it was read."""
 
     record: LoadRecord
     read_at: Seconds
 
 
 class Intake:
-    """Submissions, cancellations and questions of one entry VM."""
+    """Handles the submissions, cancellations and queries that one entry VM receives."""
 
     def __init__(self, node: SchedulingNode) -> None:
         self._node = node
@@ -107,9 +111,9 @@
     async def submit(
         self, queue: QueuePolicy, job_id: JobId, spec: JobSpec, timeout: Seconds
     ) -> Result[None, IntakeError]:
-        """Accept a job; a job of this id that is there already is the same one.
+        """Accept a job. A job that already has this id is taken to be the same one.
 
-        ``patience`` is how long the customer waits for the answer, in seconds.
+        ``timeout`` is how long the customer waits for the answer, in seconds.
         """
         received_at = self._node.clock.now()
         record = JobRecord(
@@ -130,7 +134,7 @@
     async def cancel(
         self, job_id: JobId, timeout: Seconds
     ) -> Result[None, IntakeError]:
-        """Record the wish to cancel a job; its controller stops the tasks."""
+        """Record a request to cancel a job; its controller stops the tasks."""
         answer = await self._cancel(job_id, timeout)
         self._log_refused_call("cancel", job_id, answer)
         return answer
@@ -173,7 +177,7 @@
     async def find_status(
         self, job_id: JobId, timeout: Seconds
     ) -> Result[JobStatus, IntakeError]:
-        """Return what became of a job."""
+        """Return the status of a job."""
         answer = await self._find_status(job_id, timeout)
         self._log_refused_call("status", job_id, answer)
         return answer
@@ -203,7 +207,7 @@
     async def count_waiting(
         self, queue_id: QueueId, timeout: Seconds
     ) -> Result[int, IntakeError]:
-        """Return how many accepted jobs of a queue have not started."""
+        """Return how many accepted jobs of a queue have not started yet."""
         total = 0
         for cell_id in self._node.cells:
             load = await self._read_load(CellKeys(cell_id), timeout)
@@ -249,12 +253,12 @@
     async def _commit_until(
         self, transaction: Transaction, timeout: Seconds
     ) -> Result[bool, IntakeError]:
-        """Commit until the outcome is known; tells whether the conditions held.
+        """Commit a transaction, retrying until the outcome is known.
 
-        A write whose answer was lost may still be carried out. Refusing it as
-        not run would then be untrue, so from that moment the write is repeated
-        under the same condition until it is seen to stand, or the outcome is
-        reported as unknown.
+        Returns whether its conditions held. A write whose answer was lost may still
+        be applied later, so it can't be refused as not carried out. From then on
+        the write is repeated under the same conditions until it is found applied,
+        or its outcome is reported as unknown.
         """
         clock = self._node.clock
         deadline = clock.now() + timeout - ANSWER_MARGIN_SECONDS
@@ -286,7 +290,7 @@
         return self._node.clock.now() - failing_since
 
     def _create_refusal(self, detail: str) -> NotReady:
-        """Return a refusal that names a useful moment to come back."""
+        """Return a refusal whose ``retry_after`` grows with the outage's length."""
         seconds = math.ceil(self._measure_outage())
         return NotReady(
             detail, min(max(seconds, MIN_RETRY_AFTER_SECONDS), MAX_RETRY_AFTER_SECONDS)
--- a/packages/daemon/src/medlarspring_daemon/scheduling/intake_errors.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/intake_errors.py
@@ -1,4 +1,4 @@
-"""Why a customer's call on a job was not carried out, each with its remedy."""
+"""Errors of customers' calls on jobs; each message says what to do next."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class IntakeError(MedlarspringError):
-    """A customer's call was not carried out, or its outcome is unknown."""
+    """Base of errors of a customer's call that failed or has an unknown outcome."""
 
 
 class NoSuchJob(IntakeError):
-    """No job has this id."""
+    """The job id is unknown."""
 
     code = "no-such-job"
 
     def message(self) -> str:
-        """Say what to do."""
+        """Return the fault and what to do next."""
         return "No job has this id. Check the id, or submit the job."
 
 
 class NotReady(IntakeError):
-    """This entry VM can't serve the call now; it was certainly not carried out."""
+    """This entry VM can't serve the call now, and did not carry it out."""
 
     code = "not-ready"
 
@@ -28,10 +28,10 @@
         super().__init__(detail, retry_after)
         self.detail = detail
         self.retry_after = retry_after
-        """Whole seconds after which to try again."""
+        """Whole seconds to wait before the next attempt."""
 
     def message(self) -> str:
-        """Say why and what to do."""
+        """Return the reason and what to do next."""
         return (
             f"The call was not carried out: {self.detail}."
             f" Repeat it in {self.retry_after} s, or at another entry VM."
@@ -44,7 +44,7 @@
     code = "outcome-unknown"
 
     def message(self) -> str:
-        """Say what to do."""
+        """Return the fault and what to do next."""
         return (
             "The store's answer was lost, so the call may have been carried out."
             " Repeat it with the same id: it takes effect once."
--- a/packages/daemon/src/medlarspring_daemon/scheduling/job_feed.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/job_feed.py
@@ -1,4 +1,4 @@
-"""Takes accepted jobs and wishes to cancel from a cell's inbox."""
+"""Reads accepted jobs and cancellation requests from a cell's inbox."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 
 
 class JobOwner(Protocol):
-    """What the feed tells the controller."""
+    """Callbacks of the feed to the controller."""
 
     tables: WorkTables
 
     def open_job(self, job: ActiveJob) -> None:
-        """Open a job that was accepted or loaded."""
+        """Start scheduling a job that was accepted or loaded."""
         ...
 
     def stop_cancelled_job(self, job: ActiveJob) -> None:
-        """Stop a job at its customer's wish."""
+        """Cancel a job and stop its runs, on the customer's request."""
         ...
 
 
 class JobFeed:
-    """Implements ``PrefixListener`` over the inbox."""
+    """Follows the inbox; implements ``PrefixListener``."""
 
     def __init__(
         self,
@@ -52,17 +52,20 @@
         self._keys = term.keys
         self._owner = owner
         self._progress_by_id = progress_by_id
-        """Progress recorded by predecessors, until its job is listed."""
+        """Progress entries of earlier controllers, until the inbox is listed."""
         self.loaded = asyncio.Event()
 
     def take_listing(self, listing: Listing) -> None:
-        """Take the whole inbox; jobs first, since a wish needs its job."""
+        """Apply a listing of the whole inbox.
+
+        Jobs come first, because a cancellation needs its job in the tables.
+        """
         self._process_entries(listing.entries)
         self._progress_by_id.clear()
         self.loaded.set()
 
     def take_batch(self, batch: WatchBatch) -> None:
-        """Take what is new."""
+        """Apply new entries of the inbox."""
         self._process_entries(batch.changed)
 
     def _process_entries(self, entries: tuple[Entry, ...]) -> None:
@@ -93,7 +96,7 @@
         progress_entry = self._progress_by_id.pop(job_id, None)
         progress = self._read_progress(progress_entry, record.spec)
         if progress_entry is not None and progress is None:
-            # Begun anew, its tasks that are done would run a second time.
+            # Started without its progress, the job would run finished tasks again.
             return
         arrived_at = self._find_arrival_time(record)
         job = admit_job(tables, job_id, record, entry.mod_revision, arrived_at)
@@ -103,7 +106,7 @@
         self._owner.open_job(job)
 
     def _find_arrival_time(self, record: JobRecord) -> Seconds:
-        """Return when a job came; for one that is loaded by its record's clock."""
+        """Return when a job arrived; for a loaded job, according to its record."""
         now = self._node.clock.now()
         if self.loaded.is_set():
             return now
--- a/packages/daemon/src/medlarspring_daemon/scheduling/job_record_writer.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/job_record_writer.py
@@ -1,4 +1,4 @@
-"""Writes the progress and the ends of a cell's jobs, many in one transaction."""
+"""Writes the progress and outcomes of a cell's jobs in batched transactions."""
 
 from __future__ import annotations
 
@@ -33,40 +33,40 @@
 MAX_TRANSACTION_ENTRIES = 32
 """Conditions, writes and deletions that one transaction of the store takes."""
 MAX_WRITES_IN_FLIGHT = 4
-"""One call that hangs must not hold up all that come after it."""
+"""A call that hangs must not block all later writes."""
 BATCH_WINDOW_SECONDS = 0.002
-"""Changes of one moment share a transaction; starts wait no longer for it."""
+"""Changes within this time share a transaction; no start waits longer for it."""
 ENDS_BATCH_WINDOW_SECONDS = 0.02
-"""Ends free room, and the starts that take it are recorded some milliseconds later:
-0.9 writes a run in place of 1.3 when sixty jobs keep a pool full."""
+"""Lets ends share a transaction with the starts that use the freed resources, which
+follow some milliseconds later. With a pool kept full by 60 jobs, this takes 0.9 writes
+per run instead of 1.3."""
 RETRY_SECONDS = 0.05
 FLUSH_SECONDS = 0.3
-"""Longest wait for records when the cell is handed over; what is not recorded the
-successor hears from the workers."""
+"""Longest wait for pending writes when the cell is released. The next controller
+learns from the workers what was not written."""
 
 
 FINAL_VERSION = 1 << 62
-"""Version of a job whose end is recorded; nothing of it is written any more."""
+"""Written version of a job whose outcome is recorded; no write follows it."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobUpdate:
-    """What one transaction writes of one job."""
+    """The part of a transaction that writes one job."""
 
     job: ActiveJob
     version: int
     is_final: bool
-    """Whether it records the job's end."""
+    """Whether it records the job's outcome."""
     transaction: Transaction
 
 
 class JobRecordWriter:
-    """Keeps the store's records of jobs up to the tables.
+    """Keeps the job records in the store up to date with the tables.
 
-    Every write carries the controller's key and the record's own revision as
-    conditions. The first keeps a superseded controller from writing; the second
-    keeps a write whose answer was lost from being carried out later, on top of a
-    newer one.
+    Every write is conditional on the controller's key and on the revision of the
+    record. The key prevents writes of a superseded controller. The revision
+    prevents a delayed write whose answer was lost from replacing a newer record.
     """
 
     def __init__(
@@ -80,22 +80,22 @@
         self._keys = term.keys
         self._on_written = on_written
         self._urgent_by_job: dict[ActiveJob, bool] = {}
-        """Jobs to be written; a start or an end of the whole job can't wait."""
+        """Jobs to write; starts and the outcome of a job are urgent."""
         self._writes: set[asyncio.Task[None]] = set()
         self._timer: asyncio.Handle | None = None
         self._flush_at: Seconds = 0.0
-        """When the timer is due; uvloop's handles of calls without a wait don't say."""
+        """When the timer is due; uvloop's handles of calls without delay don't tell."""
         self._closed = False
 
     def schedule_write(self, job: ActiveJob) -> None:
-        """Have a job's record written."""
+        """Schedule an urgent write of a job's record."""
         self._schedule(job, urgent=True)
 
     def schedule_ends_write(self, job: ActiveJob) -> None:
-        """Have ends of a job that goes on written, with the next starts if any come.
+        """Schedule a write of the ends of an active job, if possible with later starts.
 
-        Nothing waits for such a record but the worker, which lists the ends until
-        they are acknowledged.
+        Such a write is not urgent: only the worker waits for it, which lists the
+        ends until they are acknowledged.
         """
         self._schedule(job, urgent=False)
 
@@ -108,7 +108,7 @@
         )
 
     async def close(self, *, flush: bool) -> None:
-        """Stop writing; with ``flush``, first write the marked jobs for a moment."""
+        """Stop writing; if ``flush``, write pending jobs first, within a time limit."""
         deadline = self._node.clock.now() + FLUSH_SECONDS
         while flush and (self._urgent_by_job or self._writes):
             if not self._term.is_active() or self._node.clock.now() > deadline:
@@ -228,10 +228,10 @@
         self.schedule_write(job)
 
     def _handle_conflict(self, batch: list[JobUpdate], committed: Committed) -> None:
-        """Learn from a refusal which revisions stand, and write again.
+        """Take the current revisions from a refused transaction, and retry.
 
-        An earlier write of ours whose answer was lost moved a record's revision;
-        another controller's key means that this one is superseded.
+        A record's revision changes when an earlier write succeeded but its answer
+        was lost. If the controller's key has changed, the term is over instead.
         """
         if not self._term.check_still_holder(committed):
             return
--- a/packages/daemon/src/medlarspring_daemon/scheduling/keys.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/keys.py
@@ -1,4 +1,4 @@
-"""Where the store keeps jobs, their progress and who controls what."""
+"""Store keys of jobs, their progress, cells and their controllers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class InboxKind(Enum):
-    """What an entry VM may put into a cell's inbox."""
+    """Kinds of records that an entry VM writes to a cell's inbox."""
 
     JOB = "job"
     CANCEL = "cancel"
@@ -25,18 +25,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CellKeys:
-    """Keys of one cell."""
+    """Store keys of one cell."""
 
     cell_id: CellId
 
     @property
     def controller(self) -> str:
-        """Key of the cell's controller, bound to its lease."""
+        """Key of the cell's controller, attached to its lease."""
         return f"{CONTROLLERS_PREFIX}{self.cell_id}"
 
     @property
     def inbox_prefix(self) -> str:
-        """Prefix of accepted jobs and wishes to cancel."""
+        """Prefix of accepted jobs and cancellation requests."""
         return f"inbox/{self.cell_id}/"
 
     @property
@@ -46,7 +46,7 @@
 
     @property
     def load(self) -> str:
-        """Key of what the controller tells of its queues."""
+        """Key of the controller's counts of waiting jobs by queue."""
         return f"load/{self.cell_id}"
 
     @property
@@ -56,12 +56,12 @@
 
     @property
     def operations(self) -> str:
-        """Key of the operations on VMs that were sent last."""
+        """Key of the record of the last operations sent to VMs."""
         return f"operations/{self.cell_id}"
 
     @property
     def sizes(self) -> str:
-        """Key of the pools' first sizes."""
+        """Key of the initial sizes of the pools."""
         return f"sizes/{self.cell_id}"
 
     def job(self, job_id: JobId) -> str:
@@ -69,7 +69,7 @@
         return f"{self.inbox_prefix}{InboxKind.JOB.value}/{job_id}"
 
     def cancel(self, job_id: JobId) -> str:
-        """Key of a wish to cancel a job."""
+        """Key of a request to cancel a job."""
         return f"{self.inbox_prefix}{InboxKind.CANCEL.value}/{job_id}"
 
     def progress(self, job_id: JobId) -> str:
@@ -77,7 +77,7 @@
         return f"{self.progress_prefix}{job_id}"
 
     def parse_inbox(self, key: str) -> tuple[InboxKind, JobId] | None:
-        """Return kind and job of a key in the inbox."""
+        """Return the kind and job id of an inbox key; None for any other key."""
         kind, _, job_id = key.removeprefix(self.inbox_prefix).partition("/")
         if kind == InboxKind.JOB.value:
             return InboxKind.JOB, JobId(job_id)
@@ -87,7 +87,7 @@
 
 
 def find_cell(job_id: JobId, cell_ids: tuple[CellId, ...]) -> CellId:
-    """Return the cell of a job; every entry VM finds the same one."""
+    """Return the cell of a job, the same on every entry VM."""
     return cell_ids[zlib.crc32(job_id.encode()) % len(cell_ids)]
 
 
--- a/packages/daemon/src/medlarspring_daemon/scheduling/round_timer.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/round_timer.py
@@ -1,4 +1,4 @@
-"""When the next rounds of placement run, and for which pools."""
+"""Schedules placement rounds, so that changes close in time share one round."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
     from medlarspring_tables.scheduling import WorkTables
 
 ROUND_SECONDS = 0.003
-"""Ends that come within this time are followed by one round of placement."""
+"""Shortest delay; ends that arrive within this time share one placement round."""
 ROUND_SECONDS_PER_ROW = 0.00002
-"""Added for each waiting step and worker that a round looks at, so that placement
-takes a small part of the processor's time however long the line is."""
+"""Extra delay for each waiting step and each worker that a round examines. It limits
+the share of CPU time that placement takes, however long the queue is."""
 MAX_ROUND_SECONDS = 0.015
-"""A start waits no longer than that for others to share its round."""
+"""Longest time that a start waits for other changes to share its round."""
 
 
 class RoundTimer:
-    """Lets what happens in a moment share one round of each pool."""
+    """Delays and combines placement rounds of each pool."""
 
     def __init__(self, tables: WorkTables, run_round: Callable[[PoolId], None]) -> None:
         self._tables = tables
@@ -30,14 +30,14 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def plan(self, pool_id: PoolId) -> None:
-        """Place what waits in a pool, soon."""
+        """Schedule a placement round for a pool."""
         self._due[pool_id] = None
         if self._timer is None:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(self._choose_delay(pool_id), self._run)
 
     def cancel(self) -> None:
-        """Run no round any more."""
+        """Cancel the scheduled rounds."""
         if self._timer is not None:
             self._timer.cancel()
 
--- a/packages/daemon/src/medlarspring_daemon/scheduling/service.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/service.py
@@ -1,4 +1,4 @@
-"""All of scheduling in one process, in the order in which it starts."""
+"""Starts and stops all scheduling services of one process, in order."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from medlarspring_tables.scheduling import WorkTables
 
 NOT_READY_AFTER_SECONDS = 1.0
-"""An entry VM that the store fails for so long takes itself out of rotation."""
+"""An entry VM reports itself not ready after the store has failed for this long."""
 
 
 class SchedulingService:
@@ -34,21 +34,21 @@
         ]
 
     async def start(self) -> None:
-        """Follow the operator's records and stand for election."""
+        """Watch the operator's records and take part in the elections."""
         self._tasks.keep(StoreWatch(self._node).run)
         await self.directory.start()
         for election in self._elections:
             await election.start()
 
     async def stop(self) -> None:
-        """Hand over what is held, then end all watches."""
+        """Release the held cells, then stop all watches."""
         for election in self._elections:
             await election.stop()
         await self.directory.stop()
         await self._tasks.cancel()
 
     def is_ready(self) -> bool:
-        """Tell whether this entry VM should get callers."""
+        """Return whether this entry VM should receive calls."""
         if self._node.stopping or self.directory.config is None:
             return False
         failing_since = self._node.store_health.failing_since
@@ -57,14 +57,14 @@
         return self._node.clock.now() - failing_since < NOT_READY_AFTER_SECONDS
 
     def is_controlling(self) -> bool:
-        """Tell whether this process controls a cell, by its own belief."""
+        """Return whether this process holds an active term, by its own clock."""
         return any(
             election.term is not None and election.term.is_active()
             for election in self._elections
         )
 
     def list_tables(self) -> list[WorkTables]:
-        """Return what this process knows of the cells that it controls."""
+        """Return the tables of the cells that this process controls."""
         return [
             election.controller.tables
             for election in self._elections
--- a/packages/daemon/src/medlarspring_daemon/scheduling/unacknowledged_ends.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/unacknowledged_ends.py
@@ -1,7 +1,7 @@
-"""Ends that a worker has listed, until their jobs' records hold them.
+"""Run ends listed by a worker that must be recorded before they are acknowledged.
 
-A worker forgets an end once it is acknowledged. Acknowledged before it is recorded, an
-end is lost with the controller, and its task runs again.
+A worker forgets an end once it is acknowledged. If an end is acknowledged before it is
+recorded and the controller then fails, the end is lost and its task runs again.
 """
 
 from __future__ import annotations
@@ -17,60 +17,60 @@
 
 @dataclass(frozen=True, slots=True)
 class UnacknowledgedEnd:
-    """An end that the worker keeps until its job's record holds it."""
+    """An end that the worker keeps until its job's record contains it."""
 
     number: int
     job: ActiveJob | None
     """None if no job needs the end."""
     version: int
-    """Version of the job's record that holds the end."""
+    """First version of the job's record that contains the end."""
 
 
 MAX_LISTING_AGE_SECONDS = 0.055
-"""A worker that listed its runs so lately has not started again since; no process is
-up in less. A little more than the pause between calls while ends are unrecorded."""
+"""A worker can't have restarted since a listing of this age, because no process starts
+faster. Slightly longer than the pause between calls while ends are unrecorded."""
 
 
 class UnacknowledgedEnds:
-    """The ends of one life of a worker that are not acknowledged, in listed order."""
+    """Unacknowledged ends of one incarnation of a worker, in listed order."""
 
     def __init__(self, life_ms: Milliseconds) -> None:
         self.life_ms = life_ms
-        """Start of the life."""
+        """Start time of the incarnation, in milliseconds."""
         self._ends: deque[UnacknowledgedEnd] = deque()
         self._listed_at: Seconds = float("-inf")
-        """When the last listing came; never, if a call went unanswered since."""
+        """Time of the last listing; minus infinity after an unanswered call."""
 
     def __bool__(self) -> bool:
         return bool(self._ends)
 
     def add(self, number: int, job: ActiveJob | None) -> None:
-        """Enter an end, as the job's tables stand now."""
+        """Add an end that the current version of the job contains."""
         version = job.version if job is not None else 0
         self._ends.append(UnacknowledgedEnd(number, job, version))
 
     def record_listing(self, now: Seconds) -> None:
-        """Note that the life has just listed its runs and ends."""
+        """Record that the incarnation has just listed its runs and ends."""
         self._listed_at = now
 
     def record_unanswered_call(self) -> None:
-        """Note that the life may be over since its last listing."""
+        """Record that the incarnation may have ended since its last listing."""
         self._listed_at = float("-inf")
 
     def find_acknowledgeable(self, now: Seconds) -> int:
-        """Return up to which end the worker may forget; 0 while that is not sure.
+        """Return the highest end that the worker may forget; 0 for none.
 
-        A worker that listed nothing for a moment may have started again; only a
-        listing tells, not its answer to an order. The number of an end of its
-        former life would make the new one forget ends that nobody has read, and
-        their tasks would run again.
+        Without a recent listing the worker may have restarted; answers to orders
+        do not rule that out. A new incarnation counts its ends from 1 again, so an
+        acknowledgement for the earlier one would make it forget ends that the
+        controller has not read, and their tasks would run again.
         """
         if now - self._listed_at > MAX_LISTING_AGE_SECONDS:
             return 0
         return self.find_last_recorded()
 
     def find_last_recorded(self) -> int:
-        """Return the highest end that is recorded, and all before it; 0 for none."""
+        """Return the highest end up to which all are recorded; 0 for none."""
         recorded = 0
         for end in self._ends:
             if end.job is not None and end.job.written_version < end.version:
@@ -79,7 +79,7 @@
         return recorded
 
     def drop(self, acknowledged: int) -> None:
-        """Forget the ends that the worker has forgotten."""
+        """Remove the ends up to the acknowledged one."""
         while self._ends and self._ends[0].number <= acknowledged:
             self._ends.popleft()
 
--- a/packages/daemon/src/medlarspring_daemon/scheduling/unreadable_records.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/unreadable_records.py
@@ -1,4 +1,4 @@
-"""Records in the store that can't be read, each named once in the log."""
+"""Decodes store records, and logs each record that can't be decoded once."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     from medlarspring_adapters.store import Entry
 
 MAX_REMEMBERED_KEYS = 1_000
-"""Keys; a writer of many bad records must not fill the memory."""
+"""Bounds the memory if another program writes many unreadable records."""
 
 Record = TypeVar("Record", bound=msgspec.Struct)
 
 
 class UnreadableRecords:
-    """Remembers the fault of each record until the record is readable or gone.
+    """Remembers the fault of each record until the record is readable or deleted.
 
-    Entries are written every second or two and listings are read again after each
-    lost watch; a line each time would bury all others.
+    Entries are rewritten every second or two, and listings are read again after
+    each lost watch. Logging a fault each time would flood the log.
     """
 
     def __init__(self, log: EventLog) -> None:
@@ -30,7 +30,7 @@
         self._faults_by_key: dict[str, str] = {}
 
     def report(self, key: str, fault: str) -> None:
-        """Log a record that can't be read, unless that was said before."""
+        """Log a record that can't be read, unless the same fault was already logged."""
         if self._faults_by_key.get(key) == fault:
             return
         self._faults_by_key.pop(key, None)
@@ -40,11 +40,11 @@
         self._log.error(Event.RECORD_UNREADABLE, key=key, fault=fault)
 
     def forget(self, key: str) -> None:
-        """Note that a record is readable again, or gone."""
+        """Forget the fault of a record that is readable again or was deleted."""
         self._faults_by_key.pop(key, None)
 
     def decode(self, entry: Entry, record_type: type[Record]) -> Record | None:
-        """Return one of this system's own records; None if it can't be read."""
+        """Decode a record of this system; on failure, log the fault and return None."""
         try:
             record = msgspec.json.decode(entry.value, type=record_type)
         except msgspec.MsgspecError as error:
--- a/packages/daemon/src/medlarspring_daemon/scheduling/unrecorded_ends.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/unrecorded_ends.py
@@ -1,4 +1,4 @@
-"""Which workers wait for which job's record before they may forget an end."""
+"""Index of the workers whose listed ends are not yet in their jobs' records."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class UnrecordedEnds:
-    """An index of workers by job.
+    """Workers by the job whose record must be written before they may forget an end.
 
-    Each of some hundred records a second looked through the ends of every worker:
-    at 200 workers a quarter of the controller's own time (a profile of 80 jobs a
-    second on the emulated platform).
+    Without the index, each written record requires a search through the ends of
+    all workers. With 200 workers and 80 jobs per second, some hundred records per
+    second, that search took a quarter of the controller's CPU time.
     """
 
     def __init__(self) -> None:
@@ -24,7 +24,7 @@
     def add_ends(
         self, worker_id: WorkerId, ends: Iterable[tuple[int, ActiveJob | None]]
     ) -> None:
-        """Note the ends that a worker lists, by number and job."""
+        """Add the ends that a worker lists, as pairs of number and job."""
         for _, job in ends:
             if job is not None:
                 self._workers_by_job.setdefault(job, {})[worker_id] = None
@@ -32,8 +32,8 @@
     def collect_waiting_workers(self, job: ActiveJob) -> Iterable[WorkerId]:
         """Return the workers that wait for the job's record.
 
-        They stay noted while the record lacks a newer end, which may be one of
-        theirs.
+        The job is removed from the index once its record is up to date. Until then
+        its workers are kept, because the record may still lack one of their ends.
         """
         if job.written_version < job.version:
             return list(self._workers_by_job.get(job, ()))
