--- a/packages/daemon/tests/scheduling/scenarios.py
+++ b/packages/daemon/tests/scheduling/scenarios.py
@@ -1,4 +1,4 @@
-"""Stories played in an emulated installation that has settled."""
+"""Helpers to run test scenarios in an emulated installation."""
 
 from __future__ import annotations
 
@@ -28,9 +28,10 @@
     checked: bool = True,
     plan: WorldPlan | None = None,
 ) -> World:
-    """Run a story in an installation that has settled.
+    """Run a scenario in an installation after its start-up.
 
-    Every promise must hold, unless the story itself plants what breaks one.
+    All checks of the history must pass, unless ``checked`` is false because the
+    scenario itself injects data that violates one.
     """
 
     async def main(clock: VirtualClock) -> World:
@@ -47,7 +48,7 @@
 
 
 async def submit(customers: Customers, count: int = 8) -> list[JobId]:
-    """Submit jobs of one queue; all must be accepted."""
+    """Submit jobs to one queue and assert that all are accepted."""
     jobs = []
     for _ in range(count):
         job_id, spec = customers.create_batch()
@@ -57,7 +58,7 @@
 
 
 async def wait_for_end(customers: Customers, jobs: list[JobId]) -> None:
-    """Wait until each job is shown as complete."""
+    """Wait until every job is reported as complete."""
     async with asyncio.timeout(END_SECONDS):
         for job_id in jobs:
             while await customers.ask(job_id) != "complete":
--- a/packages/daemon/tests/scheduling/test_foreign_records.py
+++ b/packages/daemon/tests/scheduling/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""One bad record in the store stops no takeover, no feed and no other job."""
+"""Unreadable records in the store must not block takeovers, feeds or other jobs."""
 
 from __future__ import annotations
 
@@ -82,9 +82,9 @@
 @pytest.mark.parametrize("value", [b"", b"\xff\xfe", b"[]", b"{}", b'{"wave": {}}'])
 def test_unreadable_records_do_not_block_takeover_or_jobs(value: bytes):
     """
-    Another program wrote unreadable values under every prefix that a controller
-    reads. The controller is killed; its successor reads them all while taking
-    over. Jobs are accepted and completed before, meanwhile and after.
+    Another program writes unreadable values under every prefix that a controller
+    reads. The controller is killed, and the next one reads all of them during its
+    takeover. Jobs must be accepted and completed before, during and after that.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -110,9 +110,9 @@
 @given(seed=st.integers(0, 2**32))
 def test_corrupted_copies_of_records_do_not_block_jobs(seed: int):
     """
-    Real records of jobs, progress and workers are written again with bytes cut,
-    changed or doubled, under ids of their own, while jobs run. A takeover reads
-    all of them and every real job still completes.
+    While jobs run, copies of real job, progress and worker records are written under
+    new ids, with bytes removed, changed or replaced. The next controller reads all
+    of them, and every real job must still complete.
     """
     rng = random.Random(seed)
 
@@ -142,14 +142,14 @@
         await replace_controller(world)
         await complete(customers, 2)
 
-    # A damaged copy may still be a readable job that no customer submitted.
+    # A corrupted copy may still be a valid job that no customer submitted.
     run_scenario(scenario, SEED, checked=False)
 
 
 def test_unreadable_record_is_logged_once():
     """
-    A worker's entry is written again every 1.5 s. One that can't be read gets one
-    line, not one for each write and each listing.
+    A worker rewrites its entry every 1.5 s. An unreadable entry must be logged once,
+    not at each write and each listing.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -165,9 +165,8 @@
 
 def test_worker_whose_entry_turns_unreadable_gets_no_new_tasks_and_keeps_its_own():
     """
-    Tasks run on a worker when its entry is overwritten with something unreadable.
-    Its tasks end there as usual, and new ones go to the other workers until its
-    entry can be read again.
+    A worker's entry becomes unreadable while tasks run there. They must end there as
+    usual, and new tasks go to other workers until the entry is readable again.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -202,9 +201,9 @@
 
 def test_worker_entry_is_used_once_its_pool_is_configured():
     """
-    A worker registers for a pool that no configuration names yet. It is left out;
-    when the configuration with the pool arrives, its jobs run there without the
-    worker having to write its entry again.
+    A worker registers for a pool that the configuration does not have yet, so its
+    entry is ignored. Once a configuration with that pool arrives, the worker must be
+    used without writing its entry again.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -234,9 +233,9 @@
 
 def test_job_with_unreadable_progress_is_not_restarted():
     """
-    A job has tasks done when its progress record is overwritten and the controller
-    is killed. Begun anew, its tasks would run a second time; it is left alone and
-    named, and other jobs go on.
+    The controller is killed, and the progress record of a job with finished tasks is
+    overwritten. Restarting the job would run those tasks twice. The job must be
+    skipped and its record logged, while other jobs go on.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -259,10 +258,10 @@
 
 def test_tasks_of_a_worker_whose_entry_is_lost_run_again_after_their_lease():
     """
-    The controller is killed, and the entry of a worker with running tasks turns
-    unreadable before its successor reads it. The worker lives on and can't be
-    asked. Its tasks run again once no lease of theirs can be in force, and never
-    beside their first runs.
+    The controller is killed, and the entry of a worker with running tasks becomes
+    unreadable before the next controller reads it. The worker still runs but can't be
+    called. Its tasks must run again once their leases have certainly expired, and
+    never in parallel with their first runs.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
--- a/packages/daemon/tests/scheduling/test_intake.py
+++ b/packages/daemon/tests/scheduling/test_intake.py
@@ -1,4 +1,4 @@
-"""What customers are answered while the store is lost, slow or loses replies."""
+"""Answers to customers while the store is down, or its replies are lost."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 async def submit(world: World, customers: Customers):  # type: ignore[no-untyped-def]
-    """Submit a job at the first entry VM; returns the answer and how long it took."""
+    """Submit a job to the first entry VM; return the answer and the seconds it took."""
     job_id, spec = customers.create_batch()
     service = world.nodes_by_name["entry-0"].service
     match = service.directory.match(HOST, f"/lookup/{job_id}")
@@ -49,8 +49,8 @@
 @pytest.mark.parametrize("mood", [StoreMood.BUSY, StoreMood.SILENT])
 def test_calls_are_refused_at_once_while_the_store_is_lost(mood: StoreMood):
     """
-    The store is down for seconds. A call held until its customer's deadline ends
-    without an answer in time; told at once, the customer knows when to come back.
+    The store is down for some seconds. A call that waits until the customer's deadline
+    gets no answer in time. An immediate refusal tells the customer when to retry.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -100,8 +100,9 @@
 
 def test_submission_interrupted_by_an_outage_is_soon_reported_unknown():
     """
-    The store takes the write in and falls silent. "Not run" may be untrue, so the
-    answer is "unknown", and soon enough for the customer to repeat it elsewhere.
+    The store receives the write and then stops answering. The write may have been
+    applied, so the outcome must be reported as unknown, and soon enough for the
+    customer to retry at another entry VM.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
--- a/packages/daemon/tests/scheduling/test_job_record_writer.py
+++ b/packages/daemon/tests/scheduling/test_job_record_writer.py
@@ -1,4 +1,4 @@
-"""How many writes the records of running jobs take."""
+"""Writing of job records: the number of writes, and writes under load."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
 
 def test_ends_are_recorded_with_the_starts_that_follow_them():
     """
-    Sixty jobs come in a second and keep a pool full, so that each end makes room
-    for a start. Written by themselves, ends took a third of the controller's writes;
-    nothing but their acknowledgement waits for them.
+    Guards against separate writes for ends. 60 jobs in one second keep a pool full, so
+    each end frees resources for a start. Written separately, ends took a third of the
+    controller's writes, although only their acknowledgement waits for them.
     """
     writes = 0
 
@@ -88,10 +88,10 @@
 
 def test_all_records_are_written_when_more_change_than_fit_in_flight():
     """
-    A hundred jobs change in one moment; four writes are in flight and the rest
-    waits. As writes end, more ends of the same jobs come. On the event loop that
-    serves, a flush that is due at once has no time of its own; asked for one, it
-    ended the link that had listed the ends, and its jobs never went on.
+    100 jobs change at once: four writes are in flight, and the others wait. More ends
+    arrive while writes finish. On uvloop, the handle of a flush without delay has no
+    due time. Reading it raised an error that ended the link which had listed the ends,
+    and its jobs never went on.
     """
     jobs = [create_job(number) for number in range(100)]
     keys = CellKeys(CellId("0"))
--- a/packages/daemon/tests/scheduling/test_takeover.py
+++ b/packages/daemon/tests/scheduling/test_takeover.py
@@ -1,4 +1,4 @@
-"""What a new controller does with what its predecessor left behind."""
+"""Takeover of a cell by the next controller, and the release before it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def cut_off_worker_and_kill_controller(world: World) -> None:
-    """Cut a worker that runs tasks off from all entry VMs, and end the controller."""
+    """Disconnect a worker with tasks from all entry VMs, and kill the controller."""
     busy = next(
         worker.vm_id for worker in world.fleet.workers_by_id.values() if worker.runs
     )
@@ -32,9 +32,9 @@
 
 def test_ends_listed_before_the_jobs_are_loaded_are_not_lost():
     """
-    The controller is killed while tasks run; they end before its successor calls
-    the workers. An end that met tables without jobs was acknowledged as unknown,
-    and its task ran again.
+    The controller is killed while tasks run, and they end before the next controller
+    calls the workers. If an end is applied before the jobs are loaded, it is
+    acknowledged as unknown and its task runs again.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -78,9 +78,9 @@
 
 def test_controller_resumes_after_an_outage_that_paused_leases():
     """
-    The store answers nobody for some seconds. The controller stops by its own
-    clock; when the store is back its key is still there. Waiting for a successor
-    would cost another lease in which nothing starts.
+    The store does not answer for some seconds, and leases are paused. The controller
+    stops by its own clock, but its key is still there when the store recovers. Unless
+    it resumes, nothing starts until its lease expires and another process takes over.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -99,9 +99,9 @@
 
 def test_next_controller_delays_operations_on_vms_moved_before_it():
     """
-    A controller moves a VM and is stopped. Its successor wants the VM elsewhere
-    at once; the platform allows two holders' orders for one VM only some seconds
-    apart, and does not check fences.
+    A controller moves a VM and is stopped, and the next one wants to move the VM again
+    at once. The platform does not check fences; it only requires that orders of two
+    controllers for one VM are some seconds apart.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -122,9 +122,9 @@
 
 def test_tasks_on_an_unreachable_worker_wait_and_others_go_on():
     """
-    The successor can't reach one worker that still runs tasks. Just these wait,
-    because the record names the worker of each run; started elsewhere they would
-    run twice, and held back altogether every job would be late.
+    The next controller can't reach one worker that still runs tasks. Only those tasks
+    must wait, because the record names the worker of each run. Starting them
+    elsewhere would run them twice, and holding back all tasks would delay every job.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -142,9 +142,10 @@
 
 def test_tasks_on_a_worker_that_stays_unreachable_eventually_run_elsewhere():
     """
-    The successor never reaches a worker that is up and listed, so it never learns
-    its clock. The leases there end all the same, since nobody extends them; waited
-    for by that clock, the tasks would wait as long as the cut lasts.
+    The next controller never reaches a worker that is up and listed, so it never
+    learns the worker's clock. The leases there expire all the same, since no
+    controller extends them. Tasks that wait for that clock would wait as long as the
+    worker is unreachable.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -158,8 +159,8 @@
 
 def test_controller_cut_off_from_the_store_starts_no_more_tasks():
     """
-    The store turns the controller away and gives its key to another one. Both
-    reach the workers; what the first one still had in mind must not start.
+    The store refuses the controller's calls, and another process gets the key. Both
+    reach the workers. Starts that the first controller had planned must not happen.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -192,9 +193,9 @@
 
 def test_hand_over_is_quick_while_ends_come_in():
     """
-    The controller is stopped in the middle of a queue's turn. Waiting until
-    nothing is left to record, it kept the cell while new ends came in, and let
-    its lease lapse instead of giving the key back.
+    The controller is stopped during a burst. Waiting until nothing was left to record,
+    it kept the cell while new ends arrived, and its lease expired instead of being
+    released.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -212,10 +213,10 @@
 
 def test_takeover_continues_after_a_store_outage():
     """
-    A candidate wins the cell and the store falls silent before the records are
-    read; leases stand still meanwhile. When the store is back the key is still
-    the candidate's, so nobody else takes over: jobs wait without end unless the
-    candidate reads on.
+    A candidate wins the cell, and the store stops answering before the records are
+    read. Leases are paused meanwhile, so the candidate still has the key when the
+    store recovers, and no other process takes over. Unless the candidate retries the
+    read, jobs wait forever.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -236,9 +237,9 @@
 
 def test_complete_wave_stays_complete_after_a_takeover():
     """
-    The operator was told that a wave is complete; then the controller is stopped.
-    Its successor knew of all VMs but the last ones, told the operator that the
-    wave was active again, and ordered their maintenance once more.
+    A wave is reported complete, then the controller is stopped. The next controller
+    did not know the last VMs of the wave, reported the wave as active again, and
+    ordered their maintenance a second time.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -261,9 +262,9 @@
 
 def test_next_controller_moves_vms_without_waiting_for_a_whole_lease():
     """
-    The controller is killed at the start of a queue's turn. Its last record names
-    the VMs that it may still have operated on; the others are moved as soon as its
-    successor knows the workers, and not 1.6 s later.
+    The controller is killed just before a burst. Its last record names the VMs that it
+    may still operate on. All others must be moved as soon as the next controller knows
+    the workers, and not 1.6 s later.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -286,10 +287,10 @@
 
 def test_next_controller_delays_operations_on_vms_in_the_last_record():
     """
-    The store takes a controller's key away while it moves VMs; by its own clock it
-    holds the cell for another second and sends what it has recorded. Its successor
-    begins at once, and with other VMs: two holders' orders for one VM would be
-    less than the platform's 3 s apart.
+    The store revokes a controller's key while the controller moves VMs. By its own
+    clock it holds the cell for another second, and sends the operations that it has
+    recorded. The next controller starts at once and must use other VMs, because the
+    platform requires 3 s between orders of two controllers for one VM.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -308,8 +309,8 @@
 
 def test_unreadable_record_of_operations_delays_the_next_controller():
     """
-    The record of the last operations can't be read, so any VM may be one that the
-    predecessor still operates on. None is touched until that is over for all.
+    The record of the last operations is unreadable, so the previous controller may
+    still operate on any VM. No VM may be moved until that is no longer possible.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -330,7 +331,7 @@
 
 
 def test_next_controller_keeps_earlier_operations_in_the_record():
-    """Guards against two holders' orders for one VM after two quick takeovers."""
+    """Guards against orders of two controllers for one VM after two quick takeovers."""
 
     async def scenario(world: World, customers: Customers) -> None:
         await asyncio.sleep(8.0)
@@ -355,7 +356,7 @@
 
 
 def test_late_write_does_not_replace_a_newer_record_of_operations():
-    """Guards against operations that no successor knows of."""
+    """Guards against operations that are lost from the record by a late write."""
 
     async def scenario(world: World, customers: Customers) -> None:
         await asyncio.sleep(8.0)
@@ -379,7 +380,7 @@
 
 
 def test_wave_is_reported_complete_after_writes_without_answers():
-    """Guards against reports that wait for a record that nobody writes any more."""
+    """Guards against a wave report that waits for a record that is never written."""
 
     async def scenario(world: World, customers: Customers) -> None:
         await asyncio.sleep(8.0)
--- a/packages/daemon/tests/scheduling/test_unacknowledged_ends.py
+++ b/packages/daemon/tests/scheduling/test_unacknowledged_ends.py
@@ -34,8 +34,9 @@
 )
 def test_end_is_acknowledged_only_after_a_recent_listing(age: float, acknowledged: int):
     """
-    A worker starts again between its listing and the acknowledgement, while this
-    process stands still. The new life would forget its own first ends unread.
+    Guards against an acknowledgement sent to a new incarnation. The worker restarts
+    between its listing and the acknowledgement, while this process is paused. The new
+    incarnation would forget its first ends before the controller has read them.
     """
     assert create_ends().find_acknowledgeable(NOW + age) == acknowledged
 
--- a/packages/daemon/tests/scheduling/test_unrecorded_ends.py
+++ b/packages/daemon/tests/scheduling/test_unrecorded_ends.py
@@ -46,9 +46,9 @@
 
 def test_worker_is_kept_until_the_record_holds_its_end():
     """
-    A record is on its way to the store when another worker lists an end of the same
-    job. Forgotten with the first answer of the store, that worker would keep the end,
-    and list it again at each call, until another end made it look.
+    A job's record is being written when a second worker lists an end of the same job.
+    If the first write removes the job from the index, the second worker is not told
+    once its end is recorded. It then lists the end at each call until another one comes.
     """
     ends = UnrecordedEnds()
     job = create_job("a")
--- a/packages/daemon/tests/scheduling/test_work_per_event.py
+++ b/packages/daemon/tests/scheduling/test_work_per_event.py
@@ -1,4 +1,4 @@
-"""The controller's work for an event does not grow with the fleet."""
+"""The controller's work per event must not grow with the size of the fleet."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 SEED = 5
 JOBS = 10
 SMALL, LARGE = 18, 134
-"""VMs of each of two pools: 40 and 272 in all with those in standby."""
+"""VMs in each of two pools; 40 and 272 in total with the standby VMs."""
 STANDBY_VMS = 4
 ALLOWED_GROWTH = 1.1
 EVENTS = (
@@ -38,7 +38,7 @@
 
 
 class LineCounter:
-    """Counts the lines of ours that run within a function."""
+    """Counts the executed lines of this project within a function call."""
 
     def __init__(self) -> None:
         self.lines = 0
@@ -51,7 +51,7 @@
         return self._trace
 
     def count(self, function: Callable[..., None], *args: object) -> int:
-        """Return how many lines one call runs."""
+        """Return how many lines one call executes."""
         self.lines = 0
         former = sys.gettrace()
         sys.settrace(self._trace)
@@ -63,7 +63,7 @@
 
 
 def run_jobs(vms_per_pool: int) -> None:
-    """Have some jobs done by a fleet of this size."""
+    """Run some jobs on a fleet of this size."""
 
     async def main(clock: VirtualClock) -> None:
         plan = WorldPlan(vms_per_pool=vms_per_pool, standby_vms=STANDBY_VMS)
@@ -78,7 +78,7 @@
 
 
 def measure(monkeypatch: pytest.MonkeyPatch, name: str, vms_per_pool: int) -> float:
-    """Return the mean number of lines for an event."""
+    """Return the mean number of executed lines per event."""
     original = getattr(CellController, name)
     counted: list[int] = []
 
@@ -97,9 +97,9 @@
     monkeypatch: pytest.MonkeyPatch, name: str
 ):
     """
-    A worker lists ends, a record is written, a job ends. Each of these looked through
-    all workers; at 272 of them orders waited in the process, and jobs were late while
-    their pools had room.
+    Guards against handlers that scan all workers when a worker lists ends, a record is
+    written or a job ends. With 272 workers, orders waited in the process, and jobs were
+    late although their pools had free capacity.
     """
     small = measure(monkeypatch, name, SMALL)
     large = measure(monkeypatch, name, LARGE)
