--- a/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
@@ -84,12 +84,12 @@
         self._followers: list[PrefixFollower] = []
         self._workers: WorkerFeed | None = None
         self._running = False
-        self._load_gauge = LoadGauge()
+        self._overload_detector = LoadGauge()
         assert directory.config is not None
         self.tables = WorkTables(config=directory.config)
         self._rounds = RoundTimer(self.tables, self._run_round)
         self._vm_manager = VMKeeper(node, term, directory, self)
-        self._liveness = WorkerLives(node, self)
+        self._liveness_monitor = WorkerLives(node, self)
 
     # Controller
 
@@ -115,13 +115,13 @@
 
     def is_overloaded(self) -> bool:
         """Return whether this process can't keep up with the cell's work."""
-        return self._load_gauge.is_overloaded()
+        return self._overload_detector.is_overloaded()
 
     async def _take_over(self) -> None:
         """Load the records, then follow the inbox and the worker registry."""
         began_at = self._node.clock.now()
         prefix = self._term.keys.progress_prefix
-        progress = await self._read_until(prefix)
+        progress = await self._read_with_retries(prefix)
         records = {entry.key.removeprefix(prefix): entry for entry in progress.entries}
         feed = JobFeed(self._node, self._term, self, records)
         workers = self._workers = WorkerFeed(self._node, self)
@@ -153,14 +153,14 @@
         )
         self._tasks.keep(self._tick_forever)
         self._tasks.keep(LoadReport(self._node, self._term, self.tables).run)
-        self._tasks.keep(self._liveness.run)
+        self._tasks.keep(self._liveness_monitor.run)
         self._tasks.keep(self._vm_manager.run)
         if self._node.adviser is not None:
-            advice_service = AdviceDesk(self._node, self._node.adviser, self)
-            self._tasks.keep(advice_service.run)
+            advice_fetcher = AdviceDesk(self._node, self._node.adviser, self)
+            self._tasks.keep(advice_fetcher.run)
         self.plan_all()
 
-    async def _read_until(self, prefix: str) -> Listing:
+    async def _read_with_retries(self, prefix: str) -> Listing:
         """Read a prefix, retrying until the store answers.
 
         The controller's key may survive an outage that pauses leases. A controller
@@ -255,8 +255,8 @@
             if job is not None:
                 self._record_job(job)
         for run, _ in outcome.ended:
-            self._stop_copies(run)
-        self._stop_unwanted(worker)
+            self._stop_other_copies(run)
+        self._stop_runs_of_ended_jobs(worker)
         if outcome.ended or outcome.lost:
             self.plan(worker.pool_id)
 
@@ -271,11 +271,11 @@
 
     def look_at_vms(self) -> None:
         """Request an early read of the VM list."""
-        self._liveness.look_soon()
+        self._liveness_monitor.look_soon()
 
     def note_order(self, *, answered: bool) -> None:
         """Record whether a worker answered an order in time."""
-        self._load_gauge.note_order(answered=answered)
+        self._overload_detector.note_order(answered=answered)
 
     def note_superseded(self) -> None:
         """End the term: a worker has seen a controller with a higher fence."""
@@ -356,7 +356,7 @@
             else:
                 self.stop_run(run, f"job {job.outcome.value}")
 
-    def _stop_unwanted(self, worker: Worker) -> None:
+    def _stop_runs_of_ended_jobs(self, worker: Worker) -> None:
         """Stop the runs of jobs that have ended.
 
         A job may be cancelled while no process controls the cell. The next
@@ -369,7 +369,7 @@
             if job.outcome is not None and not run.stopping:
                 self.stop_run(run, f"job {job.outcome.value}")
 
-    def _stop_copies(self, ended: Run) -> None:
+    def _stop_other_copies(self, ended: Run) -> None:
         if not ended.task.done:
             return
         for run in list(ended.task.runs):
@@ -379,10 +379,10 @@
 
     async def _tick_forever(self) -> None:
         while True:
-            slept_at = self._node.clock.now()
+            sleep_started_at = self._node.clock.now()
             await asyncio.sleep(TICK_SECONDS)
-            late = self._node.clock.now() - slept_at - TICK_SECONDS
-            self._load_gauge.note_tick(late)
+            late = self._node.clock.now() - sleep_started_at - TICK_SECONDS
+            self._overload_detector.note_tick(late)
             if self._term.is_active():
                 self._tick()
 
@@ -393,7 +393,7 @@
                 self.tables, job, now, wall_ms
             ):
                 self.plan(job.queue.pool_id)
-        self._liveness.drop_lapsed(now)
+        self._liveness_monitor.drop_lapsed(now)
         self._repair(now)
         self.plan_all()
 
--- a/packages/daemon/src/medlarspring_daemon/scheduling/intake.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/intake.py
@@ -163,8 +163,8 @@
                 expects=(Expect(entry.key, entry.mod_revision),),
                 writes=(Put(keys.cancel(job_id), msgspec.json.encode(request)),),
             )
-            left = deadline - self._node.clock.now()
-            answer = await self._commit_until(transaction, left)
+            remaining = deadline - self._node.clock.now()
+            answer = await self._commit_until(transaction, remaining)
             if not is_successful(answer):
                 return Failure(answer.failure())
             if answer.unwrap():
--- a/packages/daemon/tests/scheduling/scenarios.py
+++ b/packages/daemon/tests/scheduling/scenarios.py
@@ -17,8 +17,8 @@
     from medlarspring_bench.platform_world.virtual_time import VirtualClock
     from medlarspring_tables import JobId
 
-SETTLED_SECONDS = 3.0
-END_SECONDS = 60.0
+STARTUP_SECONDS = 3.0
+COMPLETION_TIMEOUT_SECONDS = 60.0
 
 
 def run_scenario(
@@ -37,7 +37,7 @@
     async def main(clock: VirtualClock) -> World:
         world = World(plan or WorldPlan(), clock, seed)
         await world.start()
-        await asyncio.sleep(SETTLED_SECONDS)
+        await asyncio.sleep(STARTUP_SECONDS)
         await scenario(world, Customers(world, world.rng))
         await world.stop()
         return world
@@ -59,7 +59,7 @@
 
 async def wait_for_end(customers: Customers, jobs: list[JobId]) -> None:
     """Wait until every job is reported as complete."""
-    async with asyncio.timeout(END_SECONDS):
+    async with asyncio.timeout(COMPLETION_TIMEOUT_SECONDS):
         for job_id in jobs:
             while await customers.ask(job_id) != "complete":
                 await asyncio.sleep(0.2)
--- a/packages/daemon/tests/scheduling/test_foreign_records.py
+++ b/packages/daemon/tests/scheduling/test_foreign_records.py
@@ -65,7 +65,7 @@
     ]
 
 
-async def complete(customers: Customers, count: int = 4) -> None:
+async def complete_jobs(customers: Customers, count: int = 4) -> None:
     await wait_for_end(customers, await submit(customers, count))
 
 
@@ -90,11 +90,11 @@
     async def scenario(world: World, customers: Customers) -> None:
         for key in BAD_KEYS:
             put(world, key, value)
-        await complete(customers)
+        await complete_jobs(customers)
         await replace_controller(world)
-        await complete(customers)
+        await complete_jobs(customers)
         world.forget_history()
-        await complete(customers)
+        await complete_jobs(customers)
 
     world = run_scenario(scenario, SEED)
     failed = [line for line in read_lines(world) if line["event"] == TASK_FAILED]
@@ -116,7 +116,7 @@
     """
     rng = random.Random(seed)
 
-    def damage(value: bytes) -> bytes:
+    def corrupt(value: bytes) -> bytes:
         at = rng.randrange(len(value) + 1)
         choices = (
             value[:at],
@@ -138,9 +138,9 @@
             assert isinstance(reply, RangeReply)
             for number, kv in enumerate(reply.kvs[:4]):
                 copy = f"{prefix}{number:016x}"
-                put(world, copy, damage(kv.value))
+                put(world, copy, corrupt(kv.value))
         await replace_controller(world)
-        await complete(customers, 2)
+        await complete_jobs(customers, 2)
 
     # A corrupted copy may still be a valid job that no customer submitted.
     run_scenario(scenario, SEED, checked=False)
@@ -185,7 +185,7 @@
             for run in world.history.runs
             if run.worker_id == busy.id
         }
-        await complete(customers, 6)
+        await complete_jobs(customers, 6)
         after = {
             (run.task_id, run.number)
             for run in world.history.runs
@@ -194,7 +194,7 @@
         assert before == after
         assert kept
         put(world, key, entry)
-        await complete(customers, 6)
+        await complete_jobs(customers, 6)
 
     run_scenario(scenario, SEED)
 
@@ -251,7 +251,7 @@
         await asyncio.sleep(4.0)
         assert len(world.history.runs) == starts
         assert list_unreadable_events(world, f"progress/0/{job_id}")
-        await complete(customers)
+        await complete_jobs(customers)
 
     run_scenario(scenario, SEED)
 
--- a/packages/daemon/tests/scheduling/test_work_per_event.py
+++ b/packages/daemon/tests/scheduling/test_work_per_event.py
@@ -53,12 +53,12 @@
     def count(self, function: Callable[..., None], *args: object) -> int:
         """Return how many lines one call executes."""
         self.lines = 0
-        former = sys.gettrace()
+        previous_trace = sys.gettrace()
         sys.settrace(self._trace)
         try:
             function(*args)
         finally:
-            sys.settrace(former)
+            sys.settrace(previous_trace)
         return self.lines
 
 
