--- a/packages/daemon/tests/scheduling/test_unrecorded_ends.py
+++ b/packages/daemon/tests/scheduling/test_unrecorded_ends.py
@@ -48,7 +48,7 @@
     """
     A job's record is being written when a second worker lists an end of the same job.
     If the first write removes the job from the index, the second worker is not told
-    once its end is recorded. It then lists the end at each call until another one comes.
+    once its end is recorded. Then it lists the end at each call until another comes.
     """
     ends = UnrecordedEnds()
     job = create_job("a")
