--- a/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
@@ -74,7 +74,7 @@
 
     def __init__(self, node: SchedulingNode, directory: Directory, term: Term) -> None:
         self._node = node
-        self._directory = directory
+        self._operator_records = directory
         self._term = term
         self._tasks = Tasks(node.log)
         self._record_writer = JobRecordWriter(node, term, self._handle_record_written)
@@ -109,8 +109,10 @@
         await asyncio.gather(*(follower.stop() for follower in self._followers))
         await self._record_writer.close(flush=graceful)
         await asyncio.gather(*self._closing, return_exceptions=True)
-        self._directory.listeners = [
-            each for each in self._directory.listeners if each != self._apply_config
+        self._operator_records.listeners = [
+            each
+            for each in self._operator_records.listeners
+            if each != self._apply_config
         ]
 
     def is_overloaded(self) -> bool:
@@ -139,7 +141,7 @@
         self._running = True
         for worker in list(self.tables.workers_by_id.values()):
             self.note_worker(worker)
-        self._directory.listeners.append(self._apply_config)
+        self._operator_records.listeners.append(self._apply_config)
         self._apply_config()
         took_ms = (self._node.clock.now() - began_at) * 1_000
         self._node.metrics.timing(Metric.TAKEOVER_MS, took_ms)
@@ -381,8 +383,8 @@
         while True:
             sleep_started_at = self._node.clock.now()
             await asyncio.sleep(TICK_SECONDS)
-            late = self._node.clock.now() - sleep_started_at - TICK_SECONDS
-            self._overload_detector.note_tick(late)
+            timer_delay = self._node.clock.now() - sleep_started_at - TICK_SECONDS
+            self._overload_detector.note_tick(timer_delay)
             if self._term.is_active():
                 self._tick()
 
@@ -412,9 +414,9 @@
 
     def _apply_config(self) -> None:
         """Apply the operator's configuration."""
-        if self._directory.config is None:
+        if self._operator_records.config is None:
             return
-        self.tables.config = self._directory.config
+        self.tables.config = self._operator_records.config
         if self._workers is not None:
             self._workers.take_config()
 
