--- a/packages/daemon/src/medlarspring_daemon/scheduling/unacknowledged_ends.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/unacknowledged_ends.py
@@ -39,7 +39,7 @@
         """Start time of the incarnation, in milliseconds."""
         self._ends: deque[UnacknowledgedEnd] = deque()
         self._listed_at: Seconds = float("-inf")
-        """Time of the last listing; minus infinity after an unanswered call."""
+        """Time of the last listing; minus infinity initially and after a missed answer."""
 
     def __bool__(self) -> bool:
         return bool(self._ends)
