--- a/packages/daemon/src/medlarspring_daemon/scheduling/job_feed.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/job_feed.py
@@ -52,7 +52,7 @@
         self._keys = term.keys
         self._owner = owner
         self._progress_by_id = progress_by_id
-        """Progress entries by job id, as loaded; cleared once the inbox is listed."""
+        """Progress recorded by earlier controllers, kept until its job is loaded."""
         self.loaded = asyncio.Event()
 
     def take_listing(self, listing: Listing) -> None:
--- a/packages/daemon/src/medlarspring_daemon/scheduling/unacknowledged_ends.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/unacknowledged_ends.py
@@ -39,7 +39,7 @@
         """Start time of the incarnation, in milliseconds."""
         self._ends: deque[UnacknowledgedEnd] = deque()
         self._listed_at: Seconds = float("-inf")
-        """Time of the last listing; minus infinity initially and after a missed answer."""
+        """Time of the last listing; minus infinity if a call went unanswered since."""
 
     def __bool__(self) -> bool:
         return bool(self._ends)
