--- a/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
@@ -1,4 +1,4 @@
-"""Controls one cell while this process holds it: jobs, workers and their runs."""
+"""Controls the jobs, workers and runs of one cell during a leadership term."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 from medlarspring_adapters.prefix_follower import PrefixFollower
 from medlarspring_daemon.scheduling.advice_desk import AdviceDesk
 from medlarspring_daemon.scheduling.job_feed import JobFeed
-from medlarspring_daemon.scheduling.journal import WRITTEN_FOR_GOOD, Journal
+from medlarspring_daemon.scheduling.job_record_writer import (
+    FINAL_VERSION,
+    JobRecordWriter,
+)
 from medlarspring_daemon.scheduling.load_gauge import LoadGauge
 from medlarspring_daemon.scheduling.load_report import LoadReport
 from medlarspring_daemon.scheduling.round_timer import RoundTimer
@@ -51,7 +54,7 @@
     from medlarspring_adapters.store import Listing
     from medlarspring_daemon.scheduling.context import SchedulingNode
     from medlarspring_daemon.scheduling.directory import Directory
-    from medlarspring_daemon.scheduling.election import Tenure
+    from medlarspring_daemon.scheduling.election import Term
     from medlarspring_systems.scheduling.listings import ListingOutcome
     from medlarspring_tables import PoolId, Seconds
     from medlarspring_tables.scheduling import (
@@ -67,65 +70,65 @@
 
 
 class CellController:
-    """Implements ``Term`` and ``LinkOwner``."""
+    """Controls one cell; implements ``Controller`` and ``LinkOwner``."""
 
-    def __init__(
-        self, node: SchedulingNode, directory: Directory, tenure: Tenure
-    ) -> None:
+    def __init__(self, node: SchedulingNode, directory: Directory, term: Term) -> None:
         self._node = node
-        self._directory = directory
-        self._tenure = tenure
+        self._operator_records = directory
+        self._term = term
         self._tasks = Tasks(node.log)
-        self._journal = Journal(node, tenure, self._note_written)
+        self._record_writer = JobRecordWriter(node, term, self._handle_record_written)
         self._links_by_id: dict[WorkerId, WorkerLink] = {}
-        self._unrecorded = UnrecordedEnds()
+        self._unrecorded_ends = UnrecordedEnds()
         self._closing: set[asyncio.Task[None]] = set()
         self._followers: list[PrefixFollower] = []
         self._workers: WorkerFeed | None = None
         self._running = False
-        self._load = LoadGauge()
+        self._overload_detector = LoadGauge()
         assert directory.config is not None
         self.tables = WorkTables(config=directory.config)
-        self._rounds = RoundTimer(self.tables, self._place)
-        self._keeper = VMKeeper(node, tenure, directory, self)
-        self._lives = WorkerLives(node, self)
+        self._rounds = RoundTimer(self.tables, self._run_round)
+        self._vm_manager = VMKeeper(node, term, directory, self)
+        self._liveness_monitor = WorkerLives(node, self)
 
-    # Term
+    # Controller
 
     async def start(self) -> None:
-        """Take the cell over in the background."""
+        """Start to take over the cell, in the background."""
         self._tasks.start(self._take_over())
 
     async def stop(self, *, graceful: bool) -> None:
-        """Stop deciding; a graceful end records what is known."""
+        """Stop all work for the cell; if ``graceful``, write pending records first."""
         self._running = False
         self._rounds.cancel()
         await self._tasks.cancel()
-        # First the links: while ends come in there is always more to record, and
-        # the hand-over took 0.7 s of the lease instead of some milliseconds.
+        # Close the links first. While they report ends there is always more to
+        # record, and the handover took 0.7 s of the lease instead of milliseconds.
         links = list(self._links_by_id.values())
         await asyncio.gather(*(link.close() for link in links))
         await asyncio.gather(*(follower.stop() for follower in self._followers))
-        await self._journal.close(flush=graceful)
+        await self._record_writer.close(flush=graceful)
         await asyncio.gather(*self._closing, return_exceptions=True)
-        self._directory.listeners = [
-            each for each in self._directory.listeners if each != self._take_config
+        self._operator_records.listeners = [
+            each
+            for each in self._operator_records.listeners
+            if each != self._apply_config
         ]
 
     def is_overloaded(self) -> bool:
-        """Tell whether this process can't keep up with the cell's work."""
-        return self._load.is_overloaded()
+        """Return whether this process can't keep up with the cell's work."""
+        return self._overload_detector.is_overloaded()
 
     async def _take_over(self) -> None:
-        """Read what is recorded, then follow the inbox and the workers."""
+        """Load the records, then follow the inbox and the worker registry."""
         began_at = self._node.clock.now()
-        prefix = self._tenure.keys.progress_prefix
-        progress = await self._read_until(prefix)
+        prefix = self._term.keys.progress_prefix
+        progress = await self._read_with_retries(prefix)
         records = {entry.key.removeprefix(prefix): entry for entry in progress.entries}
-        feed = JobFeed(self._node, self._tenure, self, records)
+        feed = JobFeed(self._node, self._term, self, records)
         workers = self._workers = WorkerFeed(self._node, self)
         store, rng = self._node.store, self._node.rng
-        inbox = self._tenure.keys.inbox_prefix
+        inbox = self._term.keys.inbox_prefix
         self._followers = [
             PrefixFollower(store, inbox, feed, rng, LOAD_RETRY_SECONDS),
             PrefixFollower(
@@ -138,32 +141,32 @@
         self._running = True
         for worker in list(self.tables.workers_by_id.values()):
             self.note_worker(worker)
-        self._directory.listeners.append(self._take_config)
-        self._take_config()
+        self._operator_records.listeners.append(self._apply_config)
+        self._apply_config()
         took_ms = (self._node.clock.now() - began_at) * 1_000
         self._node.metrics.timing(Metric.TAKEOVER_MS, took_ms)
         self._node.log.info(
             Event.CELL_LOADED,
-            cell=self._tenure.cell_id,
-            fence=self._tenure.fence,
+            cell=self._term.cell_id,
+            fence=self._term.fence,
             jobs=len(self.tables.jobs_by_id),
             workers=len(self.tables.workers_by_id),
             took_ms=round(took_ms),
         )
         self._tasks.keep(self._tick_forever)
-        self._tasks.keep(LoadReport(self._node, self._tenure, self.tables).run)
-        self._tasks.keep(self._lives.run)
-        self._tasks.keep(self._keeper.run)
+        self._tasks.keep(LoadReport(self._node, self._term, self.tables).run)
+        self._tasks.keep(self._liveness_monitor.run)
+        self._tasks.keep(self._vm_manager.run)
         if self._node.adviser is not None:
-            desk = AdviceDesk(self._node, self._node.adviser, self)
-            self._tasks.keep(desk.run)
+            advice_fetcher = AdviceDesk(self._node, self._node.adviser, self)
+            self._tasks.keep(advice_fetcher.run)
         self.plan_all()
 
-    async def _read_until(self, prefix: str) -> Listing:
-        """Read a prefix, through an outage of the store if need be.
+    async def _read_with_retries(self, prefix: str) -> Listing:
+        """Read a prefix, retrying until the store answers.
 
-        The key may outlive an outage in which leases stand still. A controller
-        that had stopped reading would then hold the cell and do nothing for it.
+        The controller's key may survive an outage that pauses leases. A controller
+        that stopped reading would then hold the cell without doing any work.
         """
         while True:
             listing = await self._node.store.read_prefix(prefix)
@@ -171,45 +174,46 @@
                 return listing.unwrap()
             await asyncio.sleep(LOAD_RETRY_SECONDS)
 
-    # What the feeds tell
+    # Callbacks of the feeds
 
-    def note_job(self, job: ActiveJob) -> None:
-        """Open a job that was accepted or loaded."""
+    def open_job(self, job: ActiveJob) -> None:
+        """Start scheduling a job that was accepted or loaded."""
         now, wall_ms = self._node.clock.now(), self._node.clock.wall() * 1_000
         open_due_occurrences(self.tables, job, now, wall_ms)
-        self._journal.mark(job)
+        self._record_writer.schedule_write(job)
         self.plan(job.queue.pool_id)
 
-    def note_cancelled(self, job: ActiveJob) -> None:
-        """Stop a job at its customer's wish."""
+    def stop_cancelled_job(self, job: ActiveJob) -> None:
+        """Cancel a job and stop its runs, on the customer's request."""
         cancel_job(job)
-        self._settle_job(job)
+        self._record_job(job)
 
     def note_worker(self, worker: Worker) -> None:
         """Connect to a worker that the registry lists.
 
-        Not before the recorded jobs are loaded: an end listed by the worker would
-        find no task, be acknowledged as unknown, and its task would run again.
+        Does nothing until the recorded jobs are loaded. Otherwise an end listed by
+        the worker would be acknowledged as unknown, and its task would run again.
         """
         if not self._running:
             return
         link = self._links_by_id.get(worker.id)
         if link is not None and not link.leads_to(worker.address):
-            self._leave_address(worker)
+            self._disconnect_from_old_address(worker)
             link = None
         if link is None and worker.address:
-            link = WorkerLink(self._node, self._tenure, self, worker)
+            link = WorkerLink(self._node, self._term, self, worker)
             self._links_by_id[worker.id] = link
             link.start()
         elif link is not None and not worker.reconciled:
             link.look()
         self.plan(worker.pool_id)
 
-    def _leave_address(self, worker: Worker) -> None:
-        """Close the connections to a worker that is at another address now.
+    def _disconnect_from_old_address(self, worker: Worker) -> None:
+        """Close the connections to a worker whose address has changed.
 
-        Nobody waits any more for the answers to orders that are on their way; left
-        as ordered, their tasks would wait for good.
+        Answers to orders in flight are no longer received. Runs that stayed in
+        state ``ORDERED`` would block their tasks forever, so their state becomes
+        ``UNKNOWN``.
         """
         now = self._node.clock.now()
         for run in worker.runs.values():
@@ -219,98 +223,98 @@
         self.drop_link(worker)
 
     def note_started_again(self, worker: Worker, born_ms: Milliseconds) -> None:
-        """Note that a worker speaks from another life than the one that is known."""
+        """Handle a worker whose incarnation is not the known one."""
         former_ms = worker.born_ms
         longest = self._node.limits.worker_lease
         now = self._node.clock.now()
         verdict = record_worker_end(self.tables, worker, now)
-        over = begin_incarnation(self.tables, worker, born_ms, longest, now)
-        log_started_again(self._node, worker, former_ms, len(over), verdict)
-        for run in over:
-            log_lost(self._node, run, "its worker started again")
-        self.note_lost(over)
+        lost_runs = begin_incarnation(self.tables, worker, born_ms, longest, now)
+        log_started_again(self._node, worker, former_ms, len(lost_runs), verdict)
+        for run in lost_runs:
+            log_lost(self._node, run, "its worker restarted")
+        self.note_lost(lost_runs)
         for job in verdict.jobs:
-            self._settle_job(job)
+            self._record_job(job)
 
     def record_entry_gone(self, worker: Worker) -> None:
-        """Look whether a worker that the registry dropped is still alive."""
+        """Check whether a worker that left the registry is still alive."""
         if worker.runs or worker.unanswered_since:
             self.note_silent(worker)
 
     # LinkOwner
 
-    def note_listing(self, worker: Worker, outcome: ListingOutcome) -> None:
-        """Record what a listing changed, and plan anew."""
+    def handle_listing(self, worker: Worker, outcome: ListingOutcome) -> None:
+        """Record the changes from a listing, and schedule a placement round."""
         for run, end in outcome.ended:
             log_ended(self._node, run, end)
         for run in outcome.lost:
-            log_lost(self._node, run, "not on its worker")
+            log_lost(self._node, run, "not listed by its worker")
         if outcome.newly_quarantined:
             log_doubted(self._node, worker)
-        self._unrecorded.note(worker.id, outcome.ends)
+        self._unrecorded_ends.add_ends(worker.id, outcome.ends)
         for job_id in list_changed_jobs(outcome):
             job = self.tables.jobs_by_id.get(job_id)
             if job is not None:
-                self._settle_job(job)
+                self._record_job(job)
         for run, _ in outcome.ended:
-            self._stop_copies(run)
-        self._stop_unwanted(worker)
+            self._stop_other_copies(run)
+        self._stop_runs_of_ended_jobs(worker)
         if outcome.ended or outcome.lost:
             self.plan(worker.pool_id)
 
     def note_changed(self, worker: Worker, run: Run) -> None:
-        """Record that a run is over or was refused, and plan anew."""
-        self._journal.mark(run.task.step.job)
+        """Record that a run ended or was refused, and schedule a placement round."""
+        self._record_writer.schedule_write(run.task.step.job)
         self.plan(worker.pool_id)
 
     def note_silent(self, worker: Worker) -> None:
-        """Read the VM list: it tells whether a worker's life is over."""
+        """Read the VM list, which shows whether the worker's incarnation has ended."""
         self.look_at_vms()
 
     def look_at_vms(self) -> None:
-        """Read the VM list soon."""
-        self._lives.look_soon()
+        """Request an early read of the VM list."""
+        self._liveness_monitor.look_soon()
 
     def note_order(self, *, answered: bool) -> None:
-        """Note whether a worker answered an order in time."""
-        self._load.note_order(answered=answered)
+        """Record whether a worker answered an order in time."""
+        self._overload_detector.note_order(answered=answered)
 
     def note_superseded(self) -> None:
-        """Stop: a controller with a higher fence has been at a worker."""
-        self._tenure.end()
+        """End the term: a worker has seen a controller with a higher fence."""
+        self._term.end()
 
     # Planning
 
     def plan(self, pool_id: PoolId) -> None:
-        """Place what waits in a pool, soon."""
+        """Schedule a placement round for a pool."""
         if self._running:
             self._rounds.plan(pool_id)
 
     def plan_all(self) -> None:
-        """Place what waits in every pool."""
+        """Schedule placement rounds for all pools with ready steps."""
         for pool_id in list(self.tables.ready_by_pool):
             self.plan(pool_id)
 
     def stop_run(self, run: Run, reason: str) -> None:
-        """Have a run stopped."""
+        """Order a run to stop, if it was sent to its worker."""
         link = self._links_by_id.get(run.worker.id)
         if link is not None and run.state is not RunState.INTENDED:
             link.send_stop(run, reason)
 
-    def _place(self, pool_id: PoolId) -> None:
-        if not self._running or not self._tenure.holds():
+    def _run_round(self, pool_id: PoolId) -> None:
+        if not self._running or not self._term.is_active():
             return
         for run in plan_round(self.tables, pool_id, self._node.clock.now()):
-            self._journal.mark(run.task.step.job)
+            self._record_writer.schedule_write(run.task.step.job)
 
-    def _note_written(self, job: ActiveJob) -> None:
-        """Send the orders whose intents are now recorded."""
-        if job.written_version == WRITTEN_FOR_GOOD:
-            self._note_end_written(job)
+    def _handle_record_written(self, job: ActiveJob) -> None:
+        """Send the start orders whose intents are now recorded."""
+        if job.written_version == FINAL_VERSION:
+            self._handle_final_record_written(job)
             return
         for run in list(job.runs):
             self._send_if_recorded(run)
-        self._wake_acknowledging(job)
+        self._acknowledge_recorded_ends(job)
 
     def _send_if_recorded(self, run: Run) -> None:
         if run.state is not RunState.INTENDED:
@@ -318,33 +322,35 @@
         if run.version > run.task.step.job.written_version:
             return
         link = self._links_by_id.get(run.worker.id)
-        # Its room may have shrunk while the intent was being recorded.
-        closed = run.worker.gone or run.worker.draining or is_overcommitted(run.worker)
-        if link is None or closed:
+        # The worker's resources may have shrunk while the intent was recorded.
+        is_unavailable = (
+            run.worker.gone or run.worker.draining or is_overcommitted(run.worker)
+        )
+        if link is None or is_unavailable:
             detach_run(self.tables, run, self._node.clock.now())
             self.note_changed(run.worker, run)
             return
         link.send_start(run)
 
-    def _wake_acknowledging(self, job: ActiveJob) -> None:
-        """Have ends acknowledged that the job's record holds now."""
-        for worker_id in self._unrecorded.take(job):
+    def _acknowledge_recorded_ends(self, job: ActiveJob) -> None:
+        """Have the links acknowledge the ends that the job's record now contains."""
+        for worker_id in self._unrecorded_ends.collect_waiting_workers(job):
             link = self._links_by_id.get(worker_id)
             if link is not None:
                 link.note_recorded()
 
-    def _note_end_written(self, job: ActiveJob) -> None:
+    def _handle_final_record_written(self, job: ActiveJob) -> None:
         forget_job(self.tables, job, self._node.clock.now())
         log_job_ended(self._node, job)
-        self._wake_acknowledging(job)
+        self._acknowledge_recorded_ends(job)
 
-    def _settle_job(self, job: ActiveJob) -> None:
-        """Record a job, and stop what still runs of it once it has ended."""
+    def _record_job(self, job: ActiveJob) -> None:
+        """Schedule a write of a job's record, and stop its runs if it has ended."""
         if job.outcome is None:
-            self._journal.mark_ends(job)
+            self._record_writer.schedule_ends_write(job)
             self.plan(job.queue.pool_id)
             return
-        self._journal.mark(job)
+        self._record_writer.schedule_write(job)
         now = self._node.clock.now()
         for run in list(job.runs):
             if run.state is RunState.INTENDED:
@@ -352,33 +358,34 @@
             else:
                 self.stop_run(run, f"job {job.outcome.value}")
 
-    def _stop_unwanted(self, worker: Worker) -> None:
+    def _stop_runs_of_ended_jobs(self, worker: Worker) -> None:
         """Stop the runs of jobs that have ended.
 
-        A job may be cancelled while nobody controls the cell. Its end is recorded
-        as soon as it is read, when its runs are known from the record only and
-        there is no connection yet to stop them by.
+        A job may be cancelled while no process controls the cell. The next
+        controller records the outcome as soon as it reads the request. At that
+        time it knows the runs from the record only, and has no connection to
+        their workers yet.
         """
         for run in list(worker.runs.values()):
             job = run.task.step.job
             if job.outcome is not None and not run.stopping:
                 self.stop_run(run, f"job {job.outcome.value}")
 
-    def _stop_copies(self, ended: Run) -> None:
+    def _stop_other_copies(self, ended: Run) -> None:
         if not ended.task.done:
             return
         for run in list(ended.task.runs):
             self.stop_run(run, "another copy finished")
 
-    # Time
+    # Periodic work
 
     async def _tick_forever(self) -> None:
         while True:
-            slept_at = self._node.clock.now()
+            sleep_started_at = self._node.clock.now()
             await asyncio.sleep(TICK_SECONDS)
-            late = self._node.clock.now() - slept_at - TICK_SECONDS
-            self._load.note_tick(late)
-            if self._tenure.holds():
+            timer_delay = self._node.clock.now() - sleep_started_at - TICK_SECONDS
+            self._overload_detector.note_tick(timer_delay)
+            if self._term.is_active():
                 self._tick()
 
     def _tick(self) -> None:
@@ -388,7 +395,7 @@
                 self.tables, job, now, wall_ms
             ):
                 self.plan(job.queue.pool_id)
-        self._lives.drop_lapsed(now)
+        self._liveness_monitor.drop_lapsed(now)
         self._repair(now)
         self.plan_all()
 
@@ -399,33 +406,33 @@
         for run, reason in repairs.stops:
             self.stop_run(run, reason)
         for run in repairs.copies:
-            self._journal.mark(run.task.step.job)
+            self._record_writer.schedule_write(run.task.step.job)
         for run, percent in repairs.paces:
             link = self._links_by_id.get(run.worker.id)
             if link is not None:
                 link.send_pace(run, percent)
 
-    def _take_config(self) -> None:
-        """Take the operator's configuration over."""
-        if self._directory.config is None:
+    def _apply_config(self) -> None:
+        """Apply the operator's configuration."""
+        if self._operator_records.config is None:
             return
-        self.tables.config = self._directory.config
+        self.tables.config = self._operator_records.config
         if self._workers is not None:
             self._workers.take_config()
 
-    # What the workers' lives tell
+    # Callbacks of the worker liveness check
 
     def note_lost(self, runs: Iterable[Run]) -> None:
-        """Record that runs are over without an end, and plan anew."""
+        """Record that runs were lost, and schedule placement rounds."""
         for job in dict.fromkeys(run.task.step.job for run in runs):
             if job.outcome is not None:
-                self._settle_job(job)
+                self._record_job(job)
                 continue
-            self._journal.mark(job)
+            self._record_writer.schedule_write(job)
             self.plan(job.queue.pool_id)
 
     def drop_link(self, worker: Worker) -> None:
-        """Close the connections to a worker that is gone."""
+        """Close the connections to a worker."""
         link = self._links_by_id.pop(worker.id, None)
         if link is None:
             return
--- a/packages/daemon/src/medlarspring_daemon/scheduling/service.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/service.py
@@ -1,4 +1,4 @@
-"""All of scheduling in one process, in the order in which it starts."""
+"""Starts and stops all scheduling services of one process, in order."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 if TYPE_CHECKING:
     from medlarspring_daemon.scheduling.context import SchedulingNode
-    from medlarspring_daemon.scheduling.election import Tenure, Term
+    from medlarspring_daemon.scheduling.election import Controller, Term
     from medlarspring_tables.scheduling import WorkTables
 
-READY_SILENCE_SECONDS = 1.0
-"""An entry VM that the store fails for so long takes itself out of rotation."""
+NOT_READY_AFTER_SECONDS = 1.0
+"""An entry VM reports itself not ready after the store has failed for this long."""
 
 
 class SchedulingService:
@@ -29,53 +29,53 @@
         self.directory = Directory(node)
         self.intake = Intake(node)
         self._elections = [
-            Election(node, cell_id, self._may_control, self._create_term)
+            Election(node, cell_id, self._may_control, self._create_controller)
             for cell_id in node.cells
         ]
 
     async def start(self) -> None:
-        """Follow the operator's records and stand for election."""
+        """Watch the operator's records and take part in the elections."""
         self._tasks.keep(StoreWatch(self._node).run)
         await self.directory.start()
         for election in self._elections:
             await election.start()
 
     async def stop(self) -> None:
-        """Hand over what is held, then end all watches."""
+        """Release the held cells, then stop all watches."""
         for election in self._elections:
             await election.stop()
         await self.directory.stop()
         await self._tasks.cancel()
 
     def is_ready(self) -> bool:
-        """Tell whether this entry VM should get callers."""
+        """Return whether this entry VM should receive calls."""
         if self._node.stopping or self.directory.config is None:
             return False
         failing_since = self._node.store_health.failing_since
         if failing_since is None:
             return True
-        return self._node.clock.now() - failing_since < READY_SILENCE_SECONDS
+        return self._node.clock.now() - failing_since < NOT_READY_AFTER_SECONDS
 
     def is_controlling(self) -> bool:
-        """Tell whether this process controls a cell, by its own belief."""
+        """Return whether this process holds an active term, by its own clock."""
         return any(
-            election.tenure is not None and election.tenure.holds()
+            election.term is not None and election.term.is_active()
             for election in self._elections
         )
 
     def list_tables(self) -> list[WorkTables]:
-        """Return what this process knows of the cells that it controls."""
+        """Return the tables of the cells that this process controls."""
         return [
-            election.term.tables
+            election.controller.tables
             for election in self._elections
-            if election.term is not None
+            if election.controller is not None
         ]
 
     def _may_control(self) -> bool:
         return self.directory.config is not None and not self._node.stopping
 
-    def _create_term(self, tenure: Tenure) -> Term:
-        return CellController(self._node, self.directory, tenure)
+    def _create_controller(self, term: Term) -> Controller:
+        return CellController(self._node, self.directory, term)
 
 
 def create_scheduling_service(node: SchedulingNode) -> SchedulingService:
--- a/packages/daemon/tests/scheduling/stories.py
+++ b/packages/daemon/tests/scheduling/scenarios.py
@@ -1,4 +1,4 @@
-"""Stories played in an emulated installation that has settled."""
+"""Helpers to run test scenarios in an emulated installation."""
 
 from __future__ import annotations
 
@@ -17,27 +17,28 @@
     from medlarspring_bench.platform_world.virtual_time import VirtualClock
     from medlarspring_tables import JobId
 
-SETTLED_SECONDS = 3.0
-END_SECONDS = 60.0
+STARTUP_SECONDS = 3.0
+COMPLETION_TIMEOUT_SECONDS = 60.0
 
 
-def play(
-    story: Callable[[World, Customers], Awaitable[None]],
+def run_scenario(
+    scenario: Callable[[World, Customers], Awaitable[None]],
     seed: int,
     *,
     checked: bool = True,
     plan: WorldPlan | None = None,
 ) -> World:
-    """Run a story in an installation that has settled.
+    """Run a scenario in an installation after its start-up.
 
-    Every promise must hold, unless the story itself plants what breaks one.
+    All checks of the history must pass, unless ``checked`` is false because the
+    scenario itself injects data that violates one.
     """
 
     async def main(clock: VirtualClock) -> World:
         world = World(plan or WorldPlan(), clock, seed)
         await world.start()
-        await asyncio.sleep(SETTLED_SECONDS)
-        await story(world, Customers(world, world.rng))
+        await asyncio.sleep(STARTUP_SECONDS)
+        await scenario(world, Customers(world, world.rng))
         await world.stop()
         return world
 
@@ -47,7 +48,7 @@
 
 
 async def submit(customers: Customers, count: int = 8) -> list[JobId]:
-    """Submit jobs of one queue; all must be accepted."""
+    """Submit jobs to one queue and assert that all are accepted."""
     jobs = []
     for _ in range(count):
         job_id, spec = customers.create_batch()
@@ -57,8 +58,8 @@
 
 
 async def wait_for_end(customers: Customers, jobs: list[JobId]) -> None:
-    """Wait until each job is shown as complete."""
-    async with asyncio.timeout(END_SECONDS):
+    """Wait until every job is reported as complete."""
+    async with asyncio.timeout(COMPLETION_TIMEOUT_SECONDS):
         for job_id in jobs:
             while await customers.ask(job_id) != "complete":
                 await asyncio.sleep(0.2)
