--- a/packages/bench/src/medlarspring_bench/experiment/mechanisms.py
+++ b/packages/bench/src/medlarspring_bench/experiment/mechanisms.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 from unittest import mock
 
-from medlarspring_daemon.scheduling import job_feed, vm_keeper
+from medlarspring_daemon.scheduling import job_feed, vm_manager
 from medlarspring_systems.scheduling import (
     demand,
     estimates,
@@ -47,8 +47,8 @@
     return feed._node.clock.now()
 
 
-def _wait_for_lease(keeper: vm_keeper.VMKeeper, operation: Any) -> float:
-    return keeper._maintain_at
+def _wait_for_lease(keeper: vm_manager.VMManager, operation: Any) -> float:
+    return keeper._maintenance_allowed_at
 
 
 def _plan_nothing(*_: Any) -> None:
@@ -69,7 +69,7 @@
     ),
     Mechanism(
         "moves-at-once",
-        vm_keeper.VMKeeper,
+        vm_manager.VMManager,
         "_find_start",
         _wait_for_lease,
         "a takeover while the pool in turn needs VMs",
--- a/packages/daemon/src/medlarspring_daemon/scheduling/advice_desk.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/advice_fetcher.py
@@ -19,13 +19,13 @@
 
 IDLE_SECONDS = 0.02
 """Pause while there is nothing to ask."""
-UNNEEDED_SECONDS = 0.5
+UNRESTRICTED_SECONDS = 0.5
 """Pause while no queue is restricted."""
 RETRY_SECONDS = 0.2
 """Pause after a call without advice; the adviser refuses when too many wait."""
 
 
-class AdviceOwner(Protocol):
+class AdviceFetcherOwner(Protocol):
     """What the desk needs of its controller."""
 
     tables: WorkTables
@@ -35,65 +35,65 @@
         ...
 
 
-class AdviceDesk:
+class AdviceFetcher:
     """One question after the other, the most urgent first."""
 
     def __init__(
-        self, node: SchedulingNode, adviser: Adviser, owner: AdviceOwner
+        self, node: SchedulingNode, adviser: Adviser, owner: AdviceFetcherOwner
     ) -> None:
         self._node = node
         self._adviser = adviser
         self._owner = owner
-        self._looked_at = -1
+        self._checked_version = -1
         """Version of the configuration that ``_needed`` was taken from."""
-        self._needed = False
+        self._any_restricted = False
 
     async def run(self) -> None:
         """Ask until cancelled."""
         while True:
-            if not self._is_needed():
-                await asyncio.sleep(UNNEEDED_SECONDS)
+            if not self._has_restricted_queue():
+                await asyncio.sleep(UNRESTRICTED_SECONDS)
                 continue
-            question = choose_question(self._owner.tables, self._node.clock.now())
-            if question is None:
+            request = choose_question(self._owner.tables, self._node.clock.now())
+            if request is None:
                 await asyncio.sleep(IDLE_SECONDS)
                 continue
-            await self._ask(question)
+            await self._fetch(request)
 
-    def _is_needed(self) -> bool:
+    def _has_restricted_queue(self) -> bool:
         """Tell whether any queue is restricted; looked up once a configuration."""
         config = self._owner.tables.config
-        if config.version != self._looked_at:
-            self._looked_at = config.version
+        if config.version != self._checked_version:
+            self._checked_version = config.version
             queues = config.queues_by_id.values()
-            self._needed = any(queue.advice is not None for queue in queues)
-        return self._needed
+            self._any_restricted = any(queue.advice is not None for queue in queues)
+        return self._any_restricted
 
-    async def _ask(self, question: Question) -> None:
-        asked_at = self._node.clock.now()
-        answer = await self._adviser.advise(question.step_id, question.worker_ids)
+    async def _fetch(self, request: Question) -> None:
+        requested_at = self._node.clock.now()
+        answer = await self._adviser.advise(request.step_id, request.worker_ids)
         if not is_successful(answer):
             self._node.log.warning(
                 Event.ADVICE_MISSING,
-                step=question.step_id,
-                workers=len(question.worker_ids),
+                step=request.step_id,
+                workers=len(request.worker_ids),
                 fault=answer.failure().message(),
             )
             await asyncio.sleep(RETRY_SECONDS)
             return
         advice = answer.unwrap()
         take_advice(
-            question, advice.tickets_by_worker, asked_at + advice.valid_ms / 1_000.0
+            request, advice.tickets_by_worker, requested_at + advice.valid_ms / 1_000.0
         )
         self._node.log.info(
             Event.ADVICE_TAKEN,
-            step=question.step_id,
-            workers=len(question.worker_ids),
+            step=request.step_id,
+            workers=len(request.worker_ids),
             allowed=len(advice.tickets_by_worker),
             valid_ms=advice.valid_ms,
-            took_ms=round((self._node.clock.now() - asked_at) * 1_000),
+            took_ms=round((self._node.clock.now() - requested_at) * 1_000),
         )
-        self._owner.plan(question.step.job.queue.pool_id)
+        self._owner.plan(request.step.job.queue.pool_id)
 
 
-__all__ = ["AdviceDesk", "AdviceOwner"]
+__all__ = ["AdviceFetcher", "AdviceFetcherOwner"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
@@ -10,24 +10,24 @@
 from medlarspring_adapters.events import Event
 from medlarspring_adapters.metrics import Metric
 from medlarspring_adapters.prefix_follower import PrefixFollower
-from medlarspring_daemon.scheduling.advice_desk import AdviceDesk
+from medlarspring_daemon.scheduling.advice_fetcher import AdviceFetcher
 from medlarspring_daemon.scheduling.job_feed import JobFeed
 from medlarspring_daemon.scheduling.journal import WRITTEN_FOR_GOOD, Journal
-from medlarspring_daemon.scheduling.load_gauge import LoadGauge
-from medlarspring_daemon.scheduling.load_report import LoadReport
+from medlarspring_daemon.scheduling.load_reporter import LoadReporter
+from medlarspring_daemon.scheduling.overload_detector import OverloadDetector
 from medlarspring_daemon.scheduling.round_timer import RoundTimer
 from medlarspring_daemon.scheduling.run_log import (
-    log_doubted,
-    log_ended,
     log_job_ended,
-    log_lost,
-    log_started_again,
+    log_run_ended,
+    log_run_lost,
+    log_worker_quarantined,
+    log_worker_restarted,
 )
 from medlarspring_daemon.scheduling.unrecorded_ends import UnrecordedEnds
-from medlarspring_daemon.scheduling.vm_keeper import VMKeeper
+from medlarspring_daemon.scheduling.vm_manager import VMManager
 from medlarspring_daemon.scheduling.worker_feed import WorkerFeed
 from medlarspring_daemon.scheduling.worker_link import WorkerLink
-from medlarspring_daemon.scheduling.worker_lives import WorkerLives
+from medlarspring_daemon.scheduling.worker_liveness import WorkerLivenessMonitor
 from medlarspring_daemon.tasks import Tasks
 from medlarspring_systems.scheduling.crashes import note_worker_end
 from medlarspring_systems.scheduling.jobs import (
@@ -50,8 +50,8 @@
 
     from medlarspring_adapters.store import Listing
     from medlarspring_daemon.scheduling.context import SchedulingNode
-    from medlarspring_daemon.scheduling.directory import Directory
     from medlarspring_daemon.scheduling.election import Tenure
+    from medlarspring_daemon.scheduling.operator_records import OperatorRecords
     from medlarspring_systems.scheduling.listings import ListingOutcome
     from medlarspring_tables import PoolId, Seconds
     from medlarspring_tables.scheduling import (
@@ -70,7 +70,7 @@
     """Implements ``Term`` and ``LinkOwner``."""
 
     def __init__(
-        self, node: SchedulingNode, directory: Directory, tenure: Tenure
+        self, node: SchedulingNode, directory: OperatorRecords, tenure: Tenure
     ) -> None:
         self._node = node
         self._directory = directory
@@ -83,12 +83,12 @@
         self._followers: list[PrefixFollower] = []
         self._workers: WorkerFeed | None = None
         self._running = False
-        self._load = LoadGauge()
+        self._load = OverloadDetector()
         assert directory.config is not None
         self.tables = WorkTables(config=directory.config)
         self._rounds = RoundTimer(self.tables, self._place)
-        self._keeper = VMKeeper(node, tenure, directory, self)
-        self._lives = WorkerLives(node, self)
+        self._keeper = VMManager(node, tenure, directory, self)
+        self._lives = WorkerLivenessMonitor(node, self)
 
     # Term
 
@@ -137,7 +137,7 @@
         await asyncio.gather(feed.loaded.wait(), workers.loaded.wait())
         self._running = True
         for worker in list(self.tables.workers_by_id.values()):
-            self.note_worker(worker)
+            self.connect_worker(worker)
         self._directory.listeners.append(self._take_config)
         self._take_config()
         took_ms = (self._node.clock.now() - began_at) * 1_000
@@ -151,11 +151,11 @@
             took_ms=round(took_ms),
         )
         self._tasks.keep(self._tick_forever)
-        self._tasks.keep(LoadReport(self._node, self._tenure, self.tables).run)
+        self._tasks.keep(LoadReporter(self._node, self._tenure, self.tables).run)
         self._tasks.keep(self._lives.run)
         self._tasks.keep(self._keeper.run)
         if self._node.adviser is not None:
-            desk = AdviceDesk(self._node, self._node.adviser, self)
+            desk = AdviceFetcher(self._node, self._node.adviser, self)
             self._tasks.keep(desk.run)
         self.plan_all()
 
@@ -185,7 +185,7 @@
         cancel_job(job)
         self._settle_job(job)
 
-    def note_worker(self, worker: Worker) -> None:
+    def connect_worker(self, worker: Worker) -> None:
         """Connect to a worker that the registry lists.
 
         Not before the recorded jobs are loaded: an end listed by the worker would
@@ -194,7 +194,7 @@
         if not self._running:
             return
         link = self._links_by_id.get(worker.id)
-        if link is not None and not link.leads_to(worker.address):
+        if link is not None and not link.uses_address(worker.address):
             self._leave_address(worker)
             link = None
         if link is None and worker.address:
@@ -202,7 +202,7 @@
             self._links_by_id[worker.id] = link
             link.start()
         elif link is not None and not worker.settled:
-            link.look()
+            link.poll()
         self.plan(worker.pool_id)
 
     def _leave_address(self, worker: Worker) -> None:
@@ -216,37 +216,37 @@
             if run.state is RunState.ORDERED:
                 run.state = RunState.UNKNOWN
                 run.ordered_at = now
-        self.drop_link(worker)
+        self.close_link(worker)
 
-    def note_started_again(self, worker: Worker, born_ms: Milliseconds) -> None:
+    def handle_worker_restart(self, worker: Worker, born_ms: Milliseconds) -> None:
         """Note that a worker speaks from another life than the one that is known."""
         former_ms = worker.born_ms
         longest = self._node.limits.worker_lease
         now = self._node.clock.now()
         verdict = note_worker_end(self.tables, worker, now)
         over = begin_life(self.tables, worker, born_ms, longest, now)
-        log_started_again(self._node, worker, former_ms, len(over), verdict)
+        log_worker_restarted(self._node, worker, former_ms, len(over), verdict)
         for run in over:
-            log_lost(self._node, run, "its worker started again")
-        self.note_lost(over)
+            log_run_lost(self._node, run, "its worker started again")
+        self.handle_lost_runs(over)
         for job in verdict.jobs:
             self._settle_job(job)
 
     def note_entry_gone(self, worker: Worker) -> None:
         """Look whether a worker that the registry dropped is still alive."""
         if worker.runs or worker.unanswered_since:
-            self.note_silent(worker)
+            self.handle_unresponsive_worker(worker)
 
     # LinkOwner
 
     def note_listing(self, worker: Worker, outcome: ListingOutcome) -> None:
         """Record what a listing changed, and plan anew."""
         for run, end in outcome.ended:
-            log_ended(self._node, run, end)
+            log_run_ended(self._node, run, end)
         for run in outcome.lost:
-            log_lost(self._node, run, "not on its worker")
+            log_run_lost(self._node, run, "not on its worker")
         if outcome.newly_doubted:
-            log_doubted(self._node, worker)
+            log_worker_quarantined(self._node, worker)
         self._unrecorded.note(worker.id, outcome.ends)
         for job_id in list_jobs(outcome):
             job = self.tables.jobs_by_id.get(job_id)
@@ -258,24 +258,24 @@
         if outcome.ended or outcome.lost:
             self.plan(worker.pool_id)
 
-    def note_changed(self, worker: Worker, run: Run) -> None:
+    def handle_detached_run(self, worker: Worker, run: Run) -> None:
         """Record that a run is over or was refused, and plan anew."""
         self._journal.mark(run.task.step.job)
         self.plan(worker.pool_id)
 
-    def note_silent(self, worker: Worker) -> None:
+    def handle_unresponsive_worker(self, worker: Worker) -> None:
         """Read the VM list: it tells whether a worker's life is over."""
-        self.look_at_vms()
+        self.refresh_vm_list()
 
-    def look_at_vms(self) -> None:
+    def refresh_vm_list(self) -> None:
         """Read the VM list soon."""
-        self._lives.look_soon()
+        self._lives.refresh_soon()
 
-    def note_order(self, *, answered: bool) -> None:
+    def record_order(self, *, answered: bool) -> None:
         """Note whether a worker answered an order in time."""
-        self._load.note_order(answered=answered)
+        self._load.record_order(answered=answered)
 
-    def note_superseded(self) -> None:
+    def handle_superseded(self) -> None:
         """Stop: a controller with a higher fence has been at a worker."""
         self._tenure.end()
 
@@ -322,7 +322,7 @@
         closed = run.worker.gone or run.worker.draining or is_overfull(run.worker)
         if link is None or closed:
             detach_run(self.tables, run, self._node.clock.now())
-            self.note_changed(run.worker, run)
+            self.handle_detached_run(run.worker, run)
             return
         link.send_start(run)
 
@@ -331,7 +331,7 @@
         for worker_id in self._unrecorded.take(job):
             link = self._links_by_id.get(worker_id)
             if link is not None:
-                link.note_recorded()
+                link.acknowledge_ends()
 
     def _note_end_written(self, job: ActiveJob) -> None:
         forget_job(self.tables, job, self._node.clock.now())
@@ -377,7 +377,7 @@
             slept_at = self._node.clock.now()
             await asyncio.sleep(TICK_SECONDS)
             late = self._node.clock.now() - slept_at - TICK_SECONDS
-            self._load.note_tick(late)
+            self._load.record_timer_delay(late)
             if self._tenure.holds():
                 self._tick()
 
@@ -388,14 +388,14 @@
                 self.tables, job, now, wall_ms
             ):
                 self.plan(job.queue.pool_id)
-        self._lives.drop_lapsed(now)
+        self._lives.expire_leases(now)
         self._repair(now)
         self.plan_all()
 
     def _repair(self, now: Seconds) -> None:
         repairs = plan_repairs(self.tables, now)
         for worker in repairs.doubted:
-            log_doubted(self._node, worker)
+            log_worker_quarantined(self._node, worker)
         for run, reason in repairs.stops:
             self.stop_run(run, reason)
         for run in repairs.copies:
@@ -411,11 +411,11 @@
             return
         self.tables.config = self._directory.config
         if self._workers is not None:
-            self._workers.take_config()
+            self._workers.apply_config()
 
     # What the workers' lives tell
 
-    def note_lost(self, runs: Iterable[Run]) -> None:
+    def handle_lost_runs(self, runs: Iterable[Run]) -> None:
         """Record that runs are over without an end, and plan anew."""
         for job in dict.fromkeys(run.task.step.job for run in runs):
             if job.outcome is not None:
@@ -424,7 +424,7 @@
             self._journal.mark(job)
             self.plan(job.queue.pool_id)
 
-    def drop_link(self, worker: Worker) -> None:
+    def close_link(self, worker: Worker) -> None:
         """Close the connections to a worker that is gone."""
         link = self._links_by_id.pop(worker.id, None)
         if link is None:
--- a/packages/daemon/src/medlarspring_daemon/scheduling/link_owner.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/link_owner.py
@@ -18,23 +18,23 @@
         """Record what a listing changed, and plan anew."""
         ...
 
-    def note_changed(self, worker: Worker, run: Run) -> None:
+    def handle_detached_run(self, worker: Worker, run: Run) -> None:
         """Record that a run is over or was refused, and plan anew."""
         ...
 
-    def note_silent(self, worker: Worker) -> None:
+    def handle_unresponsive_worker(self, worker: Worker) -> None:
         """Look whether a worker that does not answer is still alive."""
         ...
 
-    def note_started_again(self, worker: Worker, born_ms: Milliseconds) -> None:
+    def handle_worker_restart(self, worker: Worker, born_ms: Milliseconds) -> None:
         """Note that a worker speaks from another life than the one that is known."""
         ...
 
-    def note_order(self, *, answered: bool) -> None:
+    def record_order(self, *, answered: bool) -> None:
         """Note whether a worker answered an order in time."""
         ...
 
-    def note_superseded(self) -> None:
+    def handle_superseded(self) -> None:
         """Stop: a controller with a higher fence has been at a worker."""
         ...
 
--- a/packages/daemon/src/medlarspring_daemon/scheduling/load_report.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/load_reporter.py
@@ -20,29 +20,27 @@
     from medlarspring_daemon.scheduling.election import Tenure
     from medlarspring_tables.scheduling import WorkTables
 
-REPORT_SECONDS = 0.8
+PUBLISH_SECONDS = 0.8
 """Counts of waiting jobs are published so often; customers may see 2 s old ones."""
 
 
-class LoadReport:
+class LoadReporter:
     """Publishes the counts of a cell whenever they changed."""
 
-    def __init__(
-        self, node: SchedulingNode, tenure: Tenure, tables: WorkTables
-    ) -> None:
+    def __init__(self, node: SchedulingNode, term: Tenure, tables: WorkTables) -> None:
         self._node = node
-        self._tenure = tenure
+        self._term = term
         self._tables = tables
         self._published: dict[str, int] | None = None
 
     async def run(self) -> None:
         """Report until cancelled."""
         while True:
-            self._measure()
+            self._update_metrics()
             await self._publish()
-            await asyncio.sleep(REPORT_SECONDS)
+            await asyncio.sleep(PUBLISH_SECONDS)
 
-    def _measure(self) -> None:
+    def _update_metrics(self) -> None:
         metrics, now = self._node.metrics, self._node.clock.now()
         workers = self._tables.workers_by_id.values()
         metrics.gauge(Metric.JOBS_OPEN, len(self._tables.jobs_by_id))
@@ -56,26 +54,26 @@
             Metric.WORKERS_DOUBTED,
             sum(1 for each in workers if each.doubt is not WorkerDoubt.NONE),
         )
-        waiting, shut_out = count_waiting(self._tables, now)
+        waiting, unplaceable = count_waiting(self._tables, now)
         metrics.gauge(Metric.TASKS_WAITING, waiting)
-        metrics.gauge(Metric.TASKS_SHUT_OUT, shut_out)
+        metrics.gauge(Metric.TASKS_SHUT_OUT, unplaceable)
 
     async def _publish(self) -> None:
         waiting: dict[str, int] = {}
         for job in self._tables.jobs_by_id.values():
             if is_waiting(job):
                 waiting[job.queue.id] = waiting.get(job.queue.id, 0) + 1
-        if waiting == self._published or not self._tenure.holds():
+        if waiting == self._published or not self._term.holds():
             return
         record = LoadRecord(
             at_ms=round(self._node.clock.wall() * 1_000), waiting_by_queue=waiting
         )
-        put = Put(self._tenure.keys.load, msgspec.json.encode(record))
+        put = Put(self._term.keys.load, msgspec.json.encode(record))
         answer = await self._node.store.commit(
-            Transaction((self._tenure.expect(),), (put,))
+            Transaction((self._term.expect(),), (put,))
         )
         if is_successful(answer):
             self._published = waiting
 
 
-__all__ = ["LoadReport"]
+__all__ = ["LoadReporter"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/directory.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/operator_records.py
@@ -23,13 +23,13 @@
 """Pause before the operator's records are read again after a lost watch."""
 
 
-class Directory:
+class OperatorRecords:
     """The operator's records as this process has read them."""
 
     def __init__(self, node: SchedulingNode) -> None:
         self._node = node
         self.config: OperatorConfig | None = None
-        self.config_taken_at: Seconds = 0.0
+        self.config_applied_at: Seconds = 0.0
         self.waves_by_key: dict[str, tuple[WaveOrder, Seconds]] = {}
         """Orders by key, with the time at which each was first seen."""
         self.listeners: list[Callable[[], None]] = []
@@ -58,8 +58,8 @@
             if key not in seen:
                 del self.waves_by_key[key]
         for entry in listing.entries:
-            self._take(entry)
-        self._tell()
+            self._apply_entry(entry)
+        self._notify_listeners()
 
     def take_batch(self, batch: WatchBatch) -> None:
         """Take what changed."""
@@ -67,20 +67,20 @@
             self.waves_by_key.pop(key, None)
             self._node.unreadable.forget(key)
         for entry in batch.changed:
-            self._take(entry)
-        self._tell()
+            self._apply_entry(entry)
+        self._notify_listeners()
 
-    def _tell(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self.listeners:
             listener()
 
-    def _take(self, entry: Entry) -> None:
+    def _apply_entry(self, entry: Entry) -> None:
         if self._node.codec.is_config(entry.key):
-            self._take_config(entry)
+            self._apply_config(entry)
         elif self._node.codec.is_wave(entry.key):
-            self._take_wave(entry)
+            self._apply_wave(entry)
 
-    def _take_config(self, entry: Entry) -> None:
+    def _apply_config(self, entry: Entry) -> None:
         decoded = self._node.codec.decode_config(entry.key, entry.value)
         if not is_successful(decoded):
             self._node.unreadable.note(entry.key, decoded.failure().message())
@@ -92,7 +92,7 @@
         if self.config is not None and config.version <= self.config.version:
             return
         self.config = config
-        self.config_taken_at = self._node.clock.now()
+        self.config_applied_at = self._node.clock.now()
         self._routes = index_routes(config.routes)
         self._node.log.info(
             Event.CONFIG_IN_FORCE,
@@ -102,7 +102,7 @@
             pools=len(config.pools_by_id),
         )
 
-    def _take_wave(self, entry: Entry) -> None:
+    def _apply_wave(self, entry: Entry) -> None:
         decoded = self._node.codec.decode_wave(entry.key, entry.value)
         if not is_successful(decoded):
             self._node.unreadable.note(entry.key, decoded.failure().message())
@@ -122,4 +122,4 @@
             )
 
 
-__all__ = ["Directory"]
+__all__ = ["OperatorRecords"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/load_gauge.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/overload_detector.py
@@ -7,34 +7,39 @@
 if TYPE_CHECKING:
     from medlarspring_tables import Seconds
 
-LAG_WEIGHT = 0.05
-MOST_LAG_SECONDS = 0.12
+LAG_SMOOTHING = 0.05
+MAX_LAG_SECONDS = 0.12
 """Timers that are so late on average mean that orders wait as long in the process."""
-SILENCE_WEIGHT = 0.02
+UNANSWERED_SMOOTHING = 0.02
 """Weight of one order: the mean follows the last fifty or so."""
-MOST_SILENCE = 0.35
+MAX_UNANSWERED_FRACTION = 0.35
 """Part of the orders without an answer. Workers that are cut off get no more orders
 soon, so that more than a third means that the calls are held up on this side."""
 
 
-class LoadGauge:
+class OverloadDetector:
     """Smooths how late timers are, and how many orders stay without an answer."""
 
     def __init__(self) -> None:
         self._lag: Seconds = 0.0
-        self._silence = 0.0
+        self._unanswered_fraction = 0.0
 
-    def note_tick(self, late: Seconds) -> None:
+    def record_timer_delay(self, late: Seconds) -> None:
         """Note by how much a timer was late."""
-        self._lag += LAG_WEIGHT * (late - self._lag)
+        self._lag += LAG_SMOOTHING * (late - self._lag)
 
-    def note_order(self, *, answered: bool) -> None:
+    def record_order(self, *, answered: bool) -> None:
         """Note whether an order to a worker was answered in time."""
-        self._silence += SILENCE_WEIGHT * ((not answered) - self._silence)
+        self._unanswered_fraction += UNANSWERED_SMOOTHING * (
+            (not answered) - self._unanswered_fraction
+        )
 
     def is_overloaded(self) -> bool:
         """Tell whether orders wait in this process, or on its way to the workers."""
-        return self._lag > MOST_LAG_SECONDS or self._silence > MOST_SILENCE
+        return (
+            self._lag > MAX_LAG_SECONDS
+            or self._unanswered_fraction > MAX_UNANSWERED_FRACTION
+        )
 
 
-__all__ = ["LoadGauge"]
+__all__ = ["OverloadDetector"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/run_log.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/run_log.py
@@ -30,7 +30,7 @@
 MAX_SUSPECTS_LOGGED = 16
 
 
-def log_started(node: SchedulingNode, run: Run) -> None:
+def log_run_started(node: SchedulingNode, run: Run) -> None:
     """Log a run that its worker confirmed."""
     waited_ms = (run.confirmed_at - run.task.waiting_since) * 1_000
     node.metrics.count(Metric.RUNS_STARTED)
@@ -45,7 +45,7 @@
     )
 
 
-def log_unanswered(
+def log_start_unanswered(
     node: SchedulingNode, run: Run, waited: Seconds, *, may_follow: bool
 ) -> None:
     """Log a start that got no answer; it ``may_follow`` later all the same."""
@@ -60,7 +60,7 @@
     )
 
 
-def log_refused(node: SchedulingNode, run: Run, refusal: Refusal) -> None:
+def log_start_refused(node: SchedulingNode, run: Run, refusal: Refusal) -> None:
     """Log a start that its worker refused."""
     node.metrics.count(Metric.RUNS_REFUSED)
     node.log.warning(
@@ -74,7 +74,7 @@
     )
 
 
-def log_ended(node: SchedulingNode, run: Run, end: RunEnd) -> None:
+def log_run_ended(node: SchedulingNode, run: Run, end: RunEnd) -> None:
     """Log an end that a worker listed."""
     if end is RunEnd.FAILED:
         node.metrics.count(Metric.RUNS_FAILED)
@@ -89,7 +89,7 @@
     )
 
 
-def log_lost(node: SchedulingNode, run: Run, reason: str) -> None:
+def log_run_lost(node: SchedulingNode, run: Run, reason: str) -> None:
     """Log a run that is over without an end."""
     ran_ms = (node.clock.now() - run.started_at) * 1_000 if run.started_at else 0.0
     node.metrics.count(Metric.RUNS_LOST)
@@ -130,7 +130,7 @@
     return [run.task.id for run in runs[:MAX_SUSPECTS_LOGGED]]
 
 
-def log_doubted(node: SchedulingNode, worker: Worker) -> None:
+def log_worker_quarantined(node: SchedulingNode, worker: Worker) -> None:
     """Log a worker that is set aside."""
     node.log.warning(
         Event.WORKER_DOUBTED,
@@ -142,7 +142,7 @@
     )
 
 
-def log_started_again(
+def log_worker_restarted(
     node: SchedulingNode,
     worker: Worker,
     former_ms: Milliseconds,
@@ -162,7 +162,7 @@
     )
 
 
-def log_resized(
+def log_worker_resized(
     node: SchedulingNode, worker: Worker, former: Room, revision: Revision
 ) -> None:
     """Log a worker whose room shrank or grew."""
@@ -199,14 +199,14 @@
 
 
 __all__ = [
-    "log_doubted",
-    "log_ended",
+    "log_worker_quarantined",
+    "log_run_ended",
     "log_job_ended",
-    "log_lost",
-    "log_refused",
-    "log_resized",
-    "log_started",
-    "log_started_again",
-    "log_unanswered",
+    "log_run_lost",
+    "log_start_refused",
+    "log_worker_resized",
+    "log_run_started",
+    "log_worker_restarted",
+    "log_start_unanswered",
     "log_worker_gone",
 ]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/service.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/service.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING
 
 from medlarspring_daemon.scheduling.controller import CellController
-from medlarspring_daemon.scheduling.directory import Directory
 from medlarspring_daemon.scheduling.election import Election
 from medlarspring_daemon.scheduling.intake import Intake
-from medlarspring_daemon.scheduling.store_watch import StoreWatch
+from medlarspring_daemon.scheduling.operator_records import OperatorRecords
+from medlarspring_daemon.scheduling.store_monitor import StoreMonitor
 from medlarspring_daemon.tasks import Tasks
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
     def __init__(self, node: SchedulingNode) -> None:
         self._node = node
         self._tasks = Tasks(node.log)
-        self.directory = Directory(node)
+        self.directory = OperatorRecords(node)
         self.intake = Intake(node)
         self._elections = [
             Election(node, cell_id, self._may_control, self._create_term)
@@ -35,7 +35,7 @@
 
     async def start(self) -> None:
         """Follow the operator's records and stand for election."""
-        self._tasks.keep(StoreWatch(self._node).run)
+        self._tasks.keep(StoreMonitor(self._node).run)
         await self.directory.start()
         for election in self._elections:
             await election.start()
--- a/packages/daemon/src/medlarspring_daemon/scheduling/store_watch.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/store_monitor.py
@@ -13,10 +13,10 @@
 
 LOST_SECONDS = 0.3
 """The store counts as lost once it fails all calls for so long."""
-LOOK_SECONDS = 0.1
+CHECK_SECONDS = 0.1
 
 
-class StoreWatch:
+class StoreMonitor:
     """Looks at the store's health; a single missed call is no loss."""
 
     def __init__(self, node: SchedulingNode) -> None:
@@ -26,20 +26,20 @@
     async def run(self) -> None:
         """Look until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            self._look()
+            await asyncio.sleep(CHECK_SECONDS)
+            self._check()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         failing_since = self._node.store_health.failing_since
         now = self._node.clock.now()
         if failing_since is None:
-            self._note_answering(now)
+            self._log_recovery(now)
         elif self._lost_since is None and now - failing_since >= LOST_SECONDS:
             self._lost_since = failing_since
             failing_ms = round((now - failing_since) * 1_000)
             self._node.log.warning(Event.STORE_LOST, failing_ms=failing_ms)
 
-    def _note_answering(self, now: Seconds) -> None:
+    def _log_recovery(self, now: Seconds) -> None:
         if self._lost_since is None:
             return
         seconds = round(now - self._lost_since, 2)
@@ -47,4 +47,4 @@
         self._lost_since = None
 
 
-__all__ = ["StoreWatch"]
+__all__ = ["StoreMonitor"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/vm_keeper.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/vm_manager.py
@@ -33,14 +33,14 @@
 
     from medlarspring_adapters.store import Committed, StoreError
     from medlarspring_daemon.scheduling.context import SchedulingNode
-    from medlarspring_daemon.scheduling.directory import Directory
     from medlarspring_daemon.scheduling.election import Tenure
+    from medlarspring_daemon.scheduling.operator_records import OperatorRecords
     from medlarspring_systems.scheduling.fleet import VMOperation, WaveProgress
     from medlarspring_tables import Seconds
     from medlarspring_tables.scheduling import Run, WorkTables
 
 TICK_SECONDS = 0.2
-SETTLE_SECONDS = 0.2
+SEPARATION_MARGIN_SECONDS = 0.2
 """Added to the times that keep two holders' operations apart."""
 RETRY_SECONDS = 0.2
 OPERATIONS_KEPT_SECONDS = 10.0
@@ -49,7 +49,7 @@
 Answer = TypeVar("Answer")
 
 
-class KeeperOwner(Protocol):
+class VMManagerOwner(Protocol):
     """What the keeper needs of its controller."""
 
     tables: WorkTables
@@ -62,12 +62,12 @@
         """Place what waits in a pool, soon."""
         ...
 
-    def look_at_vms(self) -> None:
+    def refresh_vm_list(self) -> None:
         """Read the VM list soon."""
         ...
 
 
-class VMKeeper:
+class VMManager:
     """All operations on VMs under one tenure.
 
     The platform does not check fences of these operations, so two holders must
@@ -84,17 +84,19 @@
     def __init__(
         self,
         node: SchedulingNode,
-        tenure: Tenure,
-        directory: Directory,
-        owner: KeeperOwner,
+        term: Tenure,
+        operator_records: OperatorRecords,
+        owner: VMManagerOwner,
     ) -> None:
         self._node = node
-        self._tenure = tenure
-        self._directory = directory
+        self._term = term
+        self._operator_records = operator_records
         self._owner = owner
         self.fleet = FleetTables()
-        self._maintain_at: Seconds = tenure.began_at + LEASE_SECONDS + SETTLE_SECONDS
-        self._move_at: Seconds = tenure.began_at
+        self._maintenance_allowed_at: Seconds = (
+            term.began_at + LEASE_SECONDS + SEPARATION_MARGIN_SECONDS
+        )
+        self._moves_allowed_at: Seconds = term.began_at
         self._sent_ms_by_vm: dict[str, int] = {}
         self._operations_revision = Revision(0)
         """Store revision of the record of operations; 0 before the first one."""
@@ -107,12 +109,14 @@
         await self._load_sizes()
         await self._load_operations()
         while True:
-            await self._step()
+            await self._reconcile()
             await asyncio.sleep(TICK_SECONDS)
 
     async def _load_waves(self) -> None:
-        prefix = self._tenure.keys.waves_prefix
-        listing = await self._ask(lambda: self._node.store.read_prefix(prefix))
+        prefix = self._term.keys.waves_prefix
+        listing = await self._read_with_retry(
+            lambda: self._node.store.read_prefix(prefix)
+        )
         for entry in listing.entries:
             wave_id = entry.key.removeprefix(prefix)
             record = self._node.unreadable.decode(entry, WaveRecord)
@@ -125,8 +129,8 @@
 
     async def _load_sizes(self) -> None:
         """Take the pools' first sizes over, or record them if nobody has."""
-        key = self._tenure.keys.sizes
-        entry = await self._ask(lambda: self._node.store.read(key))
+        key = self._term.keys.sizes
+        entry = await self._read_with_retry(lambda: self._node.store.read(key))
         if entry is None:
             return
         record = self._node.unreadable.decode(entry, SizesRecord)
@@ -139,25 +143,27 @@
 
     async def _load_operations(self) -> None:
         """Leave the VMs alone that predecessors operated on a moment ago."""
-        key = self._tenure.keys.operations
-        entry = await self._ask(lambda: self._node.store.read(key))
+        key = self._term.keys.operations
+        entry = await self._read_with_retry(lambda: self._node.store.read(key))
         if entry is None:
             return
         self._operations_revision = entry.mod_revision
         record = self._node.unreadable.decode(entry, OperationsRecord)
         if record is None:
-            self._move_at = self._maintain_at + self._measure_apart()
-            self._maintain_at = self._move_at
+            self._moves_allowed_at = (
+                self._maintenance_allowed_at + self._get_separation()
+            )
+            self._maintenance_allowed_at = self._moves_allowed_at
             return
         # The next record replaces this one, and a successor relies on it alone.
         self._sent_ms_by_vm = dict(record.sent_ms_by_vm)
         now, wall_ms = self._node.clock.now(), self._node.clock.wall() * 1_000
-        apart = LEASE_SECONDS + self._measure_apart()
+        separation = LEASE_SECONDS + self._get_separation()
         for vm, sent_ms in record.sent_ms_by_vm.items():
             elapsed = max(wall_ms - sent_ms, 0.0) / 1_000.0
-            self.fleet.refused_until[VMId(vm)] = now + apart - elapsed
+            self.fleet.refused_until[VMId(vm)] = now + separation - elapsed
 
-    async def _ask(
+    async def _read_with_retry(
         self, read: Callable[[], Awaitable[Result[Answer, StoreError]]]
     ) -> Answer:
         """Read from the store until it answers."""
@@ -167,27 +173,27 @@
                 return answer.unwrap()
             await asyncio.sleep(RETRY_SECONDS)
 
-    def _measure_apart(self) -> Seconds:
+    def _get_separation(self) -> Seconds:
         """Return how far apart two holders' operations on one VM must be."""
-        return self._node.limits.vm_lease + SETTLE_SECONDS
+        return self._node.limits.vm_lease + SEPARATION_MARGIN_SECONDS
 
     async def _record_sizes(self) -> None:
         if self._sizes_recorded or not self.fleet.sizes_known:
             return
         sizes = {str(pool): vms for pool, vms in self.fleet.first_sizes.items()}
         put = Put(
-            self._tenure.keys.sizes, msgspec.json.encode(SizesRecord(vms_by_pool=sizes))
+            self._term.keys.sizes, msgspec.json.encode(SizesRecord(vms_by_pool=sizes))
         )
         answer = await self._node.store.commit(
-            Transaction((self._tenure.expect(),), (put,))
+            Transaction((self._term.expect(),), (put,))
         )
         self._sizes_recorded = is_successful(answer) and answer.unwrap().succeeded
 
-    async def _step(self) -> None:
-        if not self._tenure.holds():
+    async def _reconcile(self) -> None:
+        if not self._term.holds():
             return
         now = self._node.clock.now()
-        for order, seen_at in self._directory.waves_by_key.values():
+        for order, seen_at in self._operator_records.waves_by_key.values():
             take_wave(self.fleet, order, seen_at)
         plan = plan_operations(self._owner.tables, self.fleet, self._node.limits, now)
         await self._record_sizes()
@@ -198,14 +204,14 @@
             self._owner.plan(pool_id)
         operations = [each for each in plan.operations if now >= self._find_start(each)]
         if operations:
-            await self._carry_out(operations)
+            await self._execute(operations)
         for wave in plan.to_report:
-            await self._report(wave)
+            await self._report_wave(wave)
 
     def _find_start(self, operation: VMOperation) -> Seconds:
         """Return from when on this tenure may send an operation."""
         is_move = isinstance(operation, MoveVM)
-        return self._move_at if is_move else self._maintain_at
+        return self._moves_allowed_at if is_move else self._maintenance_allowed_at
 
     def _log_needs(self) -> None:
         """Log each pool whose need changed, with what it was worked out from."""
@@ -224,18 +230,18 @@
                 vms_read_at=round(self._owner.tables.vms_read_at, 3),
             )
 
-    async def _carry_out(self, operations: list[VMOperation]) -> None:
+    async def _execute(self, operations: list[VMOperation]) -> None:
         now = self._node.clock.now()
         for operation in operations:
             note_operation(self._owner.tables, self.fleet, operation, now)
-        if not await self._record(operations):
+        if not await self._record_operations(operations):
             for operation in operations:
-                self._note_refused(operation)
+                self._record_refused(operation)
             return
-        await asyncio.gather(*(self._operate(each) for each in operations))
-        self._owner.look_at_vms()
+        await asyncio.gather(*(self._send(each) for each in operations))
+        self._owner.refresh_vm_list()
 
-    async def _record(self, operations: list[VMOperation]) -> bool:
+    async def _record_operations(self, operations: list[VMOperation]) -> bool:
         """Write what is about to be sent, and how far the waves are.
 
         The write also shows, right before the operations, that the store still
@@ -248,9 +254,9 @@
             if isinstance(operation, MaintainVM):
                 put = self._encode_wave(operation.wave_id)
                 puts[put.key] = put
-        key = self._tenure.keys.operations
-        puts[key] = Put(key, msgspec.json.encode(self._note_sent(operations)))
-        expects = (self._tenure.expect(), Expect(key, self._operations_revision))
+        key = self._term.keys.operations
+        puts[key] = Put(key, msgspec.json.encode(self._add_sent(operations)))
+        expects = (self._term.expect(), Expect(key, self._operations_revision))
         transaction = Transaction(
             expects, tuple(puts.values()), tuple(each.key for each in expects)
         )
@@ -261,23 +267,23 @@
         if committed.succeeded:
             self._operations_revision = committed.revision
         else:
-            self._take_conflict(committed)
+            self._handle_conflict(committed)
         return committed.succeeded
 
-    def _take_conflict(self, committed: Committed) -> None:
+    def _handle_conflict(self, committed: Committed) -> None:
         """Learn whether another process holds the cell, or which record stands."""
-        if not self._tenure.outlives(committed):
+        if not self._term.outlives(committed):
             return
-        found = committed.read_by_key.get(self._tenure.keys.operations)
+        found = committed.read_by_key.get(self._term.keys.operations)
         self._operations_revision = found.mod_revision if found else Revision(0)
 
     def _encode_wave(self, wave_id: WaveId) -> Put:
         begun = self.fleet.done_by_wave.get(wave_id, set())
         record = WaveRecord(begun=tuple(sorted(begun)))
-        key = f"{self._tenure.keys.waves_prefix}{wave_id}"
+        key = f"{self._term.keys.waves_prefix}{wave_id}"
         return Put(key, msgspec.json.encode(record))
 
-    def _note_sent(self, operations: list[VMOperation]) -> OperationsRecord:
+    def _add_sent(self, operations: list[VMOperation]) -> OperationsRecord:
         wall_ms = round(self._node.clock.wall() * 1_000)
         oldest = wall_ms - round(OPERATIONS_KEPT_SECONDS * 1_000)
         kept = {vm: at for vm, at in self._sent_ms_by_vm.items() if at > oldest}
@@ -285,11 +291,11 @@
         self._sent_ms_by_vm = kept
         return OperationsRecord(sent_ms_by_vm=kept)
 
-    async def _operate(self, operation: VMOperation) -> None:
-        if not self._tenure.holds():
-            self._note_refused(operation)
+    async def _send(self, operation: VMOperation) -> None:
+        if not self._term.holds():
+            self._record_refused(operation)
             return
-        authority = Authority(self._node.id, self._tenure.fence)
+        authority = Authority(self._node.id, self._term.fence)
         lifecycle = self._node.lifecycle
         if isinstance(operation, MoveVM):
             answer = await lifecycle.move(operation.vm_id, operation.pool_id, authority)
@@ -297,9 +303,9 @@
             answer = await lifecycle.maintain(
                 operation.vm_id, operation.wave_id, authority
             )
-        self._take_answer(operation, answer)
+        self._handle_answer(operation, answer)
 
-    def _take_answer(self, operation: VMOperation, answer) -> None:  # type: ignore[no-untyped-def]
+    def _handle_answer(self, operation: VMOperation, answer) -> None:  # type: ignore[no-untyped-def]
         fields = operation.describe()
         if not is_successful(answer):
             error = answer.failure()
@@ -307,7 +313,7 @@
                 Event.VM_OPERATION_UNANSWERED, fault=error.message(), **fields
             )
             if not error.may_follow:
-                self._note_refused(operation)
+                self._record_refused(operation)
             return
         refusal = answer.unwrap()
         if refusal is None:
@@ -316,31 +322,31 @@
             metric = Metric.VMS_MOVED if is_move else Metric.VMS_MAINTAINED
             self._node.metrics.count(metric)
             self._node.log.info(
-                Event.VM_OPERATION_DONE, fence=self._tenure.fence, **fields
+                Event.VM_OPERATION_DONE, fence=self._term.fence, **fields
             )
             return
         self._node.log.warning(
             Event.VM_OPERATION_REFUSED, refusal=refusal.value, **fields
         )
-        self._note_refused(operation)
+        self._record_refused(operation)
 
-    def _note_refused(self, operation: VMOperation) -> None:
+    def _record_refused(self, operation: VMOperation) -> None:
         now = self._node.clock.now()
         note_refused(self._owner.tables, self.fleet, operation, now)
 
-    async def _report(self, wave: WaveProgress) -> None:
+    async def _report_wave(self, wave: WaveProgress) -> None:
         complete = wave.complete
         key, value = self._node.codec.encode_wave_status(wave.id, complete=complete)
         # With the last VMs in the record: a successor that knew of one less told
         # the operator that a complete wave was active again.
         writes = (Put(key, value), self._encode_wave(wave.id))
         # A report that is carried out late must not hide later operations.
-        operations = Expect(self._tenure.keys.operations, self._operations_revision)
-        expects = (self._tenure.expect(), operations)
+        operations = Expect(self._term.keys.operations, self._operations_revision)
+        expects = (self._term.expect(), operations)
         transaction = Transaction(expects, writes, tuple(each.key for each in expects))
         answer = await self._node.store.commit(transaction)
         if is_successful(answer) and not answer.unwrap().succeeded:
-            self._take_conflict(answer.unwrap())
+            self._handle_conflict(answer.unwrap())
         elif is_successful(answer):
             wave.reported = complete
             wave.announced = True
@@ -352,4 +358,4 @@
             )
 
 
-__all__ = ["KeeperOwner", "VMKeeper"]
+__all__ = ["VMManagerOwner", "VMManager"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
@@ -19,9 +19,9 @@
 )
 from medlarspring_daemon.scheduling.end_ledger import EndLedger
 from medlarspring_daemon.scheduling.run_log import (
-    log_refused,
-    log_started,
-    log_unanswered,
+    log_run_started,
+    log_start_refused,
+    log_start_unanswered,
 )
 from medlarspring_daemon.tasks import Tasks
 from medlarspring_systems.scheduling.evidence import note_accepted, note_refusal
@@ -53,12 +53,12 @@
     from medlarspring_tables import Seconds
     from medlarspring_tables.scheduling import Run, Worker
 
-ORDER_SECONDS = 0.35
+ORDER_TIMEOUT_SECONDS = 0.35
 """An order without an answer for so long is taken for lost; most take 4 ms."""
-HOLD_SLACK_SECONDS = 0.35
-SILENT_RETRY_SECONDS = 0.15
+HOLD_TIMEOUT_MARGIN_SECONDS = 0.35
+RETRY_SECONDS = 0.15
 STOP_REPEAT_SECONDS = 0.35
-UNRECORDED_SECONDS = 0.05
+UNRECORDED_WAIT_SECONDS = 0.05
 """Longest pause between calls while ends wait for the store. Until it may forget them
 the worker lists them at once, so that more calls tell only of further ends."""
 
@@ -67,24 +67,24 @@
     """All calls to one worker under one tenure."""
 
     def __init__(
-        self, node: SchedulingNode, tenure: Tenure, owner: LinkOwner, worker: Worker
+        self, node: SchedulingNode, term: Tenure, owner: LinkOwner, worker: Worker
     ) -> None:
         self._node = node
-        self._tenure = tenure
+        self._term = term
         self._owner = owner
         self._worker = worker
         self._address = WorkerAddress(worker.id, worker.address)
         self._wake = asyncio.Event()
-        self._next_call = asyncio.Event()
+        self._call_due = asyncio.Event()
         """Set when a call has something to tell or to learn before its pause ends."""
         self._tasks = Tasks(node.log)
         self._ends = EndLedger(worker.born_ms)
         self._stops_sent: dict[tuple[str, int], Seconds] = {}
-        self._look_now = False
-        self._in_hold = False
-        self._looking = False
+        self._poll_requested = False
+        self._hold_in_flight = False
+        self._side_poll_in_flight = False
 
-    def leads_to(self, address: str) -> bool:
+    def uses_address(self, address: str) -> bool:
         """Tell whether calls go to this address."""
         return self._address.address == address
 
@@ -100,28 +100,32 @@
     def wake(self) -> None:
         """Look at the worker again: there is something to hold, stop or confirm."""
         self._wake.set()
-        if self._look_now:
-            self._next_call.set()
+        if self._poll_requested:
+            self._call_due.set()
         # A call that waits for an end would hold the look back by half a second.
-        if self._look_now and self._in_hold and not self._looking:
-            self._looking = True
-            self._tasks.start(self._look())
-
-    def look(self) -> None:
+        if (
+            self._poll_requested
+            and self._hold_in_flight
+            and not self._side_poll_in_flight
+        ):
+            self._side_poll_in_flight = True
+            self._tasks.start(self._side_poll())
+
+    def poll(self) -> None:
         """Ask the worker now what runs there."""
-        self._look_now = True
+        self._poll_requested = True
         self.wake()
 
-    def note_recorded(self) -> None:
+    def acknowledge_ends(self) -> None:
         """Have the worker forget ends: a job's record holds them now."""
-        self._next_call.set()
+        self._call_due.set()
         self.wake()
 
-    async def _look(self) -> None:
+    async def _side_poll(self) -> None:
         try:
             await self._hold_once(aside=True)
         finally:
-            self._looking = False
+            self._side_poll_in_flight = False
 
     def send_start(self, run: Run) -> None:
         """Order a run whose intent is recorded."""
@@ -154,11 +158,11 @@
     async def _start(self, run: Run) -> None:
         worker = self._worker
         sent_at = self._node.clock.now()
-        if not self._tenure.holds():
+        if not self._term.holds():
             # Left as ordered, the run would be waited for after a pause of the
             # tenure, although nobody was told to start it.
             detach_run(self._owner.tables, run, sent_at)
-            self._owner.note_changed(worker, run)
+            self._owner.handle_detached_run(worker, run)
             return
         until = limit_start(worker, sent_at)
         run.order_ends_ms = until
@@ -167,64 +171,70 @@
             run=run.number,
             payload=run.task.step.job.spec.payload,
             not_after_ms=until,
-            fence=self._tenure.fence,
+            fence=self._term.fence,
             checkpoint=run.checkpoint,
             ticket=self._find_ticket(run),
         )
-        answer = await self._node.orders.start(self._address, order, ORDER_SECONDS)
+        answer = await self._node.orders.start(
+            self._address, order, ORDER_TIMEOUT_SECONDS
+        )
         now = self._node.clock.now()
         self._node.metrics.timing(Metric.RUN_ORDER_MS, (now - sent_at) * 1_000)
-        self._owner.note_order(answered=is_successful(answer))
+        self._owner.record_order(answered=is_successful(answer))
         if not is_successful(answer):
-            self._take_silence(run, answer.failure().may_follow, now)
+            self._handle_unanswered_start(run, answer.failure().may_follow, now)
             return
-        self._note_answered(now)
+        self._record_answered(now)
         note_clock(worker, answer.unwrap().clock_ms, now)
-        self._take_start_answer(run, answer.unwrap(), now)
+        self._handle_start_answer(run, answer.unwrap(), now)
 
     def _find_ticket(self, run: Run) -> str:
         ticket = find_ticket(run.task.step, self._worker)
         return ticket.text if ticket is not None else ""
 
-    def _take_silence(self, run: Run, may_follow: bool, now: Seconds) -> None:
+    def _handle_unanswered_start(
+        self, run: Run, may_follow: bool, now: Seconds
+    ) -> None:
         if run.state is not RunState.ORDERED:
             return
-        log_unanswered(self._node, run, now - run.ordered_at, may_follow=may_follow)
+        log_start_unanswered(
+            self._node, run, now - run.ordered_at, may_follow=may_follow
+        )
         if not may_follow:
             detach_run(self._owner.tables, run, now)
-            self._owner.note_changed(self._worker, run)
-            self._note_unanswered(now)
+            self._owner.handle_detached_run(self._worker, run)
+            self._record_unanswered(now)
             return
         run.state = RunState.UNKNOWN
         run.ordered_at = now
         note_unanswered_order(
             self._owner.tables, self._worker.id, run.task.id, run.number, now
         )
-        self._look_now = True
+        self._poll_requested = True
         self.wake()
 
-    def _take_start_answer(self, run: Run, answer: OrderAnswer, now: Seconds) -> None:
+    def _handle_start_answer(self, run: Run, answer: OrderAnswer, now: Seconds) -> None:
         if answer.refusal is None:
             note_accepted(self._worker)
             if run.state in (RunState.ORDERED, RunState.UNKNOWN):
                 confirm_run(run, now)
-                log_started(self._node, run)
+                log_run_started(self._node, run)
             self.wake()
             return
         if answer.refusal is Refusal.FENCE:
-            self._owner.note_superseded()
+            self._owner.handle_superseded()
             return
-        log_refused(self._node, run, answer.refusal)
+        log_start_refused(self._node, run, answer.refusal)
         if answer.refusal in (Refusal.UNHEALTHY, Refusal.ROOM):
             note_refusal(self._worker, now)
         elif answer.refusal is Refusal.OTHER_LIFE:
-            self._owner.note_silent(self._worker)
+            self._owner.handle_unresponsive_worker(self._worker)
         elif answer.refusal is Refusal.TICKET:
             run.task.step.tickets.pop(self._worker.id, None)
-        run.task.not_before = now + SILENT_RETRY_SECONDS
+        run.task.not_before = now + RETRY_SECONDS
         detach_run(self._owner.tables, run, now)
-        self._owner.note_changed(self._worker, run)
-        self._look_now = True
+        self._owner.handle_detached_run(self._worker, run)
+        self._poll_requested = True
         self.wake()
 
     # Stops and pace
@@ -238,145 +248,149 @@
         self._tasks.start(self._stop(run.task.id, run.number, run))
 
     async def _stop(self, task_id: str, number: int, run: Run | None) -> None:
-        order = StopOrder(task_id, number, self._tenure.fence)
-        answer = await self._node.orders.stop(self._address, order, ORDER_SECONDS)
+        order = StopOrder(task_id, number, self._term.fence)
+        answer = await self._node.orders.stop(
+            self._address, order, ORDER_TIMEOUT_SECONDS
+        )
         now = self._node.clock.now()
         if not is_successful(answer):
             return
         note_clock(self._worker, answer.unwrap().clock_ms, now)
         refusal = answer.unwrap().refusal
         if refusal is Refusal.FENCE:
-            self._owner.note_superseded()
+            self._owner.handle_superseded()
         elif refusal is Refusal.OTHER_LIFE:
-            self._owner.note_silent(self._worker)
+            self._owner.handle_unresponsive_worker(self._worker)
         elif refusal is None:
             if run is not None and not run.stop_confirmed_at:
                 run.stop_confirmed_at = now
-            self._look_now = True
+            self._poll_requested = True
             self.wake()
 
     async def _pace(self, run: Run, percent: int) -> None:
-        order = PaceOrder(run.task.id, run.number, percent, self._tenure.fence)
-        answer = await self._node.orders.pace(self._address, order, ORDER_SECONDS)
+        order = PaceOrder(run.task.id, run.number, percent, self._term.fence)
+        answer = await self._node.orders.pace(
+            self._address, order, ORDER_TIMEOUT_SECONDS
+        )
         if is_successful(answer) and answer.unwrap().refusal is Refusal.FENCE:
-            self._owner.note_superseded()
+            self._owner.handle_superseded()
 
     # Holding
 
     async def _run(self) -> None:
         while not self._worker.gone:
-            if not self._is_needed():
+            if not self._needs_hold():
                 self._wake.clear()
                 await self._wake.wait()
                 continue
-            self._in_hold = True
+            self._hold_in_flight = True
             try:
                 await self._hold_once()
             finally:
-                self._in_hold = False
+                self._hold_in_flight = False
 
-    def _is_needed(self) -> bool:
+    def _needs_hold(self) -> bool:
         worker = self._worker
-        if not worker.settled or worker.unanswered_since or self._look_now:
+        if not worker.settled or worker.unanswered_since or self._poll_requested:
             return True
         if self._ends.find_recorded():
             return True
         return any(run.state is not RunState.INTENDED for run in worker.runs.values())
 
     async def _hold_once(self, *, aside: bool = False) -> None:
-        ends = self._enter_life()
-        wait_ms = plan_wait(self._worker, look_now=self._look_now)
-        self._look_now = False
-        asked_at = self._node.clock.now()
+        ends = self._switch_ledger()
+        wait_ms = plan_wait(self._worker, look_now=self._poll_requested)
+        self._poll_requested = False
+        requested_at = self._node.clock.now()
         order = HoldOrder(
-            fence=self._tenure.fence,
-            acknowledged=0 if aside else ends.find_acknowledged(asked_at),
-            lease_until_ms=self._plan_lease(asked_at),
+            fence=self._term.fence,
+            acknowledged=0 if aside else ends.find_acknowledged(requested_at),
+            lease_until_ms=self._plan_lease(requested_at),
             wait_ms=wait_ms,
             aside=aside,
         )
-        timeout = wait_ms / 1_000.0 + HOLD_SLACK_SECONDS
+        timeout = wait_ms / 1_000.0 + HOLD_TIMEOUT_MARGIN_SECONDS
         answer = await self._node.orders.hold(self._address, order, timeout)
         now = self._node.clock.now()
         if not is_successful(answer):
-            self._note_unanswered(now)
-            await asyncio.sleep(SILENT_RETRY_SECONDS)
+            self._record_unanswered(now)
+            await asyncio.sleep(RETRY_SECONDS)
             return
-        self._take_hold_answer(answer.unwrap(), asked_at, now)
+        self._handle_hold_answer(answer.unwrap(), requested_at, now)
         ends.drop(answer.unwrap().acknowledged)
-        if self._ends and not self._look_now:
-            await self._await_record()
+        if self._ends and not self._poll_requested:
+            await self._wait_for_record()
 
-    def _enter_life(self) -> EndLedger:
+    def _switch_ledger(self) -> EndLedger:
         """Return the ledger of the present life; that of a former one is left."""
         if self._ends.life_ms != self._worker.born_ms:
             self._ends = EndLedger(self._worker.born_ms)
             self._stops_sent.clear()
         return self._ends
 
-    async def _await_record(self) -> None:
+    async def _wait_for_record(self) -> None:
         """Wait until an end is recorded, or another call can't wait.
 
         Asked again at once meanwhile, workers would take a third more calls, each of
         them time in the HTTP client, for answers that tell nothing new.
         """
-        self._next_call.clear()
+        self._call_due.clear()
         if self._ends.find_recorded():
             return
         try:
-            async with asyncio.timeout(UNRECORDED_SECONDS):
-                await self._next_call.wait()
+            async with asyncio.timeout(UNRECORDED_WAIT_SECONDS):
+                await self._call_due.wait()
         except TimeoutError:
             return
 
     def _plan_lease(self, now: Seconds) -> int:
-        if not self._tenure.holds():
+        if not self._term.holds():
             return 0
         return extend_lease(self._worker, self._node.limits.worker_lease, now)
 
-    def _take_hold_answer(
-        self, answer: HoldAnswer, asked_at: Seconds, now: Seconds
+    def _handle_hold_answer(
+        self, answer: HoldAnswer, requested_at: Seconds, now: Seconds
     ) -> None:
         worker = self._worker
         if answer.refusal is Refusal.FENCE:
-            self._owner.note_superseded()
+            self._owner.handle_superseded()
             return
         if answer.refusal is Refusal.OTHER_LIFE:
-            self._note_unanswered(now)
+            self._record_unanswered(now)
             return
         if answer.refusal is not None:
             note_refusal(worker, now)
-            self._note_unanswered(now)
+            self._record_unanswered(now)
             return
         if is_former_life(self._owner.tables, worker.id, answer.born_ms):
             # Said by a former life, and overtaken by the next one's entry.
-            self._note_unanswered(now)
+            self._record_unanswered(now)
             return
-        self._note_answered(now)
+        self._record_answered(now)
         if is_other_life(worker, answer.born_ms):
-            self._owner.note_started_again(worker, answer.born_ms)
-        self._enter_life().note_listed(now)
+            self._owner.handle_worker_restart(worker, answer.born_ms)
+        self._switch_ledger().note_listed(now)
         note_clock(worker, answer.clock_ms, now)
         outcome = take_listing(
             self._owner.tables,
             worker,
             answer.running,
             list(answer.ended),
-            asked_at,
+            requested_at,
             now,
         )
-        first_look = not worker.settled
+        first_answer = not worker.settled
         worker.settled = True
-        if first_look:
+        if first_answer:
             self._refuse_late_orders(now)
-        if first_look and worker.runs:
+        if first_answer and worker.runs:
             # The lease could not be extended before the worker's clock was known.
-            self._look_now = True
+            self._poll_requested = True
         for number, job in outcome.ends:
             self._ends.add(number, job)
         for run in outcome.confirmed:
-            log_started(self._node, run)
-        self._settle_rest(outcome)
+            log_run_started(self._node, run)
+        self._send_due_stops(outcome)
         self._owner.note_listing(worker, outcome)
 
     def _refuse_late_orders(self, now: Seconds) -> None:
@@ -384,7 +398,7 @@
         for task_id, number in take_late_orders(self._owner.tables, self._worker, now):
             self._tasks.start(self._stop(task_id, number, None))
 
-    def _settle_rest(self, outcome: ListingOutcome) -> None:
+    def _send_due_stops(self, outcome: ListingOutcome) -> None:
         for run in outcome.absent:
             self._stop_when_due(run)
         for run in self._worker.runs.values():
@@ -401,9 +415,9 @@
             )
             self._tasks.start(self._stop(task_id, number, None))
         if outcome.strangers:
-            self._look_now = True
+            self._poll_requested = True
 
-    def _note_answered(self, now: Seconds) -> None:
+    def _record_answered(self, now: Seconds) -> None:
         worker = self._worker
         worker.answered_at = now
         if worker.unanswered_since:
@@ -416,7 +430,7 @@
                 silent_ms=round(silent * 1_000),
             )
 
-    def _note_unanswered(self, now: Seconds) -> None:
+    def _record_unanswered(self, now: Seconds) -> None:
         worker = self._worker
         self._ends.note_unanswered()
         if not worker.unanswered_since:
@@ -427,7 +441,7 @@
                 vm=worker.vm_id,
                 runs=len(worker.runs),
             )
-        self._owner.note_silent(worker)
+        self._owner.handle_unresponsive_worker(worker)
 
 
 __all__ = ["WorkerLink"]
--- a/packages/daemon/tests/scheduling/test_crashing_tasks.py
+++ b/packages/daemon/tests/scheduling/test_crashing_tasks.py
@@ -25,7 +25,7 @@
 BETWEEN_OUTAGES_SECONDS = 3.5
 SMALL = StepSpec(count=5, cpu_millis=1_500, memory_mb=256, estimate_ms=600)
 GANG = StepSpec(count=3, cpu_millis=1_500, memory_mb=256, estimate_ms=600, gang=True)
-LASTING = StepSpec(count=3, cpu_millis=1_500, memory_mb=256, long_running=True)
+LONG_RUNNING = StepSpec(count=3, cpu_millis=1_500, memory_mb=256, long_running=True)
 
 
 async def submit_crashing(
@@ -46,7 +46,7 @@
             await asyncio.sleep(0.2)
 
 
-async def take_over_again_and_again(world: World) -> None:
+async def force_takeovers(world: World) -> None:
     """End each controller some moments after it has taken the cell over."""
     while True:
         controller = world.find_controller()
@@ -58,31 +58,31 @@
 
 
 @pytest.mark.parametrize("after", [CRASH_SECONDS, 1.5], ids=["at once", "late"])
-def test_task_that_crashes_its_workers_is_given_up_and_its_neighbours_are_not(
+def test_crashing_task_fails_while_other_jobs_complete(
     after: float,
 ):
     """Guards against a task that crashes one worker after the other without end."""
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         crashing = await submit_crashing(customers, after=after)
-        neighbours = await submit(customers, 6)
+        others = await submit(customers, 6)
         await wait_until_failed(customers, crashing)
-        await wait_for_end(customers, neighbours)
+        await wait_for_end(customers, others)
 
-    play(story, SEED)
+    play(scenario, SEED)
 
 
-@pytest.mark.parametrize("step", [GANG, LASTING], ids=["gang", "long-running"])
-def test_any_kind_of_task_that_crashes_its_workers_is_given_up(step: StepSpec):
+@pytest.mark.parametrize("step", [GANG, LONG_RUNNING], ids=["gang", "long-running"])
+def test_crashing_tasks_of_other_kinds_fail(step: StepSpec):
     """Guards against kinds of tasks that no count of crashes reaches."""
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         crashing = await submit_crashing(customers, step)
-        neighbours = await submit(customers, 6)
+        others = await submit(customers, 6)
         await wait_until_failed(customers, crashing)
-        await wait_for_end(customers, neighbours)
+        await wait_for_end(customers, others)
 
-    play(story, SEED)
+    play(scenario, SEED)
 
 
 @pytest.mark.parametrize(
@@ -96,7 +96,7 @@
         pytest.param(1.0, 0.0, 0.5, True, id="all of them"),
     ],
 )
-def test_crashes_under_a_task_are_not_forgotten(
+def test_crash_counts_survive_disruptions(
     same_id_part: float,
     away_seconds: float,
     lost_answers: float,
@@ -107,26 +107,26 @@
     monkeypatch.setattr(fleet_model, "SAME_ID_PART", same_id_part)
     monkeypatch.setattr(fleet_model, "CRASHED_SECONDS", (away_seconds, away_seconds))
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         crashing = await submit_crashing(customers)
         world.weather.lost_answers = lost_answers
-        ending = asyncio.ensure_future(take_over_again_and_again(world))
+        takeover_loop = asyncio.ensure_future(force_takeovers(world))
         if not takeovers:
-            ending.cancel()
+            takeover_loop.cancel()
         await wait_until_failed(customers, crashing)
-        ending.cancel()
+        takeover_loop.cancel()
         world.weather.lost_answers = 0.0
 
     for seed in range(SEED, SEED + 5):
-        play(story, seed)
+        play(scenario, seed)
 
 
-def test_tasks_beside_lost_zones_are_not_given_up():
+def test_zone_outages_fail_no_tasks():
     """Guards against jobs shown as failed because their zone was lost several times."""
 
-    async def story(world: World, customers: Customers) -> None:
-        lasting_id, lasting = customers.create_lasting()
-        assert await customers.submit("archive", lasting_id, lasting)
+    async def scenario(world: World, customers: Customers) -> None:
+        long_job, long_spec = customers.create_lasting()
+        assert await customers.submit("archive", long_job, long_spec)
         jobs: list[JobId] = []
         for number in range(OUTAGES):
             jobs += await submit(customers, 12)
@@ -137,7 +137,7 @@
                     world.fleet.crash(vm.id, OUTAGE_SECONDS)
             await asyncio.sleep(BETWEEN_OUTAGES_SECONDS)
         await wait_for_end(customers, jobs)
-        assert await customers.ask(lasting_id) == "active"
+        assert await customers.ask(long_job) == "active"
 
     for seed in range(SEED, SEED + 5):
-        play(story, seed)
+        play(scenario, seed)
--- a/packages/daemon/tests/scheduling/test_load_gauge.py
+++ b/packages/daemon/tests/scheduling/test_overload_detector.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from medlarspring_daemon.scheduling.load_gauge import LoadGauge
+from medlarspring_daemon.scheduling.overload_detector import OverloadDetector
 
 from .stories import play, submit, wait_for_end
 
@@ -16,7 +16,7 @@
     from medlarspring_bench.platform_world.world import World
 
 SEED = 5
-WEAK_CORES = 0.5
+FEW_CORES = 0.5
 
 
 @pytest.mark.parametrize(
@@ -24,39 +24,37 @@
     [(200, 0, False), (200, 50, False), (60, 60, True), (200, 100, True)],
     ids=["all answered", "a quarter lost", "none answered", "half lost"],
 )
-def test_orders_without_answers_show_a_process_that_can_not_keep_up(
+def test_unanswered_orders_mean_overload(
     orders: int, unanswered: int, is_overloaded: bool
 ):
-    gauge = LoadGauge()
+    detector = OverloadDetector()
     for number in range(orders):
         lost = number * unanswered // orders != (number + 1) * unanswered // orders
-        gauge.note_order(answered=not lost)
-    assert gauge.is_overloaded() == is_overloaded
+        detector.record_order(answered=not lost)
+    assert detector.is_overloaded() == is_overloaded
 
 
 @pytest.mark.parametrize(
     ("late", "is_overloaded"), [(0.05, False), (0.2, True)], ids=["usual", "late"]
 )
-def test_late_timers_show_a_process_that_can_not_keep_up(
-    late: float, is_overloaded: bool
-):
-    gauge = LoadGauge()
+def test_late_timers_mean_overload(late: float, is_overloaded: bool):
+    detector = OverloadDetector()
     for _ in range(100):
-        gauge.note_tick(late)
-    assert gauge.is_overloaded() == is_overloaded
+        detector.record_timer_delay(late)
+    assert detector.is_overloaded() == is_overloaded
 
 
-def test_weak_controller_whose_orders_stay_unanswered_gives_the_cell_up():
+def test_slow_controller_with_unanswered_orders_releases_the_cell():
     """Guards against a slow entry VM that keeps a cell whose orders it can't deliver.
 
     It took its workers for silent, gave their tasks up with their leases, and started
     again what had been done long since.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         controller = world.find_controller()
         assert controller is not None
-        world.nodes_by_name[controller].service._node.cores = WEAK_CORES  # noqa: SLF001
+        world.nodes_by_name[controller].service._node.cores = FEW_CORES  # noqa: SLF001
         world.weather.lost_orders = 0.8
         jobs = await submit(customers, 40)
         async with asyncio.timeout(5.0):
@@ -65,4 +63,4 @@
         world.weather.lost_orders = 0.0
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    play(scenario, SEED)
--- a/packages/daemon/tests/scheduling/test_resized_workers.py
+++ b/packages/daemon/tests/scheduling/test_resized_workers.py
@@ -25,10 +25,10 @@
         world.fleet.resize(vm_id, room)
 
 
-def test_start_that_was_decided_before_the_room_shrank_is_not_ordered():
+def test_planned_start_is_not_ordered_after_resources_shrank():
     """Guards against orders by a room that shrank while they were being recorded."""
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         world.weather.store_seconds = SLOW_STORE_SECONDS
         jobs = await submit(customers, 1)
         while not any(
@@ -46,13 +46,13 @@
         resize_all(world, world.plan.room)
         await wait_for_end(customers, jobs)
 
-    play(story, SEED, plan=UNGUARDED)
+    play(scenario, SEED, plan=UNGUARDED)
 
 
-def test_waiting_work_starts_as_soon_as_room_grows_again():
+def test_waiting_tasks_start_once_resources_grow_again():
     """Guards against work that waits on beside room that a worker has again."""
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         resize_all(world, TINY)
         await asyncio.sleep(0.5)
         jobs = await submit(customers, 4)
@@ -64,13 +64,13 @@
                 await asyncio.sleep(0.01)
         await wait_for_end(customers, jobs)
 
-    play(story, SEED, plan=UNGUARDED)
+    play(scenario, SEED, plan=UNGUARDED)
 
 
-def test_takeover_tells_of_no_resized_workers():
+def test_takeover_logs_no_resized_workers():
     """Guards against workers that look resized since only records named them."""
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         jobs = await submit(customers, 8)
         controller = world.find_controller()
         assert controller is not None
@@ -78,4 +78,4 @@
         await wait_for_end(customers, jobs)
         assert not any("worker_resized" in log.getvalue() for _, log in world.logs)
 
-    play(story, SEED)
+    play(scenario, SEED)
--- a/packages/daemon/tests/scheduling/test_worker_calls.py
+++ b/packages/daemon/tests/scheduling/test_worker_calls.py
@@ -46,7 +46,7 @@
     return calls
 
 
-def test_worker_is_not_asked_without_pause_while_its_ends_cannot_be_recorded(
+def test_worker_with_unrecorded_ends_is_not_polled_without_pause(
     calls_by_worker: Counter[str],
 ):
     """
@@ -55,7 +55,7 @@
     the controller's time for nothing while it had most to do.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         world.weather.leases_pause = True
         jobs = await submit(customers, 12)
         await asyncio.sleep(0.1)
@@ -67,7 +67,7 @@
         assert most <= CALLS_PER_SECOND * OUTAGE_SECONDS
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    play(scenario, SEED)
 
 
 def test_ends_take_few_calls(calls_by_worker: Counter[str]):
@@ -76,7 +76,7 @@
     call and forgotten with another one; calls between the two tell nothing.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         world.weather.store_seconds = 0.008
         before = Counter(calls_by_worker)
         jobs = await submit(customers, 20)
@@ -86,4 +86,4 @@
         assert ends > 0
         assert calls <= CALLS_PER_END * ends
 
-    play(story, SEED)
+    play(scenario, SEED)
--- a/packages/daemon/tests/scheduling/test_worker_lives.py
+++ b/packages/daemon/tests/scheduling/test_worker_restarts.py
@@ -27,62 +27,62 @@
 
 
 @pytest.mark.parametrize("seconds", [0.0, AWAY_SECONDS], ids=["unseen", "away"])
-def test_pool_serves_again_after_all_its_workers_started_again(seconds: float):
+def test_pool_runs_jobs_after_all_its_workers_restarted(seconds: float):
     """
     Two accepted jobs waited to the end of a day with most of their pool's room free.
     By then 50 workers had started again under their ids, and of the runs that the
     workers' side showed, 28 were on them before that and none after it.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         for _ in range(3):
             restart_all(world, seconds)
             await asyncio.sleep(seconds + BACK_SECONDS)
         await wait_for_end(customers, await submit(customers))
 
-    play(story, SEED)
+    play(scenario, SEED)
 
 
-def test_ends_of_a_life_that_nobody_saw_begin_are_taken():
+def test_ends_after_unnoticed_restart_are_recorded():
     """
     A worker starts again so quickly that no list shows it away. It counts its ends
     from 1 again; taken for ends known long ago they were passed over and
     acknowledged, and tasks that were done ran a second time.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         await wait_for_end(customers, await submit(customers))
         restart_all(world, 0.0)
         await wait_for_end(customers, await submit(customers))
 
-    play(story, SEED)
+    play(scenario, SEED)
 
 
-def test_tasks_of_a_life_that_is_over_run_again_at_once():
+def test_tasks_of_an_ended_incarnation_rerun_at_once():
     """
     Workers start again while they run tasks, and hold and know nothing of them.
     Their tasks go elsewhere or there again, without waiting for a lease to end.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         jobs = await submit(customers)
         await asyncio.sleep(0.3)
         restart_all(world, 0.0)
         async with asyncio.timeout(LEASE_SECONDS):
             await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    play(scenario, SEED)
 
 
 @pytest.mark.parametrize("seconds", [0.0, AWAY_SECONDS], ids=["unseen", "away"])
-def test_next_life_refuses_what_its_former_one_left_unanswered(seconds: float):
+def test_restarted_worker_refuses_former_unanswered_orders(seconds: float):
     """
     A start gets no answer; a stop settles it, and the task runs elsewhere. Then the
     worker starts again and knows nothing of that stop. An order that is carried out
     seconds late would run the task a second time, so the next life is told too.
     """
 
-    async def story(world: World, customers: Customers) -> None:
+    async def scenario(world: World, customers: Customers) -> None:
         world.weather.lost_orders = 1.0
         jobs = await submit(customers, 2)
         await asyncio.sleep(0.3)
@@ -101,4 +101,4 @@
             assert task_id in worker.refused_up_to
         await wait_for_end(customers, jobs)
 
-    play(story, SEED)
+    play(scenario, SEED)
