--- a/packages/daemon/src/medlarspring_daemon/scheduling/advice_fetcher.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/advice_fetcher.py
@@ -1,4 +1,4 @@
-"""Asks the adviser on which workers the steps of restricted queues may run."""
+"""Fetches the adviser's decisions on which workers may run restricted queues' steps."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
     from medlarspring_tables.scheduling import WorkTables
 
 IDLE_SECONDS = 0.02
-"""Pause while there is nothing to ask."""
+"""Pause while no advice is needed."""
 UNRESTRICTED_SECONDS = 0.5
 """Pause while no queue is restricted."""
 RETRY_SECONDS = 0.2
-"""Pause after a call without advice; the adviser refuses when too many wait."""
+"""Pause after a failed call; the adviser refuses calls when too many are waiting."""
 
 
 class AdviceFetcherOwner(Protocol):
-    """What the desk needs of its controller."""
+    """The part of the cell's controller that the fetcher uses."""
 
     tables: WorkTables
 
     def plan(self, pool_id: PoolId) -> None:
-        """Place what waits in a pool, soon."""
+        """Schedule a placement round for a pool's waiting tasks."""
         ...
 
 
 class AdviceFetcher:
-    """One question after the other, the most urgent first."""
+    """Sends one request at a time to the adviser, the most urgent step first."""
 
     def __init__(
         self, node: SchedulingNode, adviser: Adviser, owner: AdviceFetcherOwner
@@ -45,11 +45,11 @@
         self._adviser = adviser
         self._owner = owner
         self._checked_version = -1
-        """Version of the configuration that ``_needed`` was taken from."""
+        """Version of the configuration that ``_any_restricted`` was computed from."""
         self._any_restricted = False
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Fetch advice until cancelled."""
         while True:
             if not self._has_restricted_queue():
                 await asyncio.sleep(UNRESTRICTED_SECONDS)
@@ -61,7 +61,7 @@
             await self._fetch(request)
 
     def _has_restricted_queue(self) -> bool:
-        """Tell whether any queue is restricted; looked up once a configuration."""
+        """Return whether any queue is restricted; cached per configuration version."""
         config = self._owner.tables.config
         if config.version != self._checked_version:
             self._checked_version = config.version
--- a/packages/daemon/src/medlarspring_daemon/scheduling/link_owner.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/link_owner.py
@@ -1,4 +1,4 @@
-"""What the links to workers tell the controller of their cell."""
+"""The interface through which worker links report to their cell's controller."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 
 class LinkOwner(Protocol):
-    """What a link tells the controller of its cell."""
+    """The part of the cell's controller that a worker link uses."""
 
     tables: WorkTables
 
     def note_listing(self, worker: Worker, outcome: ListingOutcome) -> None:
-        """Record what a listing changed, and plan anew."""
+        """Record what a listing changed, and schedule a placement round."""
         ...
 
     def handle_detached_run(self, worker: Worker, run: Run) -> None:
-        """Record that a run is over or was refused, and plan anew."""
+        """Record that a run was not started, and schedule a placement round."""
         ...
 
     def handle_unresponsive_worker(self, worker: Worker) -> None:
-        """Look whether a worker that does not answer is still alive."""
+        """Check whether a worker that does not answer is still running."""
         ...
 
     def handle_worker_restart(self, worker: Worker, born_ms: Milliseconds) -> None:
-        """Note that a worker speaks from another life than the one that is known."""
+        """Switch to a worker's new incarnation, which began at ``born_ms``."""
         ...
 
     def record_order(self, *, answered: bool) -> None:
-        """Note whether a worker answered an order in time."""
+        """Record whether a worker answered a start order in time."""
         ...
 
     def handle_superseded(self) -> None:
-        """Stop: a controller with a higher fence has been at a worker."""
+        """End the term: a worker has seen a controller with a higher fence."""
         ...
 
 
--- a/packages/daemon/src/medlarspring_daemon/scheduling/load_reporter.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/load_reporter.py
@@ -1,4 +1,4 @@
-"""Tells customers' entry VMs and the metrics how much work a cell has."""
+"""Publishes a cell's load: waiting jobs by queue for entry VMs, counts as metrics."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     from medlarspring_tables.scheduling import WorkTables
 
 PUBLISH_SECONDS = 0.8
-"""Counts of waiting jobs are published so often; customers may see 2 s old ones."""
+"""Interval of publication; customers may be shown counts that are up to 2 s old."""
 
 
 class LoadReporter:
-    """Publishes the counts of a cell whenever they changed."""
+    """Updates the load metrics, and writes the waiting jobs to the store on change."""
 
     def __init__(self, node: SchedulingNode, term: Tenure, tables: WorkTables) -> None:
         self._node = node
@@ -34,7 +34,7 @@
         self._published: dict[str, int] | None = None
 
     async def run(self) -> None:
-        """Report until cancelled."""
+        """Publish the load until cancelled."""
         while True:
             self._update_metrics()
             await self._publish()
--- a/packages/daemon/src/medlarspring_daemon/scheduling/operator_records.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/operator_records.py
@@ -1,4 +1,4 @@
-"""Follows what the operator writes: the configuration and maintenance waves."""
+"""Follows the operator's records in the store: configuration and maintenance waves."""
 
 from __future__ import annotations
 
@@ -20,39 +20,43 @@
     from medlarspring_tables.scheduling import OperatorConfig, WaveOrder
 
 RETRY_SECONDS = 0.05
-"""Pause before the operator's records are read again after a lost watch."""
+"""Shortest pause before the records are read again after the watch was lost."""
 
 
 class OperatorRecords:
-    """The operator's records as this process has read them."""
+    """The operator's records as last read by this process.
+
+    Implements ``PrefixListener``. A record that cannot be decoded is logged and leaves
+    the last readable version in force.
+    """
 
     def __init__(self, node: SchedulingNode) -> None:
         self._node = node
         self.config: OperatorConfig | None = None
         self.config_applied_at: Seconds = 0.0
         self.waves_by_key: dict[str, tuple[WaveOrder, Seconds]] = {}
-        """Orders by key, with the time at which each was first seen."""
+        """Wave orders by store key, each with the time at which it was first seen."""
         self.listeners: list[Callable[[], None]] = []
-        """Called when the configuration or a wave changed."""
+        """Called after each listing or batch of changes."""
         self._routes: RouteIndex = {}
         self._follower = PrefixFollower(
             node.store, node.codec.operator_prefix, self, node.rng, RETRY_SECONDS
         )
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start following the records."""
         self._follower.start()
 
     async def stop(self) -> None:
-        """End the watch."""
+        """Stop following the records."""
         await self._follower.stop()
 
     def match(self, host: str, path: str) -> RouteMatch | None:
-        """Return the queue that host and path lead to."""
+        """Return the queue that a host and path are routed to, or None."""
         return match_route(self._routes, host, path)
 
     def take_listing(self, listing: Listing) -> None:
-        """Take all of the operator's records."""
+        """Replace the known records by a full listing."""
         seen = {entry.key for entry in listing.entries}
         for key in list(self.waves_by_key):
             if key not in seen:
@@ -62,7 +66,7 @@
         self._notify_listeners()
 
     def take_batch(self, batch: WatchBatch) -> None:
-        """Take what changed."""
+        """Apply a batch of changed and deleted records."""
         for key in batch.deleted:
             self.waves_by_key.pop(key, None)
             self._node.unreadable.forget(key)
@@ -87,8 +91,8 @@
             return
         self._node.unreadable.forget(entry.key)
         config = decoded.unwrap()
-        # A lagging replica may answer with an older version after a newer one was
-        # in force; callers would see a dropped queue come back.
+        # A lagging store replica may return an older version after a newer one was
+        # applied; applying it would bring removed queues back for callers.
         if self.config is not None and config.version <= self.config.version:
             return
         self.config = config
--- a/packages/daemon/src/medlarspring_daemon/scheduling/overload_detector.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/overload_detector.py
@@ -1,4 +1,4 @@
-"""Tells whether a process keeps up with the cell that it controls."""
+"""Detects whether a controller process keeps up with the work of its cell."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 
 LAG_SMOOTHING = 0.05
 MAX_LAG_SECONDS = 0.12
-"""Timers that are so late on average mean that orders wait as long in the process."""
+"""Highest mean timer delay; orders wait in this process for about as long."""
 UNANSWERED_SMOOTHING = 0.02
-"""Weight of one order: the mean follows the last fifty or so."""
+"""Weight of one order, so that the mean covers about the last 50 orders."""
 MAX_UNANSWERED_FRACTION = 0.35
-"""Part of the orders without an answer. Workers that are cut off get no more orders
-soon, so that more than a third means that the calls are held up on this side."""
+"""Highest fraction of orders without an answer. Unreachable workers soon get no more
+orders, so a fraction above a third means that calls are delayed in this process."""
 
 
 class OverloadDetector:
-    """Smooths how late timers are, and how many orders stay without an answer."""
+    """Tracks moving averages of the timer delay and of the unanswered orders."""
 
     def __init__(self) -> None:
         self._lag: Seconds = 0.0
         self._unanswered_fraction = 0.0
 
     def record_timer_delay(self, late: Seconds) -> None:
-        """Note by how much a timer was late."""
+        """Record by how much a timer was late, in seconds."""
         self._lag += LAG_SMOOTHING * (late - self._lag)
 
     def record_order(self, *, answered: bool) -> None:
-        """Note whether an order to a worker was answered in time."""
+        """Record whether a worker answered an order in time."""
         self._unanswered_fraction += UNANSWERED_SMOOTHING * (
             (not answered) - self._unanswered_fraction
         )
 
     def is_overloaded(self) -> bool:
-        """Tell whether orders wait in this process, or on its way to the workers."""
+        """Return whether orders are delayed in this process or on the way to workers."""
         return (
             self._lag > MAX_LAG_SECONDS
             or self._unanswered_fraction > MAX_UNANSWERED_FRACTION
--- a/packages/daemon/src/medlarspring_daemon/scheduling/run_log.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/run_log.py
@@ -1,4 +1,4 @@
-"""Log lines and metrics of what becomes of runs, of their workers and jobs."""
+"""Log lines and metrics for the progress of runs, and of their workers and jobs."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def log_run_started(node: SchedulingNode, run: Run) -> None:
-    """Log a run that its worker confirmed."""
+    """Log a run whose start its worker confirmed."""
     waited_ms = (run.confirmed_at - run.task.waiting_since) * 1_000
     node.metrics.count(Metric.RUNS_STARTED)
     node.metrics.timing(Metric.RUN_WAIT_MS, waited_ms)
@@ -48,7 +48,10 @@
 def log_start_unanswered(
     node: SchedulingNode, run: Run, waited: Seconds, *, may_follow: bool
 ) -> None:
-    """Log a start that got no answer; it ``may_follow`` later all the same."""
+    """Log a start order without an answer; ``may_follow`` if it may still be executed.
+
+    ``waited`` is the time since the order was sent.
+    """
     node.metrics.count(Metric.RUNS_UNANSWERED)
     node.log.warning(
         Event.RUN_UNANSWERED,
@@ -61,7 +64,7 @@
 
 
 def log_start_refused(node: SchedulingNode, run: Run, refusal: Refusal) -> None:
-    """Log a start that its worker refused."""
+    """Log a start order that the worker refused."""
     node.metrics.count(Metric.RUNS_REFUSED)
     node.log.warning(
         Event.RUN_REFUSED,
@@ -75,7 +78,7 @@
 
 
 def log_run_ended(node: SchedulingNode, run: Run, end: RunEnd) -> None:
-    """Log an end that a worker listed."""
+    """Log the end of a run, as listed by its worker."""
     if end is RunEnd.FAILED:
         node.metrics.count(Metric.RUNS_FAILED)
     node.log.info(
@@ -90,7 +93,7 @@
 
 
 def log_run_lost(node: SchedulingNode, run: Run, reason: str) -> None:
-    """Log a run that is over without an end."""
+    """Log a run that is over although no worker listed its end."""
     ran_ms = (node.clock.now() - run.started_at) * 1_000 if run.started_at else 0.0
     node.metrics.count(Metric.RUNS_LOST)
     node.log.warning(
@@ -110,7 +113,7 @@
     vms_read_at: Seconds,
     verdict: CrashVerdict,
 ) -> None:
-    """Log a worker whose life is over; called while its runs are still entered."""
+    """Log the end of a worker's incarnation; call it before its runs are detached."""
     if not verdict.planned:
         node.metrics.count(Metric.WORKERS_CRASHED)
     node.log.warning(
@@ -131,7 +134,7 @@
 
 
 def log_worker_quarantined(node: SchedulingNode, worker: Worker) -> None:
-    """Log a worker that is set aside."""
+    """Log a worker that was quarantined."""
     node.log.warning(
         Event.WORKER_DOUBTED,
         worker=worker.id,
@@ -149,7 +152,11 @@
     lost: int,
     verdict: CrashVerdict,
 ) -> None:
-    """Log a worker that keeps its id over a restart."""
+    """Log a worker that restarted under the same id.
+
+    ``former_ms`` is the start of its previous incarnation, ``lost`` the number of its
+    runs that ended with that incarnation.
+    """
     node.log.warning(
         Event.WORKER_STARTED_AGAIN,
         worker=worker.id,
@@ -165,7 +172,7 @@
 def log_worker_resized(
     node: SchedulingNode, worker: Worker, former: Room, revision: Revision
 ) -> None:
-    """Log a worker whose room shrank or grew."""
+    """Log a worker whose resources shrank or grew."""
     node.log.info(
         Event.WORKER_RESIZED,
         worker=worker.id,
@@ -183,7 +190,7 @@
 
 
 def log_job_ended(node: SchedulingNode, job: ActiveJob) -> None:
-    """Log a job whose end is recorded."""
+    """Log a job whose end is recorded in the store."""
     assert job.outcome is not None
     took_ms = node.clock.wall() * 1_000 - job.accepted_at_ms
     node.metrics.count(METRICS_BY_OUTCOME[job.outcome])
--- a/packages/daemon/src/medlarspring_daemon/scheduling/store_monitor.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/store_monitor.py
@@ -1,4 +1,4 @@
-"""Logs when this process loses the store, and when it has it back."""
+"""Logs when the store stops answering this process, and when it answers again."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
     from medlarspring_tables import Seconds
 
 LOST_SECONDS = 0.3
-"""The store counts as lost once it fails all calls for so long."""
+"""The store counts as lost after all calls have failed for this long."""
 CHECK_SECONDS = 0.1
 
 
 class StoreMonitor:
-    """Looks at the store's health; a single missed call is no loss."""
+    """Checks the store's health periodically; a single failed call is not an outage."""
 
     def __init__(self, node: SchedulingNode) -> None:
         self._node = node
         self._lost_since: Seconds | None = None
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check until cancelled."""
         while True:
             await asyncio.sleep(CHECK_SECONDS)
             self._check()
