--- a/packages/daemon/src/medlarspring_daemon/scheduling/overload_detector.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/overload_detector.py
@@ -35,7 +35,7 @@
         )
 
     def is_overloaded(self) -> bool:
-        """Return whether orders are delayed in this process or on the way to workers."""
+        """Return whether orders are delayed in this process or on their way out."""
         return (
             self._lag > MAX_LAG_SECONDS
             or self._unanswered_fraction > MAX_UNANSWERED_FRACTION
--- a/packages/daemon/src/medlarspring_daemon/scheduling/vm_manager.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/vm_manager.py
@@ -41,44 +41,46 @@
 
 TICK_SECONDS = 0.2
 SEPARATION_MARGIN_SECONDS = 0.2
-"""Added to the times that keep two holders' operations apart."""
+"""Added to the minimum times between the operations of two controllers."""
 RETRY_SECONDS = 0.2
 OPERATIONS_KEPT_SECONDS = 10.0
-"""Older operations are no concern of a successor."""
+"""Older operations need no waiting time from the next controller and are dropped."""
 
 Answer = TypeVar("Answer")
 
 
 class VMManagerOwner(Protocol):
-    """What the keeper needs of its controller."""
+    """The part of the cell's controller that the VM manager uses."""
 
     tables: WorkTables
 
     def stop_run(self, run: Run, reason: str) -> None:
-        """Have a run stopped."""
+        """Order a run's worker to stop it."""
         ...
 
     def plan(self, pool_id: PoolId) -> None:
-        """Place what waits in a pool, soon."""
+        """Schedule a placement round for a pool's waiting tasks."""
         ...
 
     def refresh_vm_list(self) -> None:
-        """Read the VM list soon."""
+        """Request an early read of the VM list."""
         ...
 
 
 class VMManager:
-    """All operations on VMs under one tenure.
-
-    The platform does not check fences of these operations, so two holders must
-    keep apart by time. Each operation is recorded under the holder's key before it
-    is sent, and only while the tenure holds. So once this one is elected, a
-    predecessor that was paused or cut off, or whose key the store took away, can
-    still send only what its last record names; those VMs are left alone until the
-    platform's time between two holders has passed since the last moment at which
-    it could do so. All other VMs may be moved at once: waiting for the whole lease
-    cost each takeover 1.6 s in which the pool in turn got no VMs. Maintenance
-    waits for it all the same, because a wave's limit counts all of its VMs.
+    """Plans and sends all operations on VMs during one leadership term.
+
+    The platform does not check fences on these operations, so the operations of two
+    controllers must be separated in time. Each operation is recorded in the store
+    before it is sent, in a transaction that requires the controller's key, and only
+    during its term. After an election, a previous controller that was paused,
+    disconnected or lost its key can therefore send only operations named in its last
+    record. Their VMs are not operated on until the separation that the platform
+    requires has passed since the last moment at which it could send them.
+
+    All other VMs may be moved at once: waiting for the previous controller's whole
+    lease delayed each takeover by 1.6 s, during which a pool with a burst got no VMs.
+    Maintenance does wait for it, because a wave's limit applies to all of its VMs.
     """
 
     def __init__(
@@ -99,7 +101,7 @@
         self._moves_allowed_at: Seconds = term.began_at
         self._sent_ms_by_vm: dict[str, int] = {}
         self._operations_revision = Revision(0)
-        """Store revision of the record of operations; 0 before the first one."""
+        """Store revision of the operations record; 0 before the first one."""
         self._sizes_recorded = False
         self._logged_vms: dict[PoolId, int] = {}
 
@@ -121,14 +123,14 @@
             wave_id = entry.key.removeprefix(prefix)
             record = self._node.unreadable.decode(entry, WaveRecord)
             if record is None:
-                # Its VMs are maintained again: late, but none is left out.
+                # Its VMs are maintained again. That delays the wave, but skips no VM.
                 continue
             self.fleet.done_by_wave[WaveId(wave_id)] = {
                 VMId(vm_id) for vm_id in record.begun
             }
 
     async def _load_sizes(self) -> None:
-        """Take the pools' first sizes over, or record them if nobody has."""
+        """Load the pools' first sizes, if a previous controller recorded them."""
         key = self._term.keys.sizes
         entry = await self._read_with_retry(lambda: self._node.store.read(key))
         if entry is None:
@@ -142,7 +144,10 @@
             self.fleet.sizes_known = True
 
     async def _load_operations(self) -> None:
-        """Leave the VMs alone that predecessors operated on a moment ago."""
+        """Block operations on the VMs that previous controllers operated on lately.
+
+        If the record cannot be read, all operations wait for the full separation.
+        """
         key = self._term.keys.operations
         entry = await self._read_with_retry(lambda: self._node.store.read(key))
         if entry is None:
@@ -155,7 +160,8 @@
             )
             self._maintenance_allowed_at = self._moves_allowed_at
             return
-        # The next record replaces this one, and a successor relies on it alone.
+        # This controller's record replaces the loaded one, and the next controller
+        # reads only the latest record.
         self._sent_ms_by_vm = dict(record.sent_ms_by_vm)
         now, wall_ms = self._node.clock.now(), self._node.clock.wall() * 1_000
         separation = LEASE_SECONDS + self._get_separation()
@@ -166,7 +172,7 @@
     async def _read_with_retry(
         self, read: Callable[[], Awaitable[Result[Answer, StoreError]]]
     ) -> Answer:
-        """Read from the store until it answers."""
+        """Repeat a read from the store until it succeeds."""
         while True:
             answer = await read()
             if is_successful(answer):
@@ -174,7 +180,7 @@
             await asyncio.sleep(RETRY_SECONDS)
 
     def _get_separation(self) -> Seconds:
-        """Return how far apart two holders' operations on one VM must be."""
+        """Return the minimum time between two controllers' operations on one VM."""
         return self._node.limits.vm_lease + SEPARATION_MARGIN_SECONDS
 
     async def _record_sizes(self) -> None:
@@ -209,12 +215,12 @@
             await self._report_wave(wave)
 
     def _find_start(self, operation: VMOperation) -> Seconds:
-        """Return from when on this tenure may send an operation."""
+        """Return the time from which an operation may be sent in this term."""
         is_move = isinstance(operation, MoveVM)
         return self._moves_allowed_at if is_move else self._maintenance_allowed_at
 
     def _log_needs(self) -> None:
-        """Log each pool whose need changed, with what it was worked out from."""
+        """Log each pool whose need changed, with the figures behind it."""
         for pool_id, need in self.fleet.needs_by_pool.items():
             if self._logged_vms.get(pool_id) == need.vms:
                 continue
@@ -242,12 +248,12 @@
         self._owner.refresh_vm_list()
 
     async def _record_operations(self, operations: list[VMOperation]) -> bool:
-        """Write what is about to be sent, and how far the waves are.
+        """Record the operations about to be sent and the progress of their waves.
 
-        The write also shows, right before the operations, that the store still
-        knows this process as the holder. It names the revision of the record that
-        it replaces: a write without an answer may be carried out seconds later, and
-        would put an older record in place of a newer one.
+        Returns whether the record was written. The transaction also verifies, right
+        before the operations are sent, that this process still controls the cell. It
+        requires the revision of the record that it replaces, because an unanswered
+        write may be applied seconds later and would overwrite a newer record.
         """
         puts: dict[str, Put] = {}
         for operation in operations:
@@ -271,7 +277,10 @@
         return committed.succeeded
 
     def _handle_conflict(self, committed: Committed) -> None:
-        """Learn whether another process holds the cell, or which record stands."""
+        """After a refused write, end the term or update the operations revision.
+
+        The term ends if another process controls the cell.
+        """
         if not self._term.outlives(committed):
             return
         found = committed.read_by_key.get(self._term.keys.operations)
@@ -337,10 +346,11 @@
     async def _report_wave(self, wave: WaveProgress) -> None:
         complete = wave.complete
         key, value = self._node.codec.encode_wave_status(wave.id, complete=complete)
-        # With the last VMs in the record: a successor that knew of one less told
-        # the operator that a complete wave was active again.
+        # The wave's VMs are written in the same transaction. Otherwise the next
+        # controller could miss the last one and report a complete wave as active.
         writes = (Put(key, value), self._encode_wave(wave.id))
-        # A report that is carried out late must not hide later operations.
+        # A report that is applied late must not overwrite a wave record that names
+        # operations sent since.
         operations = Expect(self._term.keys.operations, self._operations_revision)
         expects = (self._term.expect(), operations)
         transaction = Transaction(expects, writes, tuple(each.key for each in expects))
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
@@ -1,4 +1,4 @@
-"""Takes the workers' entries in the platform's registry."""
+"""Follows the workers' entries in the platform's registry."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class WorkerFeedOwner(Protocol):
-    """What the feed tells the controller."""
+    """The part of the cell's controller that the feed uses."""
 
     tables: WorkTables
 
@@ -38,33 +38,34 @@
         ...
 
     def handle_worker_restart(self, worker: Worker, born_ms: Milliseconds) -> None:
-        """Note that a worker's entry is of another life than the one that is known."""
+        """Switch to a worker's new incarnation, which began at ``born_ms``."""
         ...
 
     def note_entry_gone(self, worker: Worker) -> None:
-        """Look whether a worker that the registry dropped is still alive."""
+        """Check whether a worker without a usable entry is still running."""
         ...
 
 
 class WorkerFeed:
-    """Implements ``PrefixListener`` over the registry."""
+    """Applies registry entries to the tables; implements ``PrefixListener``."""
 
     def __init__(self, node: SchedulingNode, owner: WorkerFeedOwner) -> None:
         self._node = node
         self._owner = owner
         self.loaded = asyncio.Event()
+        """Set once the registry was read for the first time."""
         self._entries_without_pool: dict[str, Entry] = {}
-        """Entries by key that wait for a configuration with their pool."""
+        """Entries by key whose pool is not in the configuration yet."""
         self._logged_as_ended: set[WorkerId] = set()
-        """Workers whose entries lead to a life that is over, each logged once."""
+        """Workers logged for an entry of an ended incarnation, so each is logged once."""
 
     def apply_config(self) -> None:
-        """Take the entries whose pools the configuration has now."""
+        """Apply the entries whose pools are in the configuration now."""
         for entry in list(self._entries_without_pool.values()):
             self._apply_entry(entry)
 
     def take_listing(self, listing: Listing) -> None:
-        """Take the whole registry; a worker that is not in it was dropped."""
+        """Apply a full listing of the registry; workers not in it become unlisted."""
         prefix = self._node.codec.worker_prefix
         listed = {entry.key.removeprefix(prefix) for entry in listing.entries}
         self._entries_without_pool.clear()
@@ -76,7 +77,7 @@
         self.loaded.set()
 
     def take_batch(self, batch: WatchBatch) -> None:
-        """Take what changed."""
+        """Apply a batch of changed and deleted entries."""
         prefix = self._node.codec.worker_prefix
         for key in batch.deleted:
             self._entries_without_pool.pop(key, None)
@@ -94,7 +95,7 @@
         found = decoded.unwrap()
         tables = self._owner.tables
         if found.pool_id not in tables.config.pools_by_id:
-            # The configuration that adds the pool may be still on its way.
+            # The configuration that adds the pool may not have been read yet.
             self._entries_without_pool[entry.key] = entry
             self._reject_entry(
                 entry,
@@ -109,7 +110,7 @@
         was_draining = known is not None and known.draining
         former_resources = found.room
         if known is not None and known.address:
-            # One that only records name has not told its room before.
+            # A worker known only from job records has no former resources.
             former_resources = known.room
         worker = take_entry(tables, found, self._node.clock.now())
         if worker is None:
@@ -136,7 +137,7 @@
         return is_other_life(known, found.born_ms)
 
     def _log_ended_incarnation(self, found: WorkerEntry, entry: Entry) -> None:
-        """Say once that an entry is not used; it may be rewritten each second."""
+        """Log a worker's unused entry once, since it may be rewritten every second."""
         if found.id in self._logged_as_ended:
             return
         self._logged_as_ended.add(found.id)
@@ -150,9 +151,10 @@
         )
 
     def _reject_entry(self, entry: Entry, fault: str) -> None:
-        """Give a worker no new tasks while its entry does not say what it is.
+        """Report an unusable entry and assign no new tasks to its worker.
 
-        What runs there goes on: the entry proves nothing about the worker's life.
+        Runs on the worker continue, because the entry does not show that its
+        incarnation has ended.
         """
         self._node.unreadable.note(entry.key, fault)
         prefix = self._node.codec.worker_prefix
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
@@ -1,4 +1,9 @@
-"""Talks to one worker: starts, stops, and holds its lease while it works."""
+"""Calls to one worker: start, stop and pace orders, and hold calls.
+
+A hold call extends the worker's lease and returns its runs and the ends that are not
+acknowledged yet. Unless told otherwise the worker delays its answer until a run ends
+or the call's wait time has passed.
+"""
 
 from __future__ import annotations
 
@@ -54,17 +59,21 @@
     from medlarspring_tables.scheduling import Run, Worker
 
 ORDER_TIMEOUT_SECONDS = 0.35
-"""An order without an answer for so long is taken for lost; most take 4 ms."""
+"""An order that is unanswered for this long is treated as lost; most take 4 ms."""
 HOLD_TIMEOUT_MARGIN_SECONDS = 0.35
+"""Added to the wait time of a hold call for its timeout."""
 RETRY_SECONDS = 0.15
+"""Pause after an unanswered hold call, and before a refused task is placed again."""
 STOP_REPEAT_SECONDS = 0.35
+"""Shortest interval between two stop orders for the same run."""
 UNRECORDED_WAIT_SECONDS = 0.05
-"""Longest pause between calls while ends wait for the store. Until it may forget them
-the worker lists them at once, so that more calls tell only of further ends."""
+"""Longest pause between calls while ends wait to be recorded in the store. Until they
+are acknowledged the worker answers each call at once, so that more frequent calls would
+only report further ends earlier."""
 
 
 class WorkerLink:
-    """All calls to one worker under one tenure."""
+    """Makes all calls to one worker during one leadership term."""
 
     def __init__(
         self, node: SchedulingNode, term: Tenure, owner: LinkOwner, worker: Worker
@@ -76,7 +85,7 @@
         self._address = WorkerAddress(worker.id, worker.address)
         self._wake = asyncio.Event()
         self._call_due = asyncio.Event()
-        """Set when a call has something to tell or to learn before its pause ends."""
+        """Set when the next hold call must not wait until the pause is over."""
         self._tasks = Tasks(node.log)
         self._ends = EndLedger(worker.born_ms)
         self._stops_sent: dict[tuple[str, int], Seconds] = {}
@@ -85,24 +94,24 @@
         self._side_poll_in_flight = False
 
     def uses_address(self, address: str) -> bool:
-        """Tell whether calls go to this address."""
+        """Return whether calls go to this address."""
         return self._address.address == address
 
     def start(self) -> None:
-        """Begin to hold the worker."""
+        """Start the loop of hold calls."""
         self._tasks.keep(self._run)
 
     async def close(self) -> None:
-        """End all calls."""
+        """Cancel all calls and close the connections."""
         await self._tasks.cancel()
         self._node.orders.forget(self._address)
 
     def wake(self) -> None:
-        """Look at the worker again: there is something to hold, stop or confirm."""
+        """Resume the hold calls, because a run needs a lease, a stop or a check."""
         self._wake.set()
         if self._poll_requested:
             self._call_due.set()
-        # A call that waits for an end would hold the look back by half a second.
+        # A hold call that waits for an end could delay the poll by half a second.
         if (
             self._poll_requested
             and self._hold_in_flight
@@ -112,12 +121,12 @@
             self._tasks.start(self._side_poll())
 
     def poll(self) -> None:
-        """Ask the worker now what runs there."""
+        """Ask the worker for its runs and ends without delay."""
         self._poll_requested = True
         self.wake()
 
     def acknowledge_ends(self) -> None:
-        """Have the worker forget ends: a job's record holds them now."""
+        """Acknowledge, with the next call, ends that job records in the store hold."""
         self._call_due.set()
         self.wake()
 
@@ -128,13 +137,13 @@
             self._side_poll_in_flight = False
 
     def send_start(self, run: Run) -> None:
-        """Order a run whose intent is recorded."""
+        """Order the start of a run whose intent is recorded in the store."""
         run.state = RunState.ORDERED
         run.ordered_at = self._node.clock.now()
         self._tasks.start(self._start(run))
 
     def send_stop(self, run: Run, reason: str) -> None:
-        """Have a run stopped; repeated until its end is listed."""
+        """Order the stop of a run; the order is repeated until its end is listed."""
         run.stopping = True
         if not run.stop_reason:
             run.stop_reason = reason
@@ -149,18 +158,18 @@
         self.wake()
 
     def send_pace(self, run: Run, percent: int) -> None:
-        """Let a run work at a part of its speed."""
+        """Limit a run to a percentage of its full speed."""
         run.pace_percent = percent
         self._tasks.start(self._pace(run, percent))
 
-    # Starts
+    # Start orders
 
     async def _start(self, run: Run) -> None:
         worker = self._worker
         sent_at = self._node.clock.now()
         if not self._term.holds():
-            # Left as ordered, the run would be waited for after a pause of the
-            # tenure, although nobody was told to start it.
+            # If it stayed in the ordered state, the run would be awaited once the
+            # term resumes after a pause, although no start was sent.
             detach_run(self._owner.tables, run, sent_at)
             self._owner.handle_detached_run(worker, run)
             return
@@ -237,7 +246,7 @@
         self._poll_requested = True
         self.wake()
 
-    # Stops and pace
+    # Stop and pace orders
 
     def _stop_when_due(self, run: Run) -> None:
         key = (run.task.id, run.number)
@@ -275,7 +284,7 @@
         if is_successful(answer) and answer.unwrap().refusal is Refusal.FENCE:
             self._owner.handle_superseded()
 
-    # Holding
+    # Hold calls
 
     async def _run(self) -> None:
         while not self._worker.gone:
@@ -322,17 +331,17 @@
             await self._wait_for_record()
 
     def _switch_ledger(self) -> EndLedger:
-        """Return the ledger of the present life; that of a former one is left."""
+        """Return the ends of the current incarnation; discard those of a former one."""
         if self._ends.life_ms != self._worker.born_ms:
             self._ends = EndLedger(self._worker.born_ms)
             self._stops_sent.clear()
         return self._ends
 
     async def _wait_for_record(self) -> None:
-        """Wait until an end is recorded, or another call can't wait.
+        """Wait until an end is recorded or the next call is due.
 
-        Asked again at once meanwhile, workers would take a third more calls, each of
-        them time in the HTTP client, for answers that tell nothing new.
+        Without this pause there would be a third more calls, which cost time in the
+        HTTP client and return nothing new.
         """
         self._call_due.clear()
         if self._ends.find_recorded():
@@ -363,7 +372,8 @@
             self._record_unanswered(now)
             return
         if is_former_life(self._owner.tables, worker.id, answer.born_ms):
-            # Said by a former life, and overtaken by the next one's entry.
+            # The answer is from an ended incarnation; the entry of the next one was
+            # read first.
             self._record_unanswered(now)
             return
         self._record_answered(now)
@@ -384,7 +394,8 @@
         if first_answer:
             self._refuse_late_orders(now)
         if first_answer and worker.runs:
-            # The lease could not be extended before the worker's clock was known.
+            # The first call could not extend the lease, because the worker's clock
+            # was not known yet.
             self._poll_requested = True
         for number, job in outcome.ends:
             self._ends.add(number, job)
@@ -394,7 +405,10 @@
         self._owner.note_listing(worker, outcome)
 
     def _refuse_late_orders(self, now: Seconds) -> None:
-        """Have a new life refuse what its former one may have left to be done."""
+        """Stop start orders that an earlier incarnation left unanswered.
+
+        A start order that arrives late is then refused by the new incarnation.
+        """
         for task_id, number in take_late_orders(self._owner.tables, self._worker, now):
             self._tasks.start(self._stop(task_id, number, None))
 
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_liveness.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_liveness.py
@@ -1,4 +1,7 @@
-"""Finds out which workers' lives are over, and gives up what ran in them."""
+"""Finds workers whose incarnation has ended or whose leases expired.
+
+The runs of these workers are reported to the controller as lost.
+"""
 
 from __future__ import annotations
 
@@ -30,18 +33,18 @@
     from medlarspring_tables.scheduling import Run, Worker, WorkTables
 
 REFRESH_SECONDS = 1.0
-"""The VM list is read so often when nothing is amiss."""
+"""Interval between reads of the VM list if no earlier read is requested."""
 MIN_REFRESH_SECONDS = 0.15
-"""Shortest time between two readings when a worker is silent."""
+"""Shortest time between two reads while early reads are requested."""
 
 
 class LivenessOwner(Protocol):
-    """What is told the controller."""
+    """The part of the cell's controller that the monitor uses."""
 
     tables: WorkTables
 
     def handle_lost_runs(self, runs: Iterable[Run]) -> None:
-        """Record that runs are over without an end, and plan anew."""
+        """Record runs that are over without a listed end, and plan placement rounds."""
         ...
 
     def close_link(self, worker: Worker) -> None:
@@ -50,7 +53,7 @@
 
 
 class WorkerLivenessMonitor:
-    """Reads the VM list, and watches leases run out."""
+    """Reads the VM list periodically, and detects expired leases."""
 
     def __init__(self, node: SchedulingNode, owner: LivenessOwner) -> None:
         self._node = node
@@ -59,11 +62,11 @@
         self._refresh_requested = asyncio.Event()
 
     def refresh_soon(self) -> None:
-        """Read the VM list before its time."""
+        """Request a read of the VM list before the regular interval has passed."""
         self._refresh_requested.set()
 
     async def run(self) -> None:
-        """Read the list again and again until cancelled."""
+        """Read the VM list periodically until cancelled."""
         while True:
             await self._refresh()
             try:
@@ -75,7 +78,10 @@
             await asyncio.sleep(max(wait, 0.0))
 
     def expire_leases(self, now: Seconds) -> None:
-        """Give up the runs of silent workers whose lease has certainly ended."""
+        """Detach runs whose lease has certainly expired, and report them as lost.
+
+        Only workers that do not answer are considered.
+        """
         for worker in list(self._owner.tables.workers_by_id.values()):
             if self._has_expired(worker, now):
                 lost = list(worker.runs.values())
@@ -83,7 +89,7 @@
                     if may_have_crashed(run, now):
                         note_vanished(run)
                     detach_run(self._owner.tables, run, now)
-                self._report_lost(lost, "lease lapsed")
+                self._report_lost(lost, "lease expired")
 
     def _has_expired(self, worker: Worker, now: Seconds) -> bool:
         if is_record_over(worker, self._node.limits.worker_lease, now):
@@ -101,9 +107,10 @@
             return
         tables = self._owner.tables
         ended_workers = take_vms(tables, listed.unwrap(), self._requested_at)
-        # Idle ones first: they tell an outage from what a task did.
+        # Idle workers come first: their end shows that an outage, not a task, is the
+        # cause.
         for worker in sorted(ended_workers, key=lambda worker: len(worker.runs)):
-            self._end_incarnation(worker, "its VM has ended this life")
+            self._end_incarnation(worker, "incarnation ended according to the VM list")
 
     def _end_incarnation(self, worker: Worker, reason: str) -> None:
         tables = self._owner.tables
