--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
@@ -92,29 +92,29 @@
         if not is_successful(decoded):
             self._reject_entry(entry, decoded.failure().message())
             return
-        found = decoded.unwrap()
+        worker_entry = decoded.unwrap()
         tables = self._owner.tables
-        if found.pool_id not in tables.config.pools_by_id:
+        if worker_entry.pool_id not in tables.config.pools_by_id:
             # The configuration that adds the pool may not have been read yet.
             self._entries_without_pool[entry.key] = entry
             self._reject_entry(
                 entry,
-                f"The entry names the pool {found.pool_id}, which the configuration"
+                f"The entry names the pool {worker_entry.pool_id}, which the configuration"
                 " does not have; add the pool or remove the entry.",
             )
             return
         self._node.unreadable.forget(entry.key)
-        known = tables.workers_by_id.get(found.id)
-        if known is not None and self._is_new_incarnation(known, found):
-            self._owner.handle_worker_restart(known, found.born_ms)
+        known = tables.workers_by_id.get(worker_entry.id)
+        if known is not None and self._is_new_incarnation(known, worker_entry):
+            self._owner.handle_worker_restart(known, worker_entry.born_ms)
         was_draining = known is not None and known.draining
-        former_resources = found.room
+        former_resources = worker_entry.room
         if known is not None and known.address:
             # A worker known only from job records has no former resources.
             former_resources = known.room
-        worker = take_entry(tables, found, self._node.clock.now())
+        worker = take_entry(tables, worker_entry, self._node.clock.now())
         if worker is None:
-            self._log_ended_incarnation(found, entry)
+            self._log_ended_incarnation(worker_entry, entry)
             return
         self._logged_as_ended.discard(worker.id)
         if known is None or worker.draining != was_draining:
@@ -131,22 +131,22 @@
             log_worker_resized(self._node, worker, former_resources, entry.mod_revision)
         self._owner.connect_worker(worker)
 
-    def _is_new_incarnation(self, known: Worker, found: WorkerEntry) -> bool:
-        if is_former_life(self._owner.tables, found.id, found.born_ms):
+    def _is_new_incarnation(self, known: Worker, worker_entry: WorkerEntry) -> bool:
+        if is_former_life(self._owner.tables, worker_entry.id, worker_entry.born_ms):
             return False
-        return is_other_life(known, found.born_ms)
+        return is_other_life(known, worker_entry.born_ms)
 
-    def _log_ended_incarnation(self, found: WorkerEntry, entry: Entry) -> None:
+    def _log_ended_incarnation(self, worker_entry: WorkerEntry, entry: Entry) -> None:
         """Log a worker's unused entry once, since it may be rewritten every second."""
-        if found.id in self._logged_as_ended:
+        if worker_entry.id in self._logged_as_ended:
             return
-        self._logged_as_ended.add(found.id)
+        self._logged_as_ended.add(worker_entry.id)
         self._node.log.info(
             Event.WORKER_PASSED_OVER,
-            worker=found.id,
-            vm=found.vm_id,
-            pool=found.pool_id,
-            born_ms=found.born_ms,
+            worker=worker_entry.id,
+            vm=worker_entry.vm_id,
+            pool=worker_entry.pool_id,
+            born_ms=worker_entry.born_ms,
             revision=entry.mod_revision,
         )
 
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
@@ -307,7 +307,7 @@
         return any(run.state is not RunState.INTENDED for run in worker.runs.values())
 
     async def _hold_once(self, *, aside: bool = False) -> None:
-        ends = self._switch_ledger()
+        ends = self._get_current_ends()
         wait_ms = plan_wait(self._worker, look_now=self._poll_requested)
         self._poll_requested = False
         requested_at = self._node.clock.now()
@@ -330,7 +330,7 @@
         if self._ends and not self._poll_requested:
             await self._wait_for_record()
 
-    def _switch_ledger(self) -> EndLedger:
+    def _get_current_ends(self) -> EndLedger:
         """Return the ends of the current incarnation; discard those of a former one."""
         if self._ends.life_ms != self._worker.born_ms:
             self._ends = EndLedger(self._worker.born_ms)
@@ -379,7 +379,7 @@
         self._record_answered(now)
         if is_other_life(worker, answer.born_ms):
             self._owner.handle_worker_restart(worker, answer.born_ms)
-        self._switch_ledger().note_listed(now)
+        self._get_current_ends().note_listed(now)
         note_clock(worker, answer.clock_ms, now)
         outcome = take_listing(
             self._owner.tables,
@@ -435,13 +435,13 @@
         worker = self._worker
         worker.answered_at = now
         if worker.unanswered_since:
-            silent = now - worker.unanswered_since
+            unanswered_seconds = now - worker.unanswered_since
             worker.unanswered_since = 0.0
             self._node.log.info(
                 Event.WORKER_ANSWERS,
                 worker=worker.id,
                 vm=worker.vm_id,
-                silent_ms=round(silent * 1_000),
+                silent_ms=round(unanswered_seconds * 1_000),
             )
 
     def _record_unanswered(self, now: Seconds) -> None:
--- a/packages/daemon/tests/scheduling/test_worker_restarts.py
+++ b/packages/daemon/tests/scheduling/test_worker_restarts.py
@@ -15,9 +15,9 @@
 
 SEED = 5
 AWAY_SECONDS = 2.0
-BACK_SECONDS = 1.0
+REGISTERED_SECONDS = 1.0
 """A worker that is up is in the registry and called by the controller by then."""
-LEASE_SECONDS = 9.5
+WORKER_LEASE_SECONDS = 9.5
 """How long the tasks of a worker that is only silent are waited for."""
 
 
@@ -37,7 +37,7 @@
     async def scenario(world: World, customers: Customers) -> None:
         for _ in range(3):
             restart_all(world, seconds)
-            await asyncio.sleep(seconds + BACK_SECONDS)
+            await asyncio.sleep(seconds + REGISTERED_SECONDS)
         await wait_for_end(customers, await submit(customers))
 
     play(scenario, SEED)
@@ -68,7 +68,7 @@
         jobs = await submit(customers)
         await asyncio.sleep(0.3)
         restart_all(world, 0.0)
-        async with asyncio.timeout(LEASE_SECONDS):
+        async with asyncio.timeout(WORKER_LEASE_SECONDS):
             await wait_for_end(customers, jobs)
 
     play(scenario, SEED)
@@ -95,7 +95,7 @@
         }
         assert settled
         restart_all(world, seconds)
-        await asyncio.sleep(seconds + BACK_SECONDS)
+        await asyncio.sleep(seconds + REGISTERED_SECONDS)
         for worker_id, task_id in settled:
             worker = world.fleet.workers_by_id[worker_id]
             assert task_id in worker.refused_up_to
