--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
@@ -57,7 +57,7 @@
         self._entries_without_pool: dict[str, Entry] = {}
         """Entries by key whose pool is not in the configuration yet."""
         self._logged_as_ended: set[WorkerId] = set()
-        """Workers logged for an entry of an ended incarnation, so each is logged once."""
+        """Workers already logged for an entry of an ended incarnation."""
 
     def apply_config(self) -> None:
         """Apply the entries whose pools are in the configuration now."""
@@ -99,8 +99,8 @@
             self._entries_without_pool[entry.key] = entry
             self._reject_entry(
                 entry,
-                f"The entry names the pool {worker_entry.pool_id}, which the configuration"
-                " does not have; add the pool or remove the entry.",
+                f"The entry names the pool {worker_entry.pool_id}, which the"
+                " configuration does not have; add the pool or remove the entry.",
             )
             return
         self._node.unreadable.forget(entry.key)
--- a/packages/daemon/tests/scheduling/test_crashing_tasks.py
+++ b/packages/daemon/tests/scheduling/test_crashing_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that crash each worker that starts them, and those that run beside them."""
+"""Tests of tasks that crash their workers, and of other tasks during crashes."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 async def force_takeovers(world: World) -> None:
-    """End each controller some moments after it has taken the cell over."""
+    """Replace each controller 0.3 s to 1.2 s after it takes the cell over."""
     while True:
         controller = world.find_controller()
         if controller is None:
@@ -61,7 +61,10 @@
 def test_crashing_task_fails_while_other_jobs_complete(
     after: float,
 ):
-    """Guards against a task that crashes one worker after the other without end."""
+    """Guards against a task that crashes one worker after another without limit.
+
+    Its job must fail, and other jobs that lose workers to it must complete.
+    """
 
     async def scenario(world: World, customers: Customers) -> None:
         crashing = await submit_crashing(customers, after=after)
@@ -74,7 +77,7 @@
 
 @pytest.mark.parametrize("step", [GANG, LONG_RUNNING], ids=["gang", "long-running"])
 def test_crashing_tasks_of_other_kinds_fail(step: StepSpec):
-    """Guards against kinds of tasks that no count of crashes reaches."""
+    """Guards against kinds of tasks whose crashes are not counted."""
 
     async def scenario(world: World, customers: Customers) -> None:
         crashing = await submit_crashing(customers, step)
@@ -103,7 +106,11 @@
     takeovers: bool,
     monkeypatch: pytest.MonkeyPatch,
 ):
-    """Guards against counts of crashes that start anew with each thing that is lost."""
+    """Guards against crash counts that a disruption resets.
+
+    Disruptions are takeovers, lost answers, and workers that return under their id,
+    with or without being seen as down.
+    """
     monkeypatch.setattr(fleet_model, "SAME_ID_PART", same_id_part)
     monkeypatch.setattr(fleet_model, "CRASHED_SECONDS", (away_seconds, away_seconds))
 
@@ -122,7 +129,7 @@
 
 
 def test_zone_outages_fail_no_tasks():
-    """Guards against jobs shown as failed because their zone was lost several times."""
+    """Guards against jobs that fail because their zones had several outages."""
 
     async def scenario(world: World, customers: Customers) -> None:
         long_job, long_spec = customers.create_lasting()
--- a/packages/daemon/tests/scheduling/test_overload_detector.py
+++ b/packages/daemon/tests/scheduling/test_overload_detector.py
@@ -1,4 +1,4 @@
-"""Controllers that can't keep up with their cell give it to others."""
+"""Tests that an overloaded controller is detected and releases its cell."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
 
 
 def test_slow_controller_with_unanswered_orders_releases_the_cell():
-    """Guards against a slow entry VM that keeps a cell whose orders it can't deliver.
+    """Guards against a slow entry VM that keeps a cell although its orders get lost.
 
-    It took its workers for silent, gave their tasks up with their leases, and started
-    again what had been done long since.
+    It treated its workers as unresponsive, gave up their tasks when the leases expired,
+    and restarted tasks that had already completed.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
--- a/packages/daemon/tests/scheduling/test_resized_workers.py
+++ b/packages/daemon/tests/scheduling/test_resized_workers.py
@@ -1,4 +1,4 @@
-"""Workers whose room shrinks and grows in the middle of their lives."""
+"""Tests of workers whose resources shrink and grow while they run."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def test_planned_start_is_not_ordered_after_resources_shrank():
-    """Guards against orders by a room that shrank while they were being recorded."""
+    """Guards against starts on a worker that shrank while the intent was recorded."""
 
     async def scenario(world: World, customers: Customers) -> None:
         world.weather.store_seconds = SLOW_STORE_SECONDS
@@ -50,7 +50,7 @@
 
 
 def test_waiting_tasks_start_once_resources_grow_again():
-    """Guards against work that waits on beside room that a worker has again."""
+    """Guards against tasks that keep waiting after a worker's resources have grown."""
 
     async def scenario(world: World, customers: Customers) -> None:
         resize_all(world, TINY)
@@ -68,7 +68,7 @@
 
 
 def test_takeover_logs_no_resized_workers():
-    """Guards against workers that look resized since only records named them."""
+    """Guards against a resize logged for workers that were known from records only."""
 
     async def scenario(world: World, customers: Customers) -> None:
         jobs = await submit(customers, 8)
--- a/packages/daemon/tests/scheduling/test_worker_calls.py
+++ b/packages/daemon/tests/scheduling/test_worker_calls.py
@@ -1,4 +1,4 @@
-"""How often the controller calls its workers."""
+"""Tests of how often the controller calls its workers."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 SEED = 5
 OUTAGE_SECONDS = 0.8
-"""Within the controller's lease."""
+"""Shorter than the controller's lease."""
 CALLS_PER_SECOND = 30
-"""A worker's ends are seen within 50 ms when the store is away, and an end in two
-calls when it answers: one that lists it and one that has it forgotten."""
+"""Limit during a store outage, in which a worker's ends are seen within 50 ms."""
 CALLS_PER_END = 2
+"""While the store answers, one call lists an end and one acknowledges it."""
 
 
 @pytest.fixture
 def calls_by_worker(monkeypatch: pytest.MonkeyPatch) -> Counter[str]:
-    """Count the looks at each worker."""
+    """Count the hold calls to each worker."""
     calls: Counter[str] = Counter()
     hold = SimulatedOrders.hold
 
@@ -50,9 +50,10 @@
     calls_by_worker: Counter[str],
 ):
     """
-    Tasks end while the store answers nobody. A worker lists an end at each call until
-    it may forget it, so that it answers at once; asked again each 10 ms, workers took
-    the controller's time for nothing while it had most to do.
+    Guards against hold calls without a pause while tasks end during a store outage.
+
+    A worker with an unacknowledged end answers each call at once. Calls every 10 ms
+    returned nothing new and took time from a controller that was busiest then.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -72,8 +73,8 @@
 
 def test_ends_take_few_calls(calls_by_worker: Counter[str]):
     """
-    Tasks end one by one while the store answers in 8 ms. Each end is listed by one
-    call and forgotten with another one; calls between the two tell nothing.
+    Guards against calls between the one that lists an end and the one that
+    acknowledges it, while the store answers in 8 ms; they return nothing new.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
--- a/packages/daemon/tests/scheduling/test_worker_restarts.py
+++ b/packages/daemon/tests/scheduling/test_worker_restarts.py
@@ -1,4 +1,4 @@
-"""Workers that start again under the ids that they had."""
+"""Tests of workers that restart under the same id."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 SEED = 5
 AWAY_SECONDS = 2.0
 REGISTERED_SECONDS = 1.0
-"""A worker that is up is in the registry and called by the controller by then."""
+"""A worker that is up is registered and called by the controller by then."""
 WORKER_LEASE_SECONDS = 9.5
-"""How long the tasks of a worker that is only silent are waited for."""
+"""How long the controller waits for the tasks of an unresponsive worker."""
 
 
 def restart_all(world: World, seconds: float) -> None:
@@ -29,9 +29,11 @@
 @pytest.mark.parametrize("seconds", [0.0, AWAY_SECONDS], ids=["unseen", "away"])
 def test_pool_runs_jobs_after_all_its_workers_restarted(seconds: float):
     """
-    Two accepted jobs waited to the end of a day with most of their pool's room free.
-    By then 50 workers had started again under their ids, and of the runs that the
-    workers' side showed, 28 were on them before that and none after it.
+    Guards against restarted workers that get no more tasks.
+
+    In a day's run, two accepted jobs waited to its end while most of their pool's
+    resources were free: 50 workers had restarted under their ids, and none of them
+    got a run after that, against 28 before.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -45,9 +47,10 @@
 
 def test_ends_after_unnoticed_restart_are_recorded():
     """
-    A worker starts again so quickly that no list shows it away. It counts its ends
-    from 1 again; taken for ends known long ago they were passed over and
-    acknowledged, and tasks that were done ran a second time.
+    Guards against ends that are lost when a worker restarts unnoticed by any listing.
+
+    The worker numbers its ends from 1 again. The controller took them for ends that it
+    knew, skipped and acknowledged them, and completed tasks ran a second time.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -60,8 +63,8 @@
 
 def test_tasks_of_an_ended_incarnation_rerun_at_once():
     """
-    Workers start again while they run tasks, and hold and know nothing of them.
-    Their tasks go elsewhere or there again, without waiting for a lease to end.
+    Guards against waiting for a lease to expire after workers restart while they run
+    tasks. The new incarnations know nothing of those, so they must run again at once.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
@@ -77,9 +80,12 @@
 @pytest.mark.parametrize("seconds", [0.0, AWAY_SECONDS], ids=["unseen", "away"])
 def test_restarted_worker_refuses_former_unanswered_orders(seconds: float):
     """
-    A start gets no answer; a stop settles it, and the task runs elsewhere. Then the
-    worker starts again and knows nothing of that stop. An order that is carried out
-    seconds late would run the task a second time, so the next life is told too.
+    Guards against a late start order that a restarted worker executes.
+
+    A start gets no answer, a stop makes the worker refuse it, and the task runs
+    elsewhere. After a restart the worker does not know of the stop, and the start
+    order, arriving seconds late, would run the task a second time. The stop must
+    therefore be sent to the new incarnation too.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
