--- a/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
@@ -10,27 +10,27 @@
 from medlarspring_adapters.events import Event
 from medlarspring_adapters.metrics import Metric
 from medlarspring_adapters.prefix_follower import PrefixFollower
-from medlarspring_daemon.scheduling.advice_desk import AdviceDesk
+from medlarspring_daemon.scheduling.advice_fetcher import AdviceFetcher
 from medlarspring_daemon.scheduling.job_feed import JobFeed
 from medlarspring_daemon.scheduling.job_record_writer import (
     FINAL_VERSION,
     JobRecordWriter,
 )
-from medlarspring_daemon.scheduling.load_gauge import LoadGauge
-from medlarspring_daemon.scheduling.load_report import LoadReport
+from medlarspring_daemon.scheduling.load_reporter import LoadReporter
+from medlarspring_daemon.scheduling.overload_detector import OverloadDetector
 from medlarspring_daemon.scheduling.round_timer import RoundTimer
 from medlarspring_daemon.scheduling.run_log import (
-    log_doubted,
-    log_ended,
     log_job_ended,
-    log_lost,
-    log_started_again,
+    log_run_ended,
+    log_run_lost,
+    log_worker_quarantined,
+    log_worker_restarted,
 )
 from medlarspring_daemon.scheduling.unrecorded_ends import UnrecordedEnds
-from medlarspring_daemon.scheduling.vm_keeper import VMKeeper
+from medlarspring_daemon.scheduling.vm_manager import VMManager
 from medlarspring_daemon.scheduling.worker_feed import WorkerFeed
 from medlarspring_daemon.scheduling.worker_link import WorkerLink
-from medlarspring_daemon.scheduling.worker_lives import WorkerLives
+from medlarspring_daemon.scheduling.worker_liveness import WorkerLivenessMonitor
 from medlarspring_daemon.tasks import Tasks
 from medlarspring_systems.scheduling.crashes import record_worker_end
 from medlarspring_systems.scheduling.jobs import (
@@ -53,8 +53,8 @@
 
     from medlarspring_adapters.store import Listing
     from medlarspring_daemon.scheduling.context import SchedulingNode
-    from medlarspring_daemon.scheduling.directory import Directory
     from medlarspring_daemon.scheduling.election import Term
+    from medlarspring_daemon.scheduling.operator_records import OperatorRecords
     from medlarspring_systems.scheduling.listings import ListingOutcome
     from medlarspring_tables import PoolId, Seconds
     from medlarspring_tables.scheduling import (
@@ -72,7 +72,9 @@
 class CellController:
     """Controls one cell; implements ``Controller`` and ``LinkOwner``."""
 
-    def __init__(self, node: SchedulingNode, directory: Directory, term: Term) -> None:
+    def __init__(
+        self, node: SchedulingNode, directory: OperatorRecords, term: Term
+    ) -> None:
         self._node = node
         self._operator_records = directory
         self._term = term
@@ -84,12 +86,12 @@
         self._followers: list[PrefixFollower] = []
         self._workers: WorkerFeed | None = None
         self._running = False
-        self._overload_detector = LoadGauge()
+        self._overload_detector = OverloadDetector()
         assert directory.config is not None
         self.tables = WorkTables(config=directory.config)
         self._rounds = RoundTimer(self.tables, self._run_round)
-        self._vm_manager = VMKeeper(node, term, directory, self)
-        self._liveness_monitor = WorkerLives(node, self)
+        self._vm_manager = VMManager(node, term, directory, self)
+        self._liveness_monitor = WorkerLivenessMonitor(node, self)
 
     # Controller
 
@@ -140,7 +142,7 @@
         await asyncio.gather(feed.loaded.wait(), workers.loaded.wait())
         self._running = True
         for worker in list(self.tables.workers_by_id.values()):
-            self.note_worker(worker)
+            self.connect_worker(worker)
         self._operator_records.listeners.append(self._apply_config)
         self._apply_config()
         took_ms = (self._node.clock.now() - began_at) * 1_000
@@ -154,11 +156,11 @@
             took_ms=round(took_ms),
         )
         self._tasks.keep(self._tick_forever)
-        self._tasks.keep(LoadReport(self._node, self._term, self.tables).run)
+        self._tasks.keep(LoadReporter(self._node, self._term, self.tables).run)
         self._tasks.keep(self._liveness_monitor.run)
         self._tasks.keep(self._vm_manager.run)
         if self._node.adviser is not None:
-            advice_fetcher = AdviceDesk(self._node, self._node.adviser, self)
+            advice_fetcher = AdviceFetcher(self._node, self._node.adviser, self)
             self._tasks.keep(advice_fetcher.run)
         self.plan_all()
 
@@ -188,7 +190,7 @@
         cancel_job(job)
         self._record_job(job)
 
-    def note_worker(self, worker: Worker) -> None:
+    def connect_worker(self, worker: Worker) -> None:
         """Connect to a worker that the registry lists.
 
         Does nothing until the recorded jobs are loaded. Otherwise an end listed by
@@ -197,7 +199,7 @@
         if not self._running:
             return
         link = self._links_by_id.get(worker.id)
-        if link is not None and not link.leads_to(worker.address):
+        if link is not None and not link.uses_address(worker.address):
             self._disconnect_from_old_address(worker)
             link = None
         if link is None and worker.address:
@@ -205,7 +207,7 @@
             self._links_by_id[worker.id] = link
             link.start()
         elif link is not None and not worker.reconciled:
-            link.look()
+            link.poll()
         self.plan(worker.pool_id)
 
     def _disconnect_from_old_address(self, worker: Worker) -> None:
@@ -220,37 +222,37 @@
             if run.state is RunState.ORDERED:
                 run.state = RunState.UNKNOWN
                 run.ordered_at = now
-        self.drop_link(worker)
+        self.close_link(worker)
 
-    def note_started_again(self, worker: Worker, born_ms: Milliseconds) -> None:
+    def handle_worker_restart(self, worker: Worker, born_ms: Milliseconds) -> None:
         """Handle a worker whose incarnation is not the known one."""
         former_ms = worker.born_ms
         longest = self._node.limits.worker_lease
         now = self._node.clock.now()
         verdict = record_worker_end(self.tables, worker, now)
         lost_runs = begin_incarnation(self.tables, worker, born_ms, longest, now)
-        log_started_again(self._node, worker, former_ms, len(lost_runs), verdict)
+        log_worker_restarted(self._node, worker, former_ms, len(lost_runs), verdict)
         for run in lost_runs:
-            log_lost(self._node, run, "its worker restarted")
-        self.note_lost(lost_runs)
+            log_run_lost(self._node, run, "its worker restarted")
+        self.handle_lost_runs(lost_runs)
         for job in verdict.jobs:
             self._record_job(job)
 
     def record_entry_gone(self, worker: Worker) -> None:
         """Check whether a worker that left the registry is still alive."""
         if worker.runs or worker.unanswered_since:
-            self.note_silent(worker)
+            self.handle_unresponsive_worker(worker)
 
     # LinkOwner
 
     def handle_listing(self, worker: Worker, outcome: ListingOutcome) -> None:
         """Record the changes from a listing, and schedule a placement round."""
         for run, end in outcome.ended:
-            log_ended(self._node, run, end)
+            log_run_ended(self._node, run, end)
         for run in outcome.lost:
-            log_lost(self._node, run, "not listed by its worker")
+            log_run_lost(self._node, run, "not listed by its worker")
         if outcome.newly_quarantined:
-            log_doubted(self._node, worker)
+            log_worker_quarantined(self._node, worker)
         self._unrecorded_ends.add_ends(worker.id, outcome.ends)
         for job_id in list_changed_jobs(outcome):
             job = self.tables.jobs_by_id.get(job_id)
@@ -262,24 +264,24 @@
         if outcome.ended or outcome.lost:
             self.plan(worker.pool_id)
 
-    def note_changed(self, worker: Worker, run: Run) -> None:
+    def handle_detached_run(self, worker: Worker, run: Run) -> None:
         """Record that a run ended or was refused, and schedule a placement round."""
         self._record_writer.schedule_write(run.task.step.job)
         self.plan(worker.pool_id)
 
-    def note_silent(self, worker: Worker) -> None:
+    def handle_unresponsive_worker(self, worker: Worker) -> None:
         """Read the VM list, which shows whether the worker's incarnation has ended."""
-        self.look_at_vms()
+        self.refresh_vm_list()
 
-    def look_at_vms(self) -> None:
+    def refresh_vm_list(self) -> None:
         """Request an early read of the VM list."""
-        self._liveness_monitor.look_soon()
+        self._liveness_monitor.refresh_soon()
 
-    def note_order(self, *, answered: bool) -> None:
+    def record_order(self, *, answered: bool) -> None:
         """Record whether a worker answered an order in time."""
-        self._overload_detector.note_order(answered=answered)
+        self._overload_detector.record_order(answered=answered)
 
-    def note_superseded(self) -> None:
+    def handle_superseded(self) -> None:
         """End the term: a worker has seen a controller with a higher fence."""
         self._term.end()
 
@@ -328,7 +330,7 @@
         )
         if link is None or is_unavailable:
             detach_run(self.tables, run, self._node.clock.now())
-            self.note_changed(run.worker, run)
+            self.handle_detached_run(run.worker, run)
             return
         link.send_start(run)
 
@@ -337,7 +339,7 @@
         for worker_id in self._unrecorded_ends.collect_waiting_workers(job):
             link = self._links_by_id.get(worker_id)
             if link is not None:
-                link.note_recorded()
+                link.acknowledge_ends()
 
     def _handle_final_record_written(self, job: ActiveJob) -> None:
         forget_job(self.tables, job, self._node.clock.now())
@@ -384,7 +386,7 @@
             sleep_started_at = self._node.clock.now()
             await asyncio.sleep(TICK_SECONDS)
             timer_delay = self._node.clock.now() - sleep_started_at - TICK_SECONDS
-            self._overload_detector.note_tick(timer_delay)
+            self._overload_detector.record_timer_delay(timer_delay)
             if self._term.is_active():
                 self._tick()
 
@@ -395,14 +397,14 @@
                 self.tables, job, now, wall_ms
             ):
                 self.plan(job.queue.pool_id)
-        self._liveness_monitor.drop_lapsed(now)
+        self._liveness_monitor.expire_leases(now)
         self._repair(now)
         self.plan_all()
 
     def _repair(self, now: Seconds) -> None:
         repairs = plan_repairs(self.tables, now)
         for worker in repairs.quarantined:
-            log_doubted(self._node, worker)
+            log_worker_quarantined(self._node, worker)
         for run, reason in repairs.stops:
             self.stop_run(run, reason)
         for run in repairs.copies:
@@ -418,11 +420,11 @@
             return
         self.tables.config = self._operator_records.config
         if self._workers is not None:
-            self._workers.take_config()
+            self._workers.apply_config()
 
     # Callbacks of the worker liveness check
 
-    def note_lost(self, runs: Iterable[Run]) -> None:
+    def handle_lost_runs(self, runs: Iterable[Run]) -> None:
         """Record that runs were lost, and schedule placement rounds."""
         for job in dict.fromkeys(run.task.step.job for run in runs):
             if job.outcome is not None:
@@ -431,7 +433,7 @@
             self._record_writer.schedule_write(job)
             self.plan(job.queue.pool_id)
 
-    def drop_link(self, worker: Worker) -> None:
+    def close_link(self, worker: Worker) -> None:
         """Close the connections to a worker."""
         link = self._links_by_id.pop(worker.id, None)
         if link is None:
--- a/packages/daemon/src/medlarspring_daemon/scheduling/load_report.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/load_reporter.py
@@ -1,4 +1,4 @@
-"""Tells customers' entry VMs and the metrics how much work a cell has."""
+"""Publishes a cell's load: waiting jobs by queue for entry VMs, counts as metrics."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     from medlarspring_daemon.scheduling.election import Term
     from medlarspring_tables.scheduling import WorkTables
 
-REPORT_SECONDS = 0.8
-"""Counts of waiting jobs are published so often; customers may see 2 s old ones."""
+PUBLISH_SECONDS = 0.8
+"""Interval of publication; customers may be shown counts that are up to 2 s old."""
 
 
-class LoadReport:
-    """Publishes the counts of a cell whenever they changed."""
+class LoadReporter:
+    """Updates the load metrics, and writes the waiting jobs to the store on change."""
 
     def __init__(self, node: SchedulingNode, term: Term, tables: WorkTables) -> None:
         self._node = node
@@ -34,13 +34,13 @@
         self._published: dict[str, int] | None = None
 
     async def run(self) -> None:
-        """Report until cancelled."""
+        """Publish the load until cancelled."""
         while True:
-            self._measure()
+            self._update_metrics()
             await self._publish()
-            await asyncio.sleep(REPORT_SECONDS)
+            await asyncio.sleep(PUBLISH_SECONDS)
 
-    def _measure(self) -> None:
+    def _update_metrics(self) -> None:
         metrics, now = self._node.metrics, self._node.clock.now()
         workers = self._tables.workers_by_id.values()
         metrics.gauge(Metric.JOBS_OPEN, len(self._tables.jobs_by_id))
@@ -54,9 +54,9 @@
             Metric.WORKERS_DOUBTED,
             sum(1 for each in workers if each.doubt is not QuarantineReason.NONE),
         )
-        waiting, shut_out = count_waiting(self._tables, now)
+        waiting, unplaceable = count_waiting(self._tables, now)
         metrics.gauge(Metric.TASKS_WAITING, waiting)
-        metrics.gauge(Metric.TASKS_SHUT_OUT, shut_out)
+        metrics.gauge(Metric.TASKS_SHUT_OUT, unplaceable)
 
     async def _publish(self) -> None:
         waiting: dict[str, int] = {}
@@ -76,4 +76,4 @@
             self._published = waiting
 
 
-__all__ = ["LoadReport"]
+__all__ = ["LoadReporter"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/directory.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/operator_records.py
@@ -1,4 +1,4 @@
-"""Follows what the operator writes: the configuration and maintenance waves."""
+"""Follows the operator's records in the store: configuration and maintenance waves."""
 
 from __future__ import annotations
 
@@ -20,79 +20,83 @@
     from medlarspring_tables.scheduling import OperatorConfig, WaveOrder
 
 RETRY_SECONDS = 0.05
-"""Pause before the operator's records are read again after a lost watch."""
+"""Shortest pause before the records are read again after the watch was lost."""
 
 
-class Directory:
-    """The operator's records as this process has read them."""
+class OperatorRecords:
+    """The operator's records as last read by this process.
+
+    Implements ``PrefixListener``. A record that cannot be decoded is logged and leaves
+    the last readable version in force.
+    """
 
     def __init__(self, node: SchedulingNode) -> None:
         self._node = node
         self.config: OperatorConfig | None = None
-        self.config_taken_at: Seconds = 0.0
+        self.config_applied_at: Seconds = 0.0
         self.waves_by_key: dict[str, tuple[WaveOrder, Seconds]] = {}
-        """Orders by key, with the time at which each was first seen."""
+        """Wave orders by store key, each with the time at which it was first seen."""
         self.listeners: list[Callable[[], None]] = []
-        """Called when the configuration or a wave changed."""
+        """Called after each listing or batch of changes."""
         self._routes: RouteIndex = {}
         self._follower = PrefixFollower(
             node.store, node.codec.operator_prefix, self, node.rng, RETRY_SECONDS
         )
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start following the records."""
         self._follower.start()
 
     async def stop(self) -> None:
-        """End the watch."""
+        """Stop following the records."""
         await self._follower.stop()
 
     def match(self, host: str, path: str) -> RouteMatch | None:
-        """Return the queue that host and path lead to."""
+        """Return the queue that a host and path are routed to, or None."""
         return match_route(self._routes, host, path)
 
     def take_listing(self, listing: Listing) -> None:
-        """Take all of the operator's records."""
+        """Replace the known records by a full listing."""
         seen = {entry.key for entry in listing.entries}
         for key in list(self.waves_by_key):
             if key not in seen:
                 del self.waves_by_key[key]
         for entry in listing.entries:
-            self._take(entry)
-        self._tell()
+            self._apply_entry(entry)
+        self._notify_listeners()
 
     def take_batch(self, batch: WatchBatch) -> None:
-        """Take what changed."""
+        """Apply a batch of changed and deleted records."""
         for key in batch.deleted:
             self.waves_by_key.pop(key, None)
             self._node.unreadable.forget(key)
         for entry in batch.changed:
-            self._take(entry)
-        self._tell()
+            self._apply_entry(entry)
+        self._notify_listeners()
 
-    def _tell(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self.listeners:
             listener()
 
-    def _take(self, entry: Entry) -> None:
+    def _apply_entry(self, entry: Entry) -> None:
         if self._node.codec.is_config(entry.key):
-            self._take_config(entry)
+            self._apply_config(entry)
         elif self._node.codec.is_wave(entry.key):
-            self._take_wave(entry)
+            self._apply_wave(entry)
 
-    def _take_config(self, entry: Entry) -> None:
+    def _apply_config(self, entry: Entry) -> None:
         decoded = self._node.codec.decode_config(entry.key, entry.value)
         if not is_successful(decoded):
-            self._node.unreadable.report(entry.key, decoded.failure().message())
+            self._node.unreadable.note(entry.key, decoded.failure().message())
             return
         self._node.unreadable.forget(entry.key)
         config = decoded.unwrap()
-        # A lagging replica may answer with an older version after a newer one was
-        # in force; callers would see a dropped queue come back.
+        # A lagging store replica may return an older version after a newer one was
+        # applied; applying it would bring removed queues back for callers.
         if self.config is not None and config.version <= self.config.version:
             return
         self.config = config
-        self.config_taken_at = self._node.clock.now()
+        self.config_applied_at = self._node.clock.now()
         self._routes = index_routes(config.routes)
         self._node.log.info(
             Event.CONFIG_IN_FORCE,
@@ -102,10 +106,10 @@
             pools=len(config.pools_by_id),
         )
 
-    def _take_wave(self, entry: Entry) -> None:
+    def _apply_wave(self, entry: Entry) -> None:
         decoded = self._node.codec.decode_wave(entry.key, entry.value)
         if not is_successful(decoded):
-            self._node.unreadable.report(entry.key, decoded.failure().message())
+            self._node.unreadable.note(entry.key, decoded.failure().message())
             return
         self._node.unreadable.forget(entry.key)
         order = decoded.unwrap()
@@ -122,4 +126,4 @@
             )
 
 
-__all__ = ["Directory"]
+__all__ = ["OperatorRecords"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/store_watch.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/store_monitor.py
@@ -1,4 +1,4 @@
-"""Logs when this process loses the store, and when it has it back."""
+"""Logs when the store stops answering this process, and when it answers again."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
     from medlarspring_daemon.scheduling.context import SchedulingNode
     from medlarspring_tables import Seconds
 
-STORE_LOST_SECONDS = 0.3
-"""The store counts as lost once it fails all calls for so long."""
-LOOK_SECONDS = 0.1
+LOST_SECONDS = 0.3
+"""The store counts as lost after all calls have failed for this long."""
+CHECK_SECONDS = 0.1
 
 
-class StoreWatch:
-    """Looks at the store's health; a single missed call is no loss."""
+class StoreMonitor:
+    """Checks the store's health periodically; a single failed call is not an outage."""
 
     def __init__(self, node: SchedulingNode) -> None:
         self._node = node
         self._lost_since: Seconds | None = None
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            self._look()
+            await asyncio.sleep(CHECK_SECONDS)
+            self._check()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         failing_since = self._node.store_health.failing_since
         now = self._node.clock.now()
         if failing_since is None:
-            self._note_answering(now)
-        elif self._lost_since is None and now - failing_since >= STORE_LOST_SECONDS:
+            self._log_recovery(now)
+        elif self._lost_since is None and now - failing_since >= LOST_SECONDS:
             self._lost_since = failing_since
             failing_ms = round((now - failing_since) * 1_000)
             self._node.log.warning(Event.STORE_LOST, failing_ms=failing_ms)
 
-    def _note_answering(self, now: Seconds) -> None:
+    def _log_recovery(self, now: Seconds) -> None:
         if self._lost_since is None:
             return
         seconds = round(now - self._lost_since, 2)
@@ -47,4 +47,4 @@
         self._lost_since = None
 
 
-__all__ = ["StoreWatch"]
+__all__ = ["StoreMonitor"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/vm_keeper.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/vm_manager.py
@@ -33,71 +33,75 @@
 
     from medlarspring_adapters.store import Committed, StoreError
     from medlarspring_daemon.scheduling.context import SchedulingNode
-    from medlarspring_daemon.scheduling.directory import Directory
     from medlarspring_daemon.scheduling.election import Term
+    from medlarspring_daemon.scheduling.operator_records import OperatorRecords
     from medlarspring_systems.scheduling.fleet import VMOperation, WaveProgress
     from medlarspring_tables import Seconds
     from medlarspring_tables.scheduling import Run, WorkTables
 
 TICK_SECONDS = 0.2
-SETTLE_SECONDS = 0.2
-"""Added to the times that keep two holders' operations apart."""
+SEPARATION_MARGIN_SECONDS = 0.2
+"""Added to the minimum times between the operations of two controllers."""
 RETRY_SECONDS = 0.2
 OPERATIONS_KEPT_SECONDS = 10.0
-"""Older operations are no concern of a successor."""
+"""Older operations need no waiting time from the next controller and are dropped."""
 
 Answer = TypeVar("Answer")
 
 
-class KeeperOwner(Protocol):
-    """What the keeper needs of its controller."""
+class VMManagerOwner(Protocol):
+    """The part of the cell's controller that the VM manager uses."""
 
     tables: WorkTables
 
     def stop_run(self, run: Run, reason: str) -> None:
-        """Have a run stopped."""
+        """Order a run's worker to stop it."""
         ...
 
     def plan(self, pool_id: PoolId) -> None:
-        """Place what waits in a pool, soon."""
+        """Schedule a placement round for a pool's waiting tasks."""
         ...
 
-    def look_at_vms(self) -> None:
-        """Read the VM list soon."""
+    def refresh_vm_list(self) -> None:
+        """Request an early read of the VM list."""
         ...
 
 
-class VMKeeper:
-    """All operations on VMs under one tenure.
+class VMManager:
+    """Plans and sends all operations on VMs during one leadership term.
 
-    The platform does not check fences of these operations, so two holders must
-    keep apart by time. Each operation is recorded under the holder's key before it
-    is sent, and only while the tenure holds. So once this one is elected, a
-    predecessor that was paused or cut off, or whose key the store took away, can
-    still send only what its last record names; those VMs are left alone until the
-    platform's time between two holders has passed since the last moment at which
-    it could do so. All other VMs may be moved at once: waiting for the whole lease
-    cost each takeover 1.6 s in which the pool in turn got no VMs. Maintenance
-    waits for it all the same, because a wave's limit counts all of its VMs.
+    The platform does not check fences on these operations, so the operations of two
+    controllers must be separated in time. Each operation is recorded in the store
+    before it is sent, in a transaction that requires the controller's key, and only
+    during its term. After an election, a previous controller that was paused,
+    disconnected or lost its key can therefore send only operations named in its last
+    record. Their VMs are not operated on until the separation that the platform
+    requires has passed since the last moment at which it could send them.
+
+    All other VMs may be moved at once: waiting for the previous controller's whole
+    lease delayed each takeover by 1.6 s, during which a pool with a burst got no VMs.
+    Maintenance does wait for it, because a wave's limit applies to all of its VMs.
     """
 
     def __init__(
         self,
         node: SchedulingNode,
         term: Term,
-        directory: Directory,
-        owner: KeeperOwner,
+        operator_records: OperatorRecords,
+        owner: VMManagerOwner,
     ) -> None:
         self._node = node
         self._term = term
-        self._directory = directory
+        self._operator_records = operator_records
         self._owner = owner
         self.fleet = FleetTables()
-        self._maintain_at: Seconds = term.began_at + LEASE_SECONDS + SETTLE_SECONDS
-        self._move_at: Seconds = term.began_at
+        self._maintenance_allowed_at: Seconds = (
+            term.began_at + LEASE_SECONDS + SEPARATION_MARGIN_SECONDS
+        )
+        self._moves_allowed_at: Seconds = term.began_at
         self._sent_ms_by_vm: dict[str, int] = {}
         self._operations_revision = Revision(0)
-        """Store revision of the record of operations; 0 before the first one."""
+        """Store revision of the operations record; 0 before the first one."""
         self._sizes_recorded = False
         self._logged_vms: dict[PoolId, int] = {}
 
@@ -107,26 +111,28 @@
         await self._load_sizes()
         await self._load_operations()
         while True:
-            await self._step()
+            await self._reconcile()
             await asyncio.sleep(TICK_SECONDS)
 
     async def _load_waves(self) -> None:
         prefix = self._term.keys.waves_prefix
-        listing = await self._ask(lambda: self._node.store.read_prefix(prefix))
+        listing = await self._read_with_retry(
+            lambda: self._node.store.read_prefix(prefix)
+        )
         for entry in listing.entries:
             wave_id = entry.key.removeprefix(prefix)
             record = self._node.unreadable.decode(entry, WaveRecord)
             if record is None:
-                # Its VMs are maintained again: late, but none is left out.
+                # Its VMs are maintained again. That delays the wave, but skips no VM.
                 continue
             self.fleet.done_by_wave[WaveId(wave_id)] = {
                 VMId(vm_id) for vm_id in record.begun
             }
 
     async def _load_sizes(self) -> None:
-        """Take the pools' first sizes over, or record them if nobody has."""
+        """Load the pools' first sizes, if a previous controller recorded them."""
         key = self._term.keys.sizes
-        entry = await self._ask(lambda: self._node.store.read(key))
+        entry = await self._read_with_retry(lambda: self._node.store.read(key))
         if entry is None:
             return
         record = self._node.unreadable.decode(entry, SizesRecord)
@@ -138,38 +144,44 @@
             self.fleet.initial_sizes_known = True
 
     async def _load_operations(self) -> None:
-        """Leave the VMs alone that predecessors operated on a moment ago."""
+        """Block operations on the VMs that previous controllers operated on lately.
+
+        If the record cannot be read, all operations wait for the full separation.
+        """
         key = self._term.keys.operations
-        entry = await self._ask(lambda: self._node.store.read(key))
+        entry = await self._read_with_retry(lambda: self._node.store.read(key))
         if entry is None:
             return
         self._operations_revision = entry.mod_revision
         record = self._node.unreadable.decode(entry, OperationsRecord)
         if record is None:
-            self._move_at = self._maintain_at + self._measure_apart()
-            self._maintain_at = self._move_at
+            self._moves_allowed_at = (
+                self._maintenance_allowed_at + self._get_separation()
+            )
+            self._maintenance_allowed_at = self._moves_allowed_at
             return
-        # The next record replaces this one, and a successor relies on it alone.
+        # This controller's record replaces the loaded one, and the next controller
+        # reads only the latest record.
         self._sent_ms_by_vm = dict(record.sent_ms_by_vm)
         now, wall_ms = self._node.clock.now(), self._node.clock.wall() * 1_000
-        apart = LEASE_SECONDS + self._measure_apart()
+        separation = LEASE_SECONDS + self._get_separation()
         for vm, sent_ms in record.sent_ms_by_vm.items():
             elapsed = max(wall_ms - sent_ms, 0.0) / 1_000.0
-            self.fleet.refused_until[VMId(vm)] = now + apart - elapsed
+            self.fleet.refused_until[VMId(vm)] = now + separation - elapsed
 
-    async def _ask(
+    async def _read_with_retry(
         self, read: Callable[[], Awaitable[Result[Answer, StoreError]]]
     ) -> Answer:
-        """Read from the store until it answers."""
+        """Repeat a read from the store until it succeeds."""
         while True:
             answer = await read()
             if is_successful(answer):
                 return answer.unwrap()
             await asyncio.sleep(RETRY_SECONDS)
 
-    def _measure_apart(self) -> Seconds:
-        """Return how far apart two holders' operations on one VM must be."""
-        return self._node.limits.vm_lease + SETTLE_SECONDS
+    def _get_separation(self) -> Seconds:
+        """Return the minimum time between two controllers' operations on one VM."""
+        return self._node.limits.vm_lease + SEPARATION_MARGIN_SECONDS
 
     async def _record_sizes(self) -> None:
         if self._sizes_recorded or not self.fleet.initial_sizes_known:
@@ -183,11 +195,11 @@
         )
         self._sizes_recorded = is_successful(answer) and answer.unwrap().succeeded
 
-    async def _step(self) -> None:
+    async def _reconcile(self) -> None:
         if not self._term.is_active():
             return
         now = self._node.clock.now()
-        for order, seen_at in self._directory.waves_by_key.values():
+        for order, seen_at in self._operator_records.waves_by_key.values():
             record_wave_order(self.fleet, order, seen_at)
         plan = plan_operations(self._owner.tables, self.fleet, self._node.limits, now)
         await self._record_sizes()
@@ -198,17 +210,17 @@
             self._owner.plan(pool_id)
         operations = [each for each in plan.operations if now >= self._find_start(each)]
         if operations:
-            await self._carry_out(operations)
+            await self._execute(operations)
         for wave in plan.to_report:
-            await self._report(wave)
+            await self._report_wave(wave)
 
     def _find_start(self, operation: VMOperation) -> Seconds:
-        """Return from when on this tenure may send an operation."""
+        """Return the time from which an operation may be sent in this term."""
         is_move = isinstance(operation, MoveVM)
-        return self._move_at if is_move else self._maintain_at
+        return self._moves_allowed_at if is_move else self._maintenance_allowed_at
 
     def _log_needs(self) -> None:
-        """Log each pool whose need changed, with what it was worked out from."""
+        """Log each pool whose need changed, with the figures behind it."""
         for pool_id, need in self.fleet.needs_by_pool.items():
             if self._logged_vms.get(pool_id) == need.vms:
                 continue
@@ -224,24 +236,24 @@
                 vms_read_at=round(self._owner.tables.vms_read_at, 3),
             )
 
-    async def _carry_out(self, operations: list[VMOperation]) -> None:
+    async def _execute(self, operations: list[VMOperation]) -> None:
         now = self._node.clock.now()
         for operation in operations:
             record_operation_sent(self._owner.tables, self.fleet, operation, now)
-        if not await self._record(operations):
+        if not await self._record_operations(operations):
             for operation in operations:
-                self._note_refused(operation)
+                self._record_refused(operation)
             return
-        await asyncio.gather(*(self._operate(each) for each in operations))
-        self._owner.look_at_vms()
+        await asyncio.gather(*(self._send(each) for each in operations))
+        self._owner.refresh_vm_list()
 
-    async def _record(self, operations: list[VMOperation]) -> bool:
-        """Write what is about to be sent, and how far the waves are.
+    async def _record_operations(self, operations: list[VMOperation]) -> bool:
+        """Record the operations about to be sent and the progress of their waves.
 
-        The write also shows, right before the operations, that the store still
-        knows this process as the holder. It names the revision of the record that
-        it replaces: a write without an answer may be carried out seconds later, and
-        would put an older record in place of a newer one.
+        Returns whether the record was written. The transaction also verifies, right
+        before the operations are sent, that this process still controls the cell. It
+        requires the revision of the record that it replaces, because an unanswered
+        write may be applied seconds later and would overwrite a newer record.
         """
         puts: dict[str, Put] = {}
         for operation in operations:
@@ -249,7 +261,7 @@
                 put = self._encode_wave(operation.wave_id)
                 puts[put.key] = put
         key = self._term.keys.operations
-        puts[key] = Put(key, msgspec.json.encode(self._note_sent(operations)))
+        puts[key] = Put(key, msgspec.json.encode(self._add_sent(operations)))
         expects = (self._term.expect(), Expect(key, self._operations_revision))
         transaction = Transaction(
             expects, tuple(puts.values()), tuple(each.key for each in expects)
@@ -261,11 +273,14 @@
         if committed.succeeded:
             self._operations_revision = committed.revision
         else:
-            self._take_conflict(committed)
+            self._handle_conflict(committed)
         return committed.succeeded
 
-    def _take_conflict(self, committed: Committed) -> None:
-        """Learn whether another process holds the cell, or which record stands."""
+    def _handle_conflict(self, committed: Committed) -> None:
+        """After a refused write, end the term or update the operations revision.
+
+        The term ends if another process controls the cell.
+        """
         if not self._term.check_still_holder(committed):
             return
         found = committed.read_by_key.get(self._term.keys.operations)
@@ -277,7 +292,7 @@
         key = f"{self._term.keys.waves_prefix}{wave_id}"
         return Put(key, msgspec.json.encode(record))
 
-    def _note_sent(self, operations: list[VMOperation]) -> OperationsRecord:
+    def _add_sent(self, operations: list[VMOperation]) -> OperationsRecord:
         wall_ms = round(self._node.clock.wall() * 1_000)
         oldest = wall_ms - round(OPERATIONS_KEPT_SECONDS * 1_000)
         kept = {vm: at for vm, at in self._sent_ms_by_vm.items() if at > oldest}
@@ -285,9 +300,9 @@
         self._sent_ms_by_vm = kept
         return OperationsRecord(sent_ms_by_vm=kept)
 
-    async def _operate(self, operation: VMOperation) -> None:
+    async def _send(self, operation: VMOperation) -> None:
         if not self._term.is_active():
-            self._note_refused(operation)
+            self._record_refused(operation)
             return
         authority = Authority(self._node.id, self._term.fence)
         lifecycle = self._node.lifecycle
@@ -297,9 +312,9 @@
             answer = await lifecycle.maintain(
                 operation.vm_id, operation.wave_id, authority
             )
-        self._take_answer(operation, answer)
+        self._handle_answer(operation, answer)
 
-    def _take_answer(self, operation: VMOperation, answer) -> None:  # type: ignore[no-untyped-def]
+    def _handle_answer(self, operation: VMOperation, answer) -> None:  # type: ignore[no-untyped-def]
         fields = operation.describe()
         if not is_successful(answer):
             error = answer.failure()
@@ -307,7 +322,7 @@
                 Event.VM_OPERATION_UNANSWERED, fault=error.message(), **fields
             )
             if not error.may_follow:
-                self._note_refused(operation)
+                self._record_refused(operation)
             return
         refusal = answer.unwrap()
         if refusal is None:
@@ -322,25 +337,26 @@
         self._node.log.warning(
             Event.VM_OPERATION_REFUSED, refusal=refusal.value, **fields
         )
-        self._note_refused(operation)
+        self._record_refused(operation)
 
-    def _note_refused(self, operation: VMOperation) -> None:
+    def _record_refused(self, operation: VMOperation) -> None:
         now = self._node.clock.now()
         record_operation_refused(self._owner.tables, self.fleet, operation, now)
 
-    async def _report(self, wave: WaveProgress) -> None:
+    async def _report_wave(self, wave: WaveProgress) -> None:
         complete = wave.complete
         key, value = self._node.codec.encode_wave_status(wave.id, complete=complete)
-        # With the last VMs in the record: a successor that knew of one less told
-        # the operator that a complete wave was active again.
+        # The wave's VMs are written in the same transaction. Otherwise the next
+        # controller could miss the last one and report a complete wave as active.
         writes = (Put(key, value), self._encode_wave(wave.id))
-        # A report that is carried out late must not hide later operations.
+        # A report that is applied late must not overwrite a wave record that names
+        # operations sent since.
         operations = Expect(self._term.keys.operations, self._operations_revision)
         expects = (self._term.expect(), operations)
         transaction = Transaction(expects, writes, tuple(each.key for each in expects))
         answer = await self._node.store.commit(transaction)
         if is_successful(answer) and not answer.unwrap().succeeded:
-            self._take_conflict(answer.unwrap())
+            self._handle_conflict(answer.unwrap())
         elif is_successful(answer):
             wave.reported = complete
             wave.announced = True
@@ -352,4 +368,4 @@
             )
 
 
-__all__ = ["KeeperOwner", "VMKeeper"]
+__all__ = ["VMManagerOwner", "VMManager"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
@@ -1,4 +1,4 @@
-"""Takes the workers' entries in the platform's registry."""
+"""Follows the workers' entries in the platform's registry."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from returns.pipeline import is_successful
 
 from medlarspring_adapters.events import Event
-from medlarspring_daemon.scheduling.run_log import log_resized
+from medlarspring_daemon.scheduling.run_log import log_worker_resized
 from medlarspring_systems.scheduling.workers import (
     apply_entry,
     is_ended_incarnation,
@@ -28,94 +28,95 @@
     )
 
 
-class WorkerOwner(Protocol):
-    """What the feed tells the controller."""
+class WorkerFeedOwner(Protocol):
+    """The part of the cell's controller that the feed uses."""
 
     tables: WorkTables
 
-    def note_worker(self, worker: Worker) -> None:
+    def connect_worker(self, worker: Worker) -> None:
         """Connect to a worker that the registry lists."""
         ...
 
-    def note_started_again(self, worker: Worker, born_ms: Milliseconds) -> None:
-        """Note that a worker's entry is of another life than the one that is known."""
+    def handle_worker_restart(self, worker: Worker, born_ms: Milliseconds) -> None:
+        """Switch to a worker's new incarnation, which began at ``born_ms``."""
         ...
 
     def record_entry_gone(self, worker: Worker) -> None:
-        """Look whether a worker that the registry dropped is still alive."""
+        """Check whether a worker without a usable entry is still running."""
         ...
 
 
 class WorkerFeed:
-    """Implements ``PrefixListener`` over the registry."""
+    """Applies registry entries to the tables; implements ``PrefixListener``."""
 
-    def __init__(self, node: SchedulingNode, owner: WorkerOwner) -> None:
+    def __init__(self, node: SchedulingNode, owner: WorkerFeedOwner) -> None:
         self._node = node
         self._owner = owner
         self.loaded = asyncio.Event()
-        self._of_unknown_pools: dict[str, Entry] = {}
-        """Entries by key that wait for a configuration with their pool."""
-        self._passed_over: set[WorkerId] = set()
-        """Workers whose entries lead to a life that is over, each logged once."""
+        """Set once the registry was read for the first time."""
+        self._entries_without_pool: dict[str, Entry] = {}
+        """Entries by key whose pool is not in the configuration yet."""
+        self._logged_as_ended: set[WorkerId] = set()
+        """Workers already logged for an entry of an ended incarnation."""
 
-    def take_config(self) -> None:
-        """Take the entries whose pools the configuration has now."""
-        for entry in list(self._of_unknown_pools.values()):
-            self._take(entry)
+    def apply_config(self) -> None:
+        """Apply the entries whose pools are in the configuration now."""
+        for entry in list(self._entries_without_pool.values()):
+            self._apply_entry(entry)
 
     def take_listing(self, listing: Listing) -> None:
-        """Take the whole registry; a worker that is not in it was dropped."""
+        """Apply a full listing of the registry; workers not in it become unlisted."""
         prefix = self._node.codec.worker_prefix
         listed = {entry.key.removeprefix(prefix) for entry in listing.entries}
-        self._of_unknown_pools.clear()
+        self._entries_without_pool.clear()
         for entry in listing.entries:
-            self._take(entry)
+            self._apply_entry(entry)
         for worker in list(self._owner.tables.workers_by_id.values()):
             if worker.id not in listed:
-                self._drop(worker.id)
+                self._unlist_worker(worker.id)
         self.loaded.set()
 
     def take_batch(self, batch: WatchBatch) -> None:
-        """Take what changed."""
+        """Apply a batch of changed and deleted entries."""
         prefix = self._node.codec.worker_prefix
         for key in batch.deleted:
-            self._of_unknown_pools.pop(key, None)
+            self._entries_without_pool.pop(key, None)
             self._node.unreadable.forget(key)
-            self._drop(WorkerId(key.removeprefix(prefix)))
+            self._unlist_worker(WorkerId(key.removeprefix(prefix)))
         for entry in batch.changed:
-            self._take(entry)
+            self._apply_entry(entry)
 
-    def _take(self, entry: Entry) -> None:
+    def _apply_entry(self, entry: Entry) -> None:
         decoded = self._node.codec.decode_worker(entry.key, entry.value)
-        self._of_unknown_pools.pop(entry.key, None)
+        self._entries_without_pool.pop(entry.key, None)
         if not is_successful(decoded):
-            self._leave_out(entry, decoded.failure().message())
+            self._reject_entry(entry, decoded.failure().message())
             return
-        found = decoded.unwrap()
+        worker_entry = decoded.unwrap()
         tables = self._owner.tables
-        if found.pool_id not in tables.config.pools_by_id:
-            # The configuration that adds the pool may be still on its way.
-            self._of_unknown_pools[entry.key] = entry
-            self._leave_out(
+        if worker_entry.pool_id not in tables.config.pools_by_id:
+            # The configuration that adds the pool may not have been read yet.
+            self._entries_without_pool[entry.key] = entry
+            self._reject_entry(
                 entry,
-                f"The entry names the pool {found.pool_id}, which the configuration"
-                " does not have; add the pool or remove the entry.",
+                f"The entry names the pool {worker_entry.pool_id}, which the"
+                " configuration does not have; add the pool or remove the entry.",
             )
             return
         self._node.unreadable.forget(entry.key)
-        known = tables.workers_by_id.get(found.id)
-        if known is not None and self._is_next_life(known, found):
-            self._owner.note_started_again(known, found.born_ms)
+        known = tables.workers_by_id.get(worker_entry.id)
+        if known is not None and self._is_new_incarnation(known, worker_entry):
+            self._owner.handle_worker_restart(known, worker_entry.born_ms)
         was_draining = known is not None and known.draining
-        former_room = found.resources
+        former_resources = worker_entry.resources
         if known is not None and known.address:
-            # One that only records name has not told its room before.
-            former_room = known.resources
-        worker = apply_entry(tables, found, self._node.clock.now())
+            # A worker known only from job records has no former resources.
+            former_resources = known.resources
+        worker = apply_entry(tables, worker_entry, self._node.clock.now())
         if worker is None:
-            self._pass_over(found, entry)
+            self._log_ended_incarnation(worker_entry, entry)
             return
-        self._passed_over.discard(worker.id)
+        self._logged_as_ended.discard(worker.id)
         if known is None or worker.draining != was_draining:
             self._node.log.info(
                 Event.WORKER_LISTED,
@@ -126,39 +127,42 @@
                 draining=worker.draining,
                 revision=entry.mod_revision,
             )
-        if worker.resources != former_room:
-            log_resized(self._node, worker, former_room, entry.mod_revision)
-        self._owner.note_worker(worker)
-
-    def _is_next_life(self, known: Worker, found: WorkerEntry) -> bool:
-        if is_ended_incarnation(self._owner.tables, found.id, found.born_ms):
+        if worker.resources != former_resources:
+            log_worker_resized(self._node, worker, former_resources, entry.mod_revision)
+        self._owner.connect_worker(worker)
+
+    def _is_new_incarnation(self, known: Worker, worker_entry: WorkerEntry) -> bool:
+        if is_ended_incarnation(
+            self._owner.tables, worker_entry.id, worker_entry.born_ms
+        ):
             return False
-        return is_other_incarnation(known, found.born_ms)
+        return is_other_incarnation(known, worker_entry.born_ms)
 
-    def _pass_over(self, found: WorkerEntry, entry: Entry) -> None:
-        """Say once that an entry is not used; it may be rewritten each second."""
-        if found.id in self._passed_over:
+    def _log_ended_incarnation(self, worker_entry: WorkerEntry, entry: Entry) -> None:
+        """Log a worker's unused entry once, since it may be rewritten every second."""
+        if worker_entry.id in self._logged_as_ended:
             return
-        self._passed_over.add(found.id)
+        self._logged_as_ended.add(worker_entry.id)
         self._node.log.info(
             Event.WORKER_PASSED_OVER,
-            worker=found.id,
-            vm=found.vm_id,
-            pool=found.pool_id,
-            born_ms=found.born_ms,
+            worker=worker_entry.id,
+            vm=worker_entry.vm_id,
+            pool=worker_entry.pool_id,
+            born_ms=worker_entry.born_ms,
             revision=entry.mod_revision,
         )
 
-    def _leave_out(self, entry: Entry, fault: str) -> None:
-        """Give a worker no new tasks while its entry does not say what it is.
+    def _reject_entry(self, entry: Entry, fault: str) -> None:
+        """Report an unusable entry and assign no new tasks to its worker.
 
-        What runs there goes on: the entry proves nothing about the worker's life.
+        Runs on the worker continue, because the entry does not show that its
+        incarnation has ended.
         """
         self._node.unreadable.report(entry.key, fault)
         prefix = self._node.codec.worker_prefix
-        self._drop(WorkerId(entry.key.removeprefix(prefix)))
+        self._unlist_worker(WorkerId(entry.key.removeprefix(prefix)))
 
-    def _drop(self, worker_id: WorkerId) -> None:
+    def _unlist_worker(self, worker_id: WorkerId) -> None:
         tables = self._owner.tables
         worker = tables.workers_by_id.get(worker_id)
         if worker is None or not worker.listed:
@@ -169,4 +173,4 @@
         self._owner.record_entry_gone(worker)
 
 
-__all__ = ["WorkerFeed", "WorkerOwner"]
+__all__ = ["WorkerFeed", "WorkerFeedOwner"]
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
@@ -1,4 +1,9 @@
-"""Talks to one worker: starts, stops, and holds its lease while it works."""
+"""Calls to one worker: start, stop and pace orders, and hold calls.
+
+A hold call extends the worker's lease and returns its runs and the ends that are not
+acknowledged yet. Unless told otherwise the worker delays its answer until a run ends
+or the call's wait time has passed.
+"""
 
 from __future__ import annotations
 
@@ -18,9 +23,9 @@
     WorkerAddress,
 )
 from medlarspring_daemon.scheduling.run_log import (
-    log_refused,
-    log_started,
-    log_unanswered,
+    log_run_started,
+    log_start_refused,
+    log_start_unanswered,
 )
 from medlarspring_daemon.scheduling.unacknowledged_ends import UnacknowledgedEnds
 from medlarspring_daemon.tasks import Tasks
@@ -53,18 +58,22 @@
     from medlarspring_tables import Seconds
     from medlarspring_tables.scheduling import Run, Worker
 
-ORDER_SECONDS = 0.35
-"""An order without an answer for so long is taken for lost; most take 4 ms."""
-HOLD_SLACK_SECONDS = 0.35
-SILENT_RETRY_SECONDS = 0.15
+ORDER_TIMEOUT_SECONDS = 0.35
+"""An order that is unanswered for this long is treated as lost; most take 4 ms."""
+HOLD_TIMEOUT_MARGIN_SECONDS = 0.35
+"""Added to the wait time of a hold call for its timeout."""
+RETRY_SECONDS = 0.15
+"""Pause after an unanswered hold call, and before a refused task is placed again."""
 STOP_REPEAT_SECONDS = 0.35
-UNRECORDED_SECONDS = 0.05
-"""Longest pause between calls while ends wait for the store. Until it may forget them
-the worker lists them at once, so that more calls tell only of further ends."""
+"""Shortest interval between two stop orders for the same run."""
+UNRECORDED_WAIT_SECONDS = 0.05
+"""Longest pause between calls while ends wait to be recorded in the store. Until they
+are acknowledged the worker answers each call at once, so that more frequent calls would
+only report further ends earlier."""
 
 
 class WorkerLink:
-    """All calls to one worker under one tenure."""
+    """Makes all calls to one worker during one leadership term."""
 
     def __init__(
         self, node: SchedulingNode, term: Term, owner: LinkOwner, worker: Worker
@@ -75,62 +84,66 @@
         self._worker = worker
         self._address = WorkerAddress(worker.id, worker.address)
         self._wake = asyncio.Event()
-        self._next_call = asyncio.Event()
-        """Set when a call has something to tell or to learn before its pause ends."""
+        self._call_due = asyncio.Event()
+        """Set when the next hold call must not wait until the pause is over."""
         self._tasks = Tasks(node.log)
         self._ends = UnacknowledgedEnds(worker.born_ms)
         self._stops_sent: dict[tuple[str, int], Seconds] = {}
-        self._look_now = False
-        self._in_hold = False
-        self._looking = False
+        self._poll_requested = False
+        self._hold_in_flight = False
+        self._side_poll_in_flight = False
 
-    def leads_to(self, address: str) -> bool:
-        """Tell whether calls go to this address."""
+    def uses_address(self, address: str) -> bool:
+        """Return whether calls go to this address."""
         return self._address.address == address
 
     def start(self) -> None:
-        """Begin to hold the worker."""
+        """Start the loop of hold calls."""
         self._tasks.keep(self._run)
 
     async def close(self) -> None:
-        """End all calls."""
+        """Cancel all calls and close the connections."""
         await self._tasks.cancel()
         self._node.orders.forget(self._address)
 
     def wake(self) -> None:
-        """Look at the worker again: there is something to hold, stop or confirm."""
+        """Resume the hold calls, because a run needs a lease, a stop or a check."""
         self._wake.set()
-        if self._look_now:
-            self._next_call.set()
-        # A call that waits for an end would hold the look back by half a second.
-        if self._look_now and self._in_hold and not self._looking:
-            self._looking = True
-            self._tasks.start(self._look())
-
-    def look(self) -> None:
-        """Ask the worker now what runs there."""
-        self._look_now = True
+        if self._poll_requested:
+            self._call_due.set()
+        # A hold call that waits for an end could delay the poll by half a second.
+        if (
+            self._poll_requested
+            and self._hold_in_flight
+            and not self._side_poll_in_flight
+        ):
+            self._side_poll_in_flight = True
+            self._tasks.start(self._side_poll())
+
+    def poll(self) -> None:
+        """Ask the worker for its runs and ends without delay."""
+        self._poll_requested = True
         self.wake()
 
-    def note_recorded(self) -> None:
-        """Have the worker forget ends: a job's record holds them now."""
-        self._next_call.set()
+    def acknowledge_ends(self) -> None:
+        """Acknowledge, with the next call, ends that job records in the store hold."""
+        self._call_due.set()
         self.wake()
 
-    async def _look(self) -> None:
+    async def _side_poll(self) -> None:
         try:
             await self._hold_once(aside=True)
         finally:
-            self._looking = False
+            self._side_poll_in_flight = False
 
     def send_start(self, run: Run) -> None:
-        """Order a run whose intent is recorded."""
+        """Order the start of a run whose intent is recorded in the store."""
         run.state = RunState.ORDERED
         run.ordered_at = self._node.clock.now()
         self._tasks.start(self._start(run))
 
     def send_stop(self, run: Run, reason: str) -> None:
-        """Have a run stopped; repeated until its end is listed."""
+        """Order the stop of a run; the order is repeated until its end is listed."""
         run.stopping = True
         if not run.stop_reason:
             run.stop_reason = reason
@@ -145,20 +158,20 @@
         self.wake()
 
     def send_pace(self, run: Run, percent: int) -> None:
-        """Let a run work at a part of its speed."""
+        """Limit a run to a percentage of its full speed."""
         run.pace_percent = percent
         self._tasks.start(self._pace(run, percent))
 
-    # Starts
+    # Start orders
 
     async def _start(self, run: Run) -> None:
         worker = self._worker
         sent_at = self._node.clock.now()
         if not self._term.is_active():
-            # Left as ordered, the run would be waited for after a pause of the
-            # tenure, although nobody was told to start it.
+            # If it stayed in the ordered state, the run would be awaited once the
+            # term resumes after a pause, although no start was sent.
             detach_run(self._owner.tables, run, sent_at)
-            self._owner.note_changed(worker, run)
+            self._owner.handle_detached_run(worker, run)
             return
         until = plan_start_deadline(worker, sent_at)
         run.order_ends_ms = until
@@ -171,63 +184,69 @@
             checkpoint=run.checkpoint,
             ticket=self._find_ticket(run),
         )
-        answer = await self._node.orders.start(self._address, order, ORDER_SECONDS)
+        answer = await self._node.orders.start(
+            self._address, order, ORDER_TIMEOUT_SECONDS
+        )
         now = self._node.clock.now()
         self._node.metrics.timing(Metric.RUN_ORDER_MS, (now - sent_at) * 1_000)
-        self._owner.note_order(answered=is_successful(answer))
+        self._owner.record_order(answered=is_successful(answer))
         if not is_successful(answer):
-            self._take_silence(run, answer.failure().may_follow, now)
+            self._handle_unanswered_start(run, answer.failure().may_follow, now)
             return
-        self._note_answered(now)
+        self._record_answered(now)
         record_clock(worker, answer.unwrap().clock_ms, now)
-        self._take_start_answer(run, answer.unwrap(), now)
+        self._handle_start_answer(run, answer.unwrap(), now)
 
     def _find_ticket(self, run: Run) -> str:
         ticket = find_ticket(run.task.step, self._worker)
         return ticket.text if ticket is not None else ""
 
-    def _take_silence(self, run: Run, may_follow: bool, now: Seconds) -> None:
+    def _handle_unanswered_start(
+        self, run: Run, may_follow: bool, now: Seconds
+    ) -> None:
         if run.state is not RunState.ORDERED:
             return
-        log_unanswered(self._node, run, now - run.ordered_at, may_follow=may_follow)
+        log_start_unanswered(
+            self._node, run, now - run.ordered_at, may_follow=may_follow
+        )
         if not may_follow:
             detach_run(self._owner.tables, run, now)
-            self._owner.note_changed(self._worker, run)
-            self._note_unanswered(now)
+            self._owner.handle_detached_run(self._worker, run)
+            self._record_unanswered(now)
             return
         run.state = RunState.UNKNOWN
         run.ordered_at = now
         record_unanswered_order(
             self._owner.tables, self._worker.id, run.task.id, run.number, now
         )
-        self._look_now = True
+        self._poll_requested = True
         self.wake()
 
-    def _take_start_answer(self, run: Run, answer: OrderAnswer, now: Seconds) -> None:
+    def _handle_start_answer(self, run: Run, answer: OrderAnswer, now: Seconds) -> None:
         if answer.refusal is None:
             record_acceptance(self._worker)
             if run.state in (RunState.ORDERED, RunState.UNKNOWN):
                 confirm_run(run, now)
-                log_started(self._node, run)
+                log_run_started(self._node, run)
             self.wake()
             return
         if answer.refusal is Refusal.FENCE:
-            self._owner.note_superseded()
+            self._owner.handle_superseded()
             return
-        log_refused(self._node, run, answer.refusal)
+        log_start_refused(self._node, run, answer.refusal)
         if answer.refusal in (Refusal.UNHEALTHY, Refusal.ROOM):
             record_refusal(self._worker, now)
         elif answer.refusal is Refusal.OTHER_LIFE:
-            self._owner.note_silent(self._worker)
+            self._owner.handle_unresponsive_worker(self._worker)
         elif answer.refusal is Refusal.TICKET:
             run.task.step.tickets.pop(self._worker.id, None)
-        run.task.not_before = now + SILENT_RETRY_SECONDS
+        run.task.not_before = now + RETRY_SECONDS
         detach_run(self._owner.tables, run, now)
-        self._owner.note_changed(self._worker, run)
-        self._look_now = True
+        self._owner.handle_detached_run(self._worker, run)
+        self._poll_requested = True
         self.wake()
 
-    # Stops and pace
+    # Stop and pace orders
 
     def _stop_when_due(self, run: Run) -> None:
         key = (run.task.id, run.number)
@@ -239,93 +258,97 @@
 
     async def _stop(self, task_id: str, number: int, run: Run | None) -> None:
         order = StopOrder(task_id, number, self._term.fence)
-        answer = await self._node.orders.stop(self._address, order, ORDER_SECONDS)
+        answer = await self._node.orders.stop(
+            self._address, order, ORDER_TIMEOUT_SECONDS
+        )
         now = self._node.clock.now()
         if not is_successful(answer):
             return
         record_clock(self._worker, answer.unwrap().clock_ms, now)
         refusal = answer.unwrap().refusal
         if refusal is Refusal.FENCE:
-            self._owner.note_superseded()
+            self._owner.handle_superseded()
         elif refusal is Refusal.OTHER_LIFE:
-            self._owner.note_silent(self._worker)
+            self._owner.handle_unresponsive_worker(self._worker)
         elif refusal is None:
             if run is not None and not run.stop_confirmed_at:
                 run.stop_confirmed_at = now
-            self._look_now = True
+            self._poll_requested = True
             self.wake()
 
     async def _pace(self, run: Run, percent: int) -> None:
         order = PaceOrder(run.task.id, run.number, percent, self._term.fence)
-        answer = await self._node.orders.pace(self._address, order, ORDER_SECONDS)
+        answer = await self._node.orders.pace(
+            self._address, order, ORDER_TIMEOUT_SECONDS
+        )
         if is_successful(answer) and answer.unwrap().refusal is Refusal.FENCE:
-            self._owner.note_superseded()
+            self._owner.handle_superseded()
 
-    # Holding
+    # Hold calls
 
     async def _run(self) -> None:
         while not self._worker.gone:
-            if not self._is_needed():
+            if not self._needs_hold():
                 self._wake.clear()
                 await self._wake.wait()
                 continue
-            self._in_hold = True
+            self._hold_in_flight = True
             try:
                 await self._hold_once()
             finally:
-                self._in_hold = False
+                self._hold_in_flight = False
 
-    def _is_needed(self) -> bool:
+    def _needs_hold(self) -> bool:
         worker = self._worker
-        if not worker.reconciled or worker.unanswered_since or self._look_now:
+        if not worker.reconciled or worker.unanswered_since or self._poll_requested:
             return True
         if self._ends.find_last_recorded():
             return True
         return any(run.state is not RunState.INTENDED for run in worker.runs.values())
 
     async def _hold_once(self, *, aside: bool = False) -> None:
-        ends = self._enter_life()
-        wait_ms = plan_hold_wait(self._worker, immediate=self._look_now)
-        self._look_now = False
-        asked_at = self._node.clock.now()
+        ends = self._get_current_ends()
+        wait_ms = plan_hold_wait(self._worker, immediate=self._poll_requested)
+        self._poll_requested = False
+        requested_at = self._node.clock.now()
         order = HoldOrder(
             fence=self._term.fence,
-            acknowledged=0 if aside else ends.find_acknowledgeable(asked_at),
-            lease_until_ms=self._plan_lease(asked_at),
+            acknowledged=0 if aside else ends.find_acknowledgeable(requested_at),
+            lease_until_ms=self._plan_lease(requested_at),
             wait_ms=wait_ms,
             aside=aside,
         )
-        timeout = wait_ms / 1_000.0 + HOLD_SLACK_SECONDS
+        timeout = wait_ms / 1_000.0 + HOLD_TIMEOUT_MARGIN_SECONDS
         answer = await self._node.orders.hold(self._address, order, timeout)
         now = self._node.clock.now()
         if not is_successful(answer):
-            self._note_unanswered(now)
-            await asyncio.sleep(SILENT_RETRY_SECONDS)
+            self._record_unanswered(now)
+            await asyncio.sleep(RETRY_SECONDS)
             return
-        self._take_hold_answer(answer.unwrap(), asked_at, now)
+        self._handle_hold_answer(answer.unwrap(), requested_at, now)
         ends.drop(answer.unwrap().acknowledged)
-        if self._ends and not self._look_now:
-            await self._await_record()
+        if self._ends and not self._poll_requested:
+            await self._wait_for_record()
 
-    def _enter_life(self) -> UnacknowledgedEnds:
-        """Return the ledger of the present life; that of a former one is left."""
+    def _get_current_ends(self) -> UnacknowledgedEnds:
+        """Return the ends of the current incarnation; discard those of a former one."""
         if self._ends.life_ms != self._worker.born_ms:
             self._ends = UnacknowledgedEnds(self._worker.born_ms)
             self._stops_sent.clear()
         return self._ends
 
-    async def _await_record(self) -> None:
-        """Wait until an end is recorded, or another call can't wait.
+    async def _wait_for_record(self) -> None:
+        """Wait until an end is recorded or the next call is due.
 
-        Asked again at once meanwhile, workers would take a third more calls, each of
-        them time in the HTTP client, for answers that tell nothing new.
+        Without this pause there would be a third more calls, which cost time in the
+        HTTP client and return nothing new.
         """
-        self._next_call.clear()
+        self._call_due.clear()
         if self._ends.find_last_recorded():
             return
         try:
-            async with asyncio.timeout(UNRECORDED_SECONDS):
-                await self._next_call.wait()
+            async with asyncio.timeout(UNRECORDED_WAIT_SECONDS):
+                await self._call_due.wait()
         except TimeoutError:
             return
 
@@ -334,57 +357,62 @@
             return 0
         return plan_lease_end(self._worker, self._node.limits.worker_lease, now)
 
-    def _take_hold_answer(
-        self, answer: HoldAnswer, asked_at: Seconds, now: Seconds
+    def _handle_hold_answer(
+        self, answer: HoldAnswer, requested_at: Seconds, now: Seconds
     ) -> None:
         worker = self._worker
         if answer.refusal is Refusal.FENCE:
-            self._owner.note_superseded()
+            self._owner.handle_superseded()
             return
         if answer.refusal is Refusal.OTHER_LIFE:
-            self._note_unanswered(now)
+            self._record_unanswered(now)
             return
         if answer.refusal is not None:
             record_refusal(worker, now)
-            self._note_unanswered(now)
+            self._record_unanswered(now)
             return
         if is_ended_incarnation(self._owner.tables, worker.id, answer.born_ms):
-            # Said by a former life, and overtaken by the next one's entry.
-            self._note_unanswered(now)
+            # The answer is from an ended incarnation; the entry of the next one was
+            # read first.
+            self._record_unanswered(now)
             return
-        self._note_answered(now)
+        self._record_answered(now)
         if is_other_incarnation(worker, answer.born_ms):
-            self._owner.note_started_again(worker, answer.born_ms)
-        self._enter_life().record_listing(now)
+            self._owner.handle_worker_restart(worker, answer.born_ms)
+        self._get_current_ends().record_listing(now)
         record_clock(worker, answer.clock_ms, now)
         outcome = apply_listing(
             self._owner.tables,
             worker,
             answer.running,
             list(answer.ended),
-            asked_at,
+            requested_at,
             now,
         )
-        first_look = not worker.reconciled
+        first_answer = not worker.reconciled
         worker.reconciled = True
-        if first_look:
+        if first_answer:
             self._refuse_late_orders(now)
-        if first_look and worker.runs:
-            # The lease could not be extended before the worker's clock was known.
-            self._look_now = True
+        if first_answer and worker.runs:
+            # The first call could not extend the lease, because the worker's clock
+            # was not known yet.
+            self._poll_requested = True
         for number, job in outcome.ends:
             self._ends.add(number, job)
         for run in outcome.confirmed:
-            log_started(self._node, run)
-        self._settle_rest(outcome)
+            log_run_started(self._node, run)
+        self._send_due_stops(outcome)
         self._owner.handle_listing(worker, outcome)
 
     def _refuse_late_orders(self, now: Seconds) -> None:
-        """Have a new life refuse what its former one may have left to be done."""
+        """Stop start orders that an earlier incarnation left unanswered.
+
+        A start order that arrives late is then refused by the new incarnation.
+        """
         for task_id, number in pop_late_orders(self._owner.tables, self._worker, now):
             self._tasks.start(self._stop(task_id, number, None))
 
-    def _settle_rest(self, outcome: ListingOutcome) -> None:
+    def _send_due_stops(self, outcome: ListingOutcome) -> None:
         for run in outcome.absent:
             self._stop_when_due(run)
         for run in self._worker.runs.values():
@@ -401,22 +429,22 @@
             )
             self._tasks.start(self._stop(task_id, number, None))
         if outcome.unexpected_runs:
-            self._look_now = True
+            self._poll_requested = True
 
-    def _note_answered(self, now: Seconds) -> None:
+    def _record_answered(self, now: Seconds) -> None:
         worker = self._worker
         worker.answered_at = now
         if worker.unanswered_since:
-            silent = now - worker.unanswered_since
+            unanswered_seconds = now - worker.unanswered_since
             worker.unanswered_since = 0.0
             self._node.log.info(
                 Event.WORKER_ANSWERS,
                 worker=worker.id,
                 vm=worker.vm_id,
-                silent_ms=round(silent * 1_000),
+                silent_ms=round(unanswered_seconds * 1_000),
             )
 
-    def _note_unanswered(self, now: Seconds) -> None:
+    def _record_unanswered(self, now: Seconds) -> None:
         worker = self._worker
         self._ends.record_unanswered_call()
         if not worker.unanswered_since:
@@ -427,7 +455,7 @@
                 vm=worker.vm_id,
                 runs=len(worker.runs),
             )
-        self._owner.note_silent(worker)
+        self._owner.handle_unresponsive_worker(worker)
 
 
 __all__ = ["WorkerLink"]
--- /dev/null
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_liveness.py
@@ -0,0 +1,130 @@
+"""Finds workers whose incarnation has ended or whose leases expired.
+
+The runs of these workers are reported to the controller as lost.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING, Protocol
+
+from returns.pipeline import is_successful
+
+from medlarspring_adapters.events import Event
+from medlarspring_daemon.scheduling.run_log import log_run_lost, log_worker_gone
+from medlarspring_systems.scheduling.crashes import (
+    may_have_caused_crash,
+    record_vanished_run,
+    record_worker_end,
+)
+from medlarspring_systems.scheduling.runs import detach_run
+from medlarspring_systems.scheduling.workers import (
+    apply_vm_list,
+    end_incarnation,
+    have_recorded_runs_lapsed,
+    is_lease_over,
+)
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from medlarspring_daemon.scheduling.context import SchedulingNode
+    from medlarspring_tables import Seconds
+    from medlarspring_tables.scheduling import Run, Worker, WorkTables
+
+REFRESH_SECONDS = 1.0
+"""Interval between reads of the VM list if no earlier read is requested."""
+MIN_REFRESH_SECONDS = 0.15
+"""Shortest time between two reads while early reads are requested."""
+
+
+class LivenessOwner(Protocol):
+    """The part of the cell's controller that the monitor uses."""
+
+    tables: WorkTables
+
+    def handle_lost_runs(self, runs: Iterable[Run]) -> None:
+        """Record runs that are over without a listed end, and plan placement rounds."""
+        ...
+
+    def close_link(self, worker: Worker) -> None:
+        """Close the connections to a worker that is gone."""
+        ...
+
+
+class WorkerLivenessMonitor:
+    """Reads the VM list periodically, and detects expired leases."""
+
+    def __init__(self, node: SchedulingNode, owner: LivenessOwner) -> None:
+        self._node = node
+        self._owner = owner
+        self._requested_at: Seconds = 0.0
+        self._refresh_requested = asyncio.Event()
+
+    def refresh_soon(self) -> None:
+        """Request a read of the VM list before the regular interval has passed."""
+        self._refresh_requested.set()
+
+    async def run(self) -> None:
+        """Read the VM list periodically until cancelled."""
+        while True:
+            await self._refresh()
+            try:
+                async with asyncio.timeout(REFRESH_SECONDS):
+                    await self._refresh_requested.wait()
+            except TimeoutError:
+                continue
+            wait = self._requested_at + MIN_REFRESH_SECONDS - self._node.clock.now()
+            await asyncio.sleep(max(wait, 0.0))
+
+    def expire_leases(self, now: Seconds) -> None:
+        """Detach runs whose lease has certainly expired, and report them as lost.
+
+        Only workers that do not answer are considered.
+        """
+        for worker in list(self._owner.tables.workers_by_id.values()):
+            if self._has_expired(worker, now):
+                lost = list(worker.runs.values())
+                for run in lost:
+                    if may_have_caused_crash(run, now):
+                        record_vanished_run(run)
+                    detach_run(self._owner.tables, run, now)
+                self._report_lost(lost, "lease expired")
+
+    def _has_expired(self, worker: Worker, now: Seconds) -> bool:
+        if have_recorded_runs_lapsed(worker, self._node.limits.worker_lease, now):
+            return True
+        return bool(worker.unanswered_since) and is_lease_over(worker, now)
+
+    async def _refresh(self) -> None:
+        self._refresh_requested.clear()
+        self._requested_at = self._node.clock.now()
+        listed = await self._node.lifecycle.list_vms()
+        if not is_successful(listed):
+            self._node.log.warning(
+                Event.VM_LIST_UNANSWERED, fault=listed.failure().message()
+            )
+            return
+        tables = self._owner.tables
+        ended_workers = apply_vm_list(tables, listed.unwrap(), self._requested_at)
+        # Idle workers come first: their end shows that an outage, not a task, is the
+        # cause.
+        for worker in sorted(ended_workers, key=lambda worker: len(worker.runs)):
+            self._end_incarnation(worker, "incarnation ended according to the VM list")
+
+    def _end_incarnation(self, worker: Worker, reason: str) -> None:
+        tables = self._owner.tables
+        now = self._node.clock.now()
+        verdict = record_worker_end(tables, worker, now)
+        log_worker_gone(self._node, worker, reason, tables.vms_read_at, verdict)
+        lost = end_incarnation(tables, worker, now)
+        self._report_lost(lost, reason)
+        self._owner.close_link(worker)
+
+    def _report_lost(self, lost: list[Run], reason: str) -> None:
+        for run in lost:
+            log_run_lost(self._node, run, reason)
+        self._owner.handle_lost_runs(lost)
+
+
+__all__ = ["LivenessOwner", "WorkerLivenessMonitor"]
