--- a/packages/adapters/src/medlarspring_adapters/vm_control.py
+++ b/packages/adapters/src/medlarspring_adapters/vm_control.py
@@ -13,7 +13,7 @@
 from returns.result import Failure, Result, Success
 
 from medlarspring_tables import MedlarspringError, PoolId, Revision, VMId
-from medlarspring_tables.vms import VMCondition, VMSighting
+from medlarspring_tables.vms import VMCondition, VMObservation
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -65,7 +65,7 @@
 
     async def read_vms(
         self, pool_ids: Collection[PoolId], vm_ids: Collection[VMId]
-    ) -> Result[list[VMSighting], VMControlError]:
+    ) -> Result[list[VMObservation], VMControlError]:
         """Return the VMs that the platform holds in the pools, and the named ones."""
         ...
 
@@ -75,7 +75,7 @@
         action: Action,
         revision: Revision,
         pool_id: PoolId | None = None,
-    ) -> Result[VMSighting, VMControlError]:
+    ) -> Result[VMObservation, VMControlError]:
         """Ask for an action, idempotent by revision; ``pool_id`` is for assign."""
         ...
 
@@ -87,8 +87,8 @@
     boot: int
     revision: Revision
 
-    def to_sighting(self) -> VMSighting:
-        return VMSighting(
+    def to_sighting(self) -> VMObservation:
+        return VMObservation(
             vm_id=self.id,
             pool_id=self.pool,
             condition=self.condition,
@@ -116,7 +116,7 @@
 
     async def read_vms(
         self, pool_ids: Collection[PoolId], vm_ids: Collection[VMId]
-    ) -> Result[list[VMSighting], VMControlError]:
+    ) -> Result[list[VMObservation], VMControlError]:
         """Return the VMs of the pools and the named ones."""
         query: list[tuple[str, str]]
         query = [("pool", pool_id) for pool_id in sorted(pool_ids)]
@@ -137,7 +137,7 @@
         action: Action,
         revision: Revision,
         pool_id: PoolId | None = None,
-    ) -> Result[VMSighting, VMControlError]:
+    ) -> Result[VMObservation, VMControlError]:
         """Ask for one action on one VM."""
         document: dict[str, object] = {"revision": revision}
         if pool_id is not None:
--- a/packages/bench/src/medlarspring_bench/fleet_stepping.py
+++ b/packages/bench/src/medlarspring_bench/fleet_stepping.py
@@ -20,7 +20,7 @@
 )
 from medlarspring_systems.vm_actions import Action
 from medlarspring_tables import PoolId, Revision, VMId
-from medlarspring_tables.vms import VMCondition, VMSighting
+from medlarspring_tables.vms import VMCondition, VMObservation
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Generator
@@ -76,12 +76,12 @@
         self._on_action = on_action
         self.lose_replies = 0
         self.is_down = False
-        self.last_seen: dict[VMId, VMSighting] = {}
+        self.last_seen: dict[VMId, VMObservation] = {}
         """What the caller was told last of each VM."""
 
     async def read_vms(
         self, pool_ids: Collection[PoolId], vm_ids: Collection[VMId]
-    ) -> Result[list[VMSighting], VMControlError]:
+    ) -> Result[list[VMObservation], VMControlError]:
         """Show VMs."""
         await Pause()
         rows = self._state.find(pool_ids, vm_ids)
@@ -98,7 +98,7 @@
         action: Action,
         revision: Revision,
         pool_id: PoolId | None = None,
-    ) -> Result[VMSighting, VMControlError]:
+    ) -> Result[VMObservation, VMControlError]:
         """Carry one action out."""
         await Pause()
         if self.is_down:
@@ -141,8 +141,8 @@
         return False
 
 
-def _to_sighting(row: VMRow) -> VMSighting:
-    return VMSighting(
+def _to_sighting(row: VMRow) -> VMObservation:
+    return VMObservation(
         vm_id=VMId(row.id),
         pool_id=PoolId(row.pool),
         condition=VMCondition(row.condition.value),
--- a/packages/bench/src/medlarspring_bench/fleet_world.py
+++ b/packages/bench/src/medlarspring_bench/fleet_world.py
@@ -48,7 +48,7 @@
     from collections.abc import Callable, Coroutine
 
     from medlarspring_systems.vm_actions import Action
-    from medlarspring_systems.wave_width import WidthRule
+    from medlarspring_systems.wave_limits import WaveLimit
     from medlarspring_tables.fleet_tables import FleetRecord
 
 SPARE_POOL_ID = PoolId("spare")
@@ -174,7 +174,7 @@
         shape: FleetShape,
         processes: int = 2,
         times: VMTimes | None = None,
-        width: WidthRule | None = None,
+        width: WaveLimit | None = None,
     ) -> None:
         self.clock = ManualClock(100_000.0)
         self.width = width
--- a/packages/bench/src/medlarspring_bench/job_pool_model.py
+++ b/packages/bench/src/medlarspring_bench/job_pool_model.py
@@ -133,7 +133,7 @@
             self.figures.preemptions += 1
             due = self.now + ORDER_SECONDS + CHECKPOINT_SECONDS
             heapq.heappush(self.stops, (due, stop.job.id, stop.job.attempt.number))
-        self.tables.old_by_id.clear()
+        self.tables.originals_by_id.clear()
 
     def _note_start(self, job: Job) -> None:
         assert job.attempt is not None
--- a/packages/bench/src/medlarspring_bench/measure/fleet_buffer.py
+++ b/packages/bench/src/medlarspring_bench/measure/fleet_buffer.py
@@ -9,7 +9,7 @@
 
 from medlarspring_bench.fleet_world import FleetShape
 from medlarspring_bench.measure.fleet_rollout import Rollout, run_rollout
-from medlarspring_systems.wave_width import CanaryWidth, RackReserveWidth
+from medlarspring_systems.wave_limits import CanaryLimit, RackReserveLimit
 
 TICK_SECONDS = 10.0
 PARTNERS = 4
@@ -33,7 +33,7 @@
     """Run a full wave with 2% failing and one rack lost, once for each seed."""
     runs: list[Rollout] = [
         run_rollout(
-            shape, lambda world: RackReserveWidth(CanaryWidth()), seed, TICK_SECONDS
+            shape, lambda world: RackReserveLimit(CanaryLimit()), seed, TICK_SECONDS
         )
         for seed in range(seeds)
     ]
--- a/packages/bench/src/medlarspring_bench/measure/fleet_rollout.py
+++ b/packages/bench/src/medlarspring_bench/measure/fleet_rollout.py
@@ -13,7 +13,11 @@
 from medlarspring_bench.fleet_checker import FleetChecker
 from medlarspring_bench.fleet_world import FleetShape, FleetWorld
 from medlarspring_bench.vm_control_state import Condition, VMTimes
-from medlarspring_systems.wave_width import BudgetWidth, CanaryWidth, RackReserveWidth
+from medlarspring_systems.wave_limits import (
+    BudgetOnlyLimit,
+    CanaryLimit,
+    RackReserveLimit,
+)
 from medlarspring_tables import WaveId
 from medlarspring_tables.vms import Outcome, VMState
 from medlarspring_tables.waves import WaveRecord
@@ -23,7 +27,7 @@
 
     from medlarspring_adapters.clock import Clock
     from medlarspring_systems.draft import Draft
-    from medlarspring_systems.wave_width import WidthRule
+    from medlarspring_systems.wave_limits import WaveLimit
     from medlarspring_tables import FleetRow, PoolId, PoolRow, RackId
     from medlarspring_tables.vms import VMRecord
 
@@ -80,7 +84,7 @@
     """
 
     def __init__(
-        self, pools_by_id: dict[PoolId, PoolRow], fleet: FleetRow, inner: WidthRule
+        self, pools_by_id: dict[PoolId, PoolRow], fleet: FleetRow, inner: WaveLimit
     ) -> None:
         self._min_available = sum(row.min_available for row in pools_by_id.values())
         self._spare_percent = fleet.spare_percent
@@ -121,7 +125,7 @@
 
 def run_rollout(
     shape: FleetShape,
-    create_width: Callable[[FleetWorld], WidthRule],
+    create_width: Callable[[FleetWorld], WaveLimit],
     seed: int,
     tick_seconds: float,
     *,
@@ -213,17 +217,17 @@
     return max(by_pool, by_zone) * seconds
 
 
-def create_widths() -> dict[str, Callable[[FleetWorld], WidthRule]]:
+def create_widths() -> dict[str, Callable[[FleetWorld], WaveLimit]]:
     """Return the rules that are compared, the baseline first."""
     return {
         "one rack at a time": lambda world: RackWidth(world.clock),
-        "budgets alone": lambda world: BudgetWidth(),
-        "canary, then budgets": lambda world: CanaryWidth(),
-        "canary, then budgets less a rack": lambda world: RackReserveWidth(
-            CanaryWidth()
+        "budgets alone": lambda world: BudgetOnlyLimit(),
+        "canary, then budgets": lambda world: CanaryLimit(),
+        "canary, then budgets less a rack": lambda world: RackReserveLimit(
+            CanaryLimit()
         ),
         "canary, then budgets less spare": lambda world: SpareWidth(
-            world.config.pools_by_id, world.config.fleet, CanaryWidth()
+            world.config.pools_by_id, world.config.fleet, CanaryLimit()
         ),
     }
 
--- a/packages/bench/tests/test_fleet_rollout.py
+++ b/packages/bench/tests/test_fleet_rollout.py
@@ -8,7 +8,7 @@
     create_widths,
     run_rollout,
 )
-from medlarspring_systems.wave_width import BudgetWidth
+from medlarspring_systems.wave_limits import BudgetOnlyLimit
 from medlarspring_tables import VMId, WaveId
 from medlarspring_tables.vms import VMState
 from medlarspring_tables.waves import WaveRecord
@@ -29,7 +29,7 @@
     world = FleetWorld(shape, 1)
     process = world.processes[0]
     process.controller.width = SpareWidth(
-        world.config.pools_by_id, world.config.fleet, BudgetWidth()
+        world.config.pools_by_id, world.config.fleet, BudgetOnlyLimit()
     )
     vm_ids = frozenset(map(VMId, world.platform.rows_by_id))
     now = world.clock.wall()
--- a/packages/daemon/src/medlarspring_daemon/fleet/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/controller.py
@@ -22,7 +22,7 @@
     Transaction,
 )
 from medlarspring_adapters.vm_control import VMActionRefused
-from medlarspring_systems.draft import Decided
+from medlarspring_systems.draft import DecisionKind
 from medlarspring_systems.fleet_plan import plan_pool, plan_waves
 from medlarspring_systems.vm_actions import Action, choose_action
 from medlarspring_tables.fleet_tables import ABSENT, key_of_vm
@@ -36,7 +36,7 @@
     from medlarspring_adapters.store import Committed, Store
     from medlarspring_adapters.vm_control import VMControl
     from medlarspring_systems.draft import Draft
-    from medlarspring_systems.wave_width import WidthRule
+    from medlarspring_systems.wave_limits import WaveLimit
     from medlarspring_tables import ConfigTable, PoolId, Revision, VMId, VMList
     from medlarspring_tables.fleet_tables import FleetTables
     from medlarspring_tables.vms import VMRecord
@@ -45,18 +45,18 @@
 """Plans per tick and pool while other holders change the same records."""
 
 _EVENTS_BY_DECIDED = {
-    Decided.DRAIN: Event.VM_DRAIN_INTENDED,
-    Decided.REBOOT: Event.VM_REBOOT_INTENDED,
-    Decided.MOVE: Event.VM_MOVED,
-    Decided.SERVE: Event.VM_SERVES,
-    Decided.PUT_BACK: Event.VM_PUT_BACK,
-    Decided.GIVE_UP: Event.VM_GIVEN_UP,
-    Decided.START: Event.WAVE_STARTED,
-    Decided.PAUSE: Event.WAVE_PAUSED,
-    Decided.RESUME: Event.WAVE_RESUMED,
-    Decided.FINISH: Event.WAVE_DONE,
+    DecisionKind.DRAIN: Event.VM_DRAIN_INTENDED,
+    DecisionKind.REBOOT: Event.VM_REBOOT_INTENDED,
+    DecisionKind.MOVE: Event.VM_MOVED,
+    DecisionKind.SERVE: Event.VM_SERVES,
+    DecisionKind.PUT_BACK: Event.VM_PUT_BACK,
+    DecisionKind.GIVE_UP: Event.VM_GIVEN_UP,
+    DecisionKind.START: Event.WAVE_STARTED,
+    DecisionKind.PAUSE: Event.WAVE_PAUSED,
+    DecisionKind.RESUME: Event.WAVE_RESUMED,
+    DecisionKind.FINISH: Event.WAVE_DONE,
 }
-_WARNINGS = (Decided.PUT_BACK, Decided.GIVE_UP, Decided.PAUSE)
+_WARNINGS = (DecisionKind.PUT_BACK, DecisionKind.GIVE_UP, DecisionKind.PAUSE)
 
 
 class FleetController:
@@ -70,7 +70,7 @@
         fence: Callable[[PoolId], Expect | None],
         decisions: DecisionLog,
         log: EventLog,
-        width: WidthRule | None = None,
+        width: WaveLimit | None = None,
         note_leaving: Callable[[VMId], None] = lambda vm_id: None,
         note_returned: Callable[[VMId, PoolId], None] = lambda vm_id, pool_id: None,
     ) -> None:
@@ -112,9 +112,9 @@
             return False
         for pool_id in pool_ids:
             for vm_id in self.tables.vm_ids_by_pool.get(pool_id, ()):
-                self.tables.sightings_by_id.pop(vm_id, None)
+                self.tables.observations_by_id.pop(vm_id, None)
         for sighting in seen.unwrap():
-            self.tables.sightings_by_id[sighting.vm_id] = sighting
+            self.tables.observations_by_id[sighting.vm_id] = sighting
         return True
 
     async def tick(
@@ -242,14 +242,14 @@
                 take_entry(self.tables, entry)
 
     def _explain(self, draft: Draft) -> None:
-        for note in draft.notes:
+        for note in draft.planned_decisions:
             facts = dict(note.facts)
             if note.vm_id is not None:
                 self._decisions.record(
                     Subject.VM, note.vm_id, note.decided.value, note.rule, **facts
                 )
                 facts["vm"] = note.vm_id
-                if note.decided is Decided.SERVE:
+                if note.decided is DecisionKind.SERVE:
                     self._note_serving(note.vm_id)
             if note.wave_id is not None:
                 self._decisions.record(
@@ -286,7 +286,7 @@
         pool_id = record.pool_id if action is Action.ASSIGN else None
         result = await self._vm_control.act(record.id, action, revision, pool_id)
         if isinstance(result, Success):
-            self.tables.sightings_by_id[record.id] = result.unwrap()
+            self.tables.observations_by_id[record.id] = result.unwrap()
             return
         if isinstance(result.failure(), VMActionRefused):
             self._log.warning(
@@ -296,7 +296,7 @@
                 reason=result.failure().message(),
             )
         # The sighting may be older than the refusal, so it is not used again.
-        self.tables.sightings_by_id.pop(record.id, None)
+        self.tables.observations_by_id.pop(record.id, None)
 
     def _revision_of(self, vm_id: VMId) -> Revision:
         return self.tables.revision_of(key_of_vm(vm_id))
--- a/packages/daemon/src/medlarspring_daemon/fleet/rounds.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/rounds.py
@@ -133,7 +133,7 @@
     def _forget_sightings(self, pool_ids: Iterable[PoolId]) -> None:
         for pool_id in pool_ids:
             for vm_id in self._tables.vm_ids_by_pool.get(pool_id, ()):
-                self._tables.sightings_by_id.pop(vm_id, None)
+                self._tables.observations_by_id.pop(vm_id, None)
 
 
 __all__ = ["FleetRounds"]
--- a/packages/daemon/src/medlarspring_daemon/fleet/routes.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/routes.py
@@ -152,7 +152,7 @@
             seen = await self._vm_control.read_vms((), ())
             if is_successful(seen):
                 for sighting in seen.unwrap():
-                    tables.sightings_by_id[sighting.vm_id] = sighting
+                    tables.observations_by_id[sighting.vm_id] = sighting
         return tables
 
     def _config(self) -> ConfigTable:
--- a/packages/daemon/src/medlarspring_daemon/fleet/views.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/views.py
@@ -36,7 +36,7 @@
 
 def view_vm(tables: FleetTables, record: VMRecord) -> VMView:
     """Return a VM's record with what the platform shows."""
-    sighting = tables.sightings_by_id.get(record.id)
+    sighting = tables.observations_by_id.get(record.id)
     return VMView(
         record=record,
         health=judge_vm(record, sighting).value,
--- a/packages/daemon/src/medlarspring_daemon/jobs/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/controller.py
@@ -21,14 +21,14 @@
     AttemptEnd,
     confirm_running,
     end_attempt,
-    list_stranded,
+    plan_drain_stops,
     release_stale_reservations,
 )
 from medlarspring_systems.job_records import (
     forget_job,
     put_job,
     resize_attempt,
-    take_back,
+    revert_job,
 )
 from medlarspring_systems.placement import place_jobs
 from medlarspring_systems.preemption import plan_preemptions
@@ -126,7 +126,7 @@
             self.tables.revisions_by_id[job.id] = revision
             # A write in flight will be refused; taking it back would restore
             # the record from before this one, and undo a cancellation.
-            self.tables.old_by_id.pop(job.id, None)
+            self.tables.originals_by_id.pop(job.id, None)
             if job.attempt is not None:
                 self.workers.ask_soon(job.attempt.vm_id)
         return job.id
@@ -137,7 +137,7 @@
         While the store is out of reach, leases are still renewed, so that
         running work goes on; nothing new is decided.
         """
-        self.tables.old_by_id.clear()
+        self.tables.originals_by_id.clear()
         if self._must_load:
             await self.load()
         for answer in await self.workers.ask_due():
@@ -161,7 +161,7 @@
     async def _decide(self) -> None:
         now = self._clock.wall()
         release_stale_reservations(self.tables)
-        stops = list_stranded(self.tables)
+        stops = plan_drain_stops(self.tables)
         starts = place_jobs(self.tables, now, MAX_STARTS_PER_TICK)
         stops += plan_preemptions(self.tables, now)
         decided = [(start.job, "start", start.reason) for start in starts]
@@ -182,7 +182,7 @@
         fence = self._fence()
         if fence is None or self._must_load:
             for job in jobs:
-                take_back(self.tables, job.id)
+                revert_job(self.tables, job.id)
             return set()
         revisions = self.tables.revisions_by_id
         writes = [JobWrite(job, revisions.get(job.id, Revision(0))) for job in jobs]
@@ -191,10 +191,10 @@
             job_id = saved.write.job.id
             if saved.outcome is SaveOutcome.SAVED:
                 revisions[job_id] = max(revisions[job_id], saved.revision)
-                self.tables.old_by_id.pop(job_id, None)
+                self.tables.originals_by_id.pop(job_id, None)
                 saved_ids.add(job_id)
                 continue
-            take_back(self.tables, job_id)
+            revert_job(self.tables, job_id)
             if saved.outcome is not SaveOutcome.NOT_APPLIED:
                 self._must_load = True
         return saved_ids
--- a/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
@@ -25,11 +25,11 @@
     RENEW_SECONDS,
     HeldPool,
     Holdings,
-    find_fence,
-    list_held,
-    note_lapsed,
-    note_lease,
+    find_fencing_revision,
+    list_held_pools,
     plan_holders,
+    record_lapse,
+    record_lease,
 )
 from medlarspring_tables import PoolId, Revision
 
@@ -86,17 +86,17 @@
         await self._tasks.cancel()
         lease_id = self.holdings.lease_id
         self._note_released(self.holdings.pools_by_id.values())
-        note_lapsed(self.holdings)
+        record_lapse(self.holdings)
         if lease_id is not None:
             await self._node.store.revoke_lease(LeaseId(lease_id))
 
     def held_pools(self) -> frozenset[PoolId]:
         """Return the pools held for certain, by this process's own clock."""
-        return list_held(self.holdings, self._node.clock.now())
+        return list_held_pools(self.holdings, self._node.clock.now())
 
     def fence(self, pool_id: PoolId) -> Expect | None:
         """Return the condition that each write of the pool's work must carry."""
-        revision = find_fence(self.holdings, pool_id, self._node.clock.now())
+        revision = find_fencing_revision(self.holdings, pool_id, self._node.clock.now())
         if revision is None:
             return None
         return Expect(_key(pool_id), revision)
@@ -138,10 +138,10 @@
                 pools = sorted(self.holdings.pools_by_id)
                 self._node.log.warning(Event.HOLDER_LEASE_LAPSED, pools=pools)
             self._suspended = False
-            note_lapsed(self.holdings)
+            record_lapse(self.holdings)
             return
         self._plan_renewal(now)
-        note_lease(self.holdings, lease_id, now, min(ttl, LEASE_SECONDS))
+        record_lease(self.holdings, lease_id, now, min(ttl, LEASE_SECONDS))
         self._resume()
 
     def _resume(self) -> None:
@@ -226,7 +226,7 @@
         answer = await self._node.store.grant_lease(LEASE_SECONDS)
         if not isinstance(answer, Success):
             return False
-        note_lease(self.holdings, answer.unwrap(), sent_at, LEASE_SECONDS)
+        record_lease(self.holdings, answer.unwrap(), sent_at, LEASE_SECONDS)
         self._plan_renewal(sent_at)
         return True
 
--- a/packages/systems/src/medlarspring_systems/adoption.py
+++ b/packages/systems/src/medlarspring_systems/adoption.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from medlarspring_systems.disruptions import MAX_CHANGES
-from medlarspring_systems.draft import Decided
+from medlarspring_systems.draft import DecisionKind
 from medlarspring_tables.fleet_tables import key_of_vm
 from medlarspring_tables.vms import VMRecord, VMState
 
@@ -13,7 +13,7 @@
     from medlarspring_systems.draft import Draft
     from medlarspring_tables import PoolRow, VMList
 
-FORGET_SECONDS = 3_600.0
+FORGET_AFTER_SECONDS = 3_600.0
 """A VM that is out and listed no more is forgotten after this long."""
 
 
@@ -38,7 +38,9 @@
                 maintained_at=now,
             )
         )
-        draft.note(Decided.ADOPT, "first-listed", vm_id=vm.id, pool=pool.id)
+        draft.record_decision(
+            DecisionKind.ADOPT, "first-listed", vm_id=vm.id, pool=pool.id
+        )
 
 
 def plan_forgetting(draft: Draft, pool: PoolRow, vm_list: VMList, now: float) -> None:
@@ -49,11 +51,11 @@
         if (
             record.state is VMState.OUT
             and is_gone
-            and vm_id not in draft.tables.sightings_by_id
-            and now - record.since > FORGET_SECONDS
+            and vm_id not in draft.tables.observations_by_id
+            and now - record.since > FORGET_AFTER_SECONDS
         ):
             draft.delete(key_of_vm(vm_id))
-            draft.note(Decided.FORGET, "no-longer-listed", vm_id=vm_id)
+            draft.record_decision(DecisionKind.FORGET, "no-longer-listed", vm_id=vm_id)
 
 
-__all__ = ["FORGET_SECONDS", "plan_adoption", "plan_forgetting"]
+__all__ = ["FORGET_AFTER_SECONDS", "plan_adoption", "plan_forgetting"]
--- a/packages/systems/src/medlarspring_systems/availability.py
+++ b/packages/systems/src/medlarspring_systems/availability.py
@@ -12,7 +12,7 @@
     from medlarspring_systems.draft import Draft
     from medlarspring_tables import PoolId, PoolRow
     from medlarspring_tables.fleet_tables import FleetTables
-    from medlarspring_tables.vms import VMRecord, VMSighting
+    from medlarspring_tables.vms import VMObservation, VMRecord
 
 REPLACE_AFTER_SECONDS = 300.0
 """A VM that failed on its own for this long is replaced in its pool's count."""
@@ -54,7 +54,7 @@
         return self.available + self.disrupted + self.failed + self.unseen
 
 
-def judge_vm(record: VMRecord, sighting: VMSighting | None) -> Health:
+def judge_vm(record: VMRecord, observation: VMObservation | None) -> Health:
     """Return a VM's health; without a fresh sighting nothing good is assumed.
 
     A VM that the platform still shows in another pool does not serve its own.
@@ -63,18 +63,18 @@
         return Health.OUT
     if record.state is not VMState.SERVING:
         return Health.DISRUPTED
-    if sighting is None:
+    if observation is None:
         return Health.UNSEEN
-    if sighting.condition is not VMCondition.SERVING:
+    if observation.condition is not VMCondition.SERVING:
         return Health.FAILED
-    if sighting.pool_id != record.pool_id:
+    if observation.pool_id != record.pool_id:
         return Health.FAILED
     return Health.AVAILABLE
 
 
 def count_availability(draft: Draft, row: PoolRow) -> Availability:
     """Count a pool as it would stand after the draft."""
-    counted = Availability(row.id, row.min_available)
+    availability = Availability(row.id, row.min_available)
     # A successor's records of single VMs may lag behind the list, which it has
     # read under the revision it writes. A VM on the list is out in any case.
     listed = draft.pool_disruptions(row.id).causes_by_vm
@@ -82,25 +82,25 @@
         record = draft.vm(vm_id)
         if record.pool_id != row.id:
             continue
-        health = judge_vm(record, draft.tables.sightings_by_id.get(vm_id))
+        health = judge_vm(record, draft.tables.observations_by_id.get(vm_id))
         match Health.DISRUPTED if vm_id in listed else health:
             case Health.AVAILABLE:
-                counted.available += 1
+                availability.available += 1
             case Health.DISRUPTED:
-                counted.disrupted += 1
+                availability.disrupted += 1
             case Health.FAILED:
-                counted.failed += 1
+                availability.failed += 1
             case Health.UNSEEN:
-                counted.unseen += 1
+                availability.unseen += 1
             case Health.OUT:
-                counted.out += 1
-    return counted
+                availability.out += 1
+    return availability
 
 
-def note_failing(tables: FleetTables, pool_id: PoolId, now: float) -> None:
+def record_failing_vms(tables: FleetTables, pool_id: PoolId, now: float) -> None:
     """Remember since when each serving VM of a pool has been down or unseen."""
     for vm_id in tables.vm_ids_by_pool.get(pool_id, ()):
-        health = judge_vm(tables.vms_by_id[vm_id], tables.sightings_by_id.get(vm_id))
+        health = judge_vm(tables.vms_by_id[vm_id], tables.observations_by_id.get(vm_id))
         if health in (Health.FAILED, Health.UNSEEN):
             tables.failing_since_by_id.setdefault(vm_id, now)
         else:
@@ -113,14 +113,14 @@
     A rack that is lost takes VMs of the wave along with others; VMs that the
     wave itself broke leave their rack-mates serving.
     """
-    mates = [
+    rack_peers = [
         vm_id
         for vm_id in tables.vm_ids_by_pool.get(record.pool_id, ())
         if vm_id != record.id and tables.vms_by_id[vm_id].rack_id == record.rack_id
     ]
     undrained = [
         vm_id
-        for vm_id in mates
+        for vm_id in rack_peers
         if tables.vms_by_id[vm_id].state is VMState.SERVING
         or (
             tables.vms_by_id[vm_id].state is VMState.OUT
@@ -140,5 +140,5 @@
     "count_availability",
     "is_rack_lost",
     "judge_vm",
-    "note_failing",
+    "record_failing_vms",
 ]
--- a/packages/systems/src/medlarspring_systems/disruptions.py
+++ b/packages/systems/src/medlarspring_systems/disruptions.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from medlarspring_systems.availability import count_availability
-from medlarspring_systems.draft import Decided
+from medlarspring_systems.draft import DecisionKind
 from medlarspring_tables import MedlarspringError, VMId
 from medlarspring_tables.vms import VMState
 
@@ -46,12 +46,12 @@
     if record.pool_id != pool.id or record.state is not VMState.SERVING:
         reason = f"it is {record.state.value} in pool {record.pool_id}"
         return Failure(DisruptionRefused(vm_id, reason, "Wait until it serves."))
-    counted = count_availability(draft, pool)
+    availability = count_availability(draft, pool)
     # Two VMs drained on one count would take the pool under its budget. The
     # count includes the draft, and the list that it was made from is written
     # under its revision, so a count that is out of date is never acted on.
-    if counted.room < 1:
-        return Failure(_refuse_for_budget(vm_id, counted))
+    if availability.room < 1:
+        return Failure(_refuse_for_budget(vm_id, availability))
     zone = draft.zone_disruptions(record.zone_id)
     if len(zone.causes_by_vm) >= fleet.max_drains_per_zone:
         reason = f"zone {zone.zone_id} has {len(zone.causes_by_vm)} VMs out already"
@@ -60,23 +60,23 @@
     draft.list_vm(record, cause)
     state = {"state": VMState.DRAINING, "since": now, "cause": cause}
     draft.put(msgspec.structs.replace(record, **state))
-    draft.note(
-        Decided.DRAIN,
+    draft.record_decision(
+        DecisionKind.DRAIN,
         "budget-has-room",
         vm_id=vm_id,
         cause=f"{cause.kind.value} {cause.id}",
-        available=counted.available,
-        min_available=counted.min_available,
+        available=availability.available,
+        min_available=availability.min_available,
     )
     return Success(None)
 
 
-def _refuse_for_budget(vm_id: VMId, counted: Availability) -> DisruptionRefused:
+def _refuse_for_budget(vm_id: VMId, availability: Availability) -> DisruptionRefused:
     reason = (
-        f"pool {counted.pool_id} has {counted.available} VMs available"
-        f" of at least {counted.min_available}"
-        f" ({counted.disrupted} disrupted, {counted.failed} failed,"
-        f" {counted.unseen} unseen, {counted.out} out)"
+        f"pool {availability.pool_id} has {availability.available} VMs available"
+        f" of at least {availability.min_available}"
+        f" ({availability.disrupted} disrupted, {availability.failed} failed,"
+        f" {availability.unseen} unseen, {availability.out} out)"
     )
     remedy = "Mend the failed VMs, move VMs in, or lower min_available."
     return DisruptionRefused(vm_id, reason, remedy)
--- a/packages/systems/src/medlarspring_systems/draft.py
+++ b/packages/systems/src/medlarspring_systems/draft.py
@@ -26,7 +26,7 @@
 Fact = str | int | float | bool
 
 
-class Decided(Enum):
+class DecisionKind(Enum):
     """What a draft does to a VM or a wave."""
 
     ADOPT = "adopt"
@@ -45,10 +45,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Note:
+class PlannedDecision:
     """One decision for ``explain``: about which VM or wave, and why."""
 
-    decided: Decided
+    decided: DecisionKind
     rule: str
     vm_id: VMId | None = None
     wave_id: WaveId | None = None
@@ -62,7 +62,7 @@
     tables: FleetTables
     records_by_key: dict[str, FleetRecord | None] = field(default_factory=dict)
     """New records; None deletes the key."""
-    notes: list[Note] = field(default_factory=list)
+    planned_decisions: list[PlannedDecision] = field(default_factory=list)
 
     def vm(self, vm_id: VMId) -> VMRecord:
         """Return a VM's record as it would stand."""
@@ -102,9 +102,9 @@
         """Plan to delete a key."""
         self.records_by_key[key] = None
 
-    def note(
+    def record_decision(
         self,
-        decided: Decided,
+        decided: DecisionKind,
         rule: str,
         *,
         vm_id: VMId | None = None,
@@ -112,7 +112,9 @@
         **facts: Fact,
     ) -> None:
         """Explain a part of the draft."""
-        self.notes.append(Note(decided, rule, vm_id, wave_id, facts))
+        self.planned_decisions.append(
+            PlannedDecision(decided, rule, vm_id, wave_id, facts)
+        )
 
     def list_vm(self, vm: VMRecord, cause: Cause) -> None:
         """Enter a VM in the lists of its pool and its zone."""
@@ -143,4 +145,4 @@
             self.put(ZoneDisruptions(zone_id=vm.zone_id, causes_by_vm=causes_by_vm))
 
 
-__all__ = ["Decided", "Draft", "Fact", "Note"]
+__all__ = ["DecisionKind", "Draft", "Fact", "PlannedDecision"]
--- a/packages/systems/src/medlarspring_systems/fleet_plan.py
+++ b/packages/systems/src/medlarspring_systems/fleet_plan.py
@@ -5,24 +5,24 @@
 from typing import TYPE_CHECKING
 
 from medlarspring_systems.adoption import plan_adoption, plan_forgetting
-from medlarspring_systems.availability import note_failing
+from medlarspring_systems.availability import record_failing_vms
 from medlarspring_systems.draft import Draft
 from medlarspring_systems.maintenance import plan_wave_drains
 from medlarspring_systems.moves import (
     plan_forget_moves,
     plan_move_drains,
-    plan_needs,
+    plan_needed_moves,
 )
 from medlarspring_systems.vm_progress import plan_give_up, plan_progress
 from medlarspring_systems.wave_control import (
     plan_forget_waves,
-    plan_standing_wave,
+    plan_periodic_wave,
     plan_wave_control,
 )
-from medlarspring_systems.wave_width import CanaryWidth, RackReserveWidth
+from medlarspring_systems.wave_limits import CanaryLimit, RackReserveLimit
 
 if TYPE_CHECKING:
-    from medlarspring_systems.wave_width import WidthRule
+    from medlarspring_systems.wave_limits import WaveLimit
     from medlarspring_tables import ConfigTable, PoolId, VMList
     from medlarspring_tables.fleet_tables import FleetTables
 
@@ -33,7 +33,7 @@
     pool_id: PoolId,
     vm_list: VMList | None,
     now: float,
-    width: WidthRule | None = None,
+    wave_limit: WaveLimit | None = None,
 ) -> Draft:
     """Return all that one pool's control work wants written now.
 
@@ -44,16 +44,16 @@
     pool = config.pools_by_id.get(pool_id)
     if pool is None:
         return draft
-    note_failing(tables, pool_id, now)
+    record_failing_vms(tables, pool_id, now)
     if vm_list is not None:
         plan_adoption(draft, pool, vm_list, now)
         plan_forgetting(draft, pool, vm_list, now)
     plan_progress(draft, pool, now)
     plan_give_up(draft, pool, now)
-    plan_needs(draft, pool, config.pools_by_id, now)
+    plan_needed_moves(draft, pool, config.pools_by_id, now)
     plan_move_drains(draft, pool, config.pools_by_id, config.fleet, now)
     plan_wave_drains(
-        draft, pool, config.fleet, width or RackReserveWidth(CanaryWidth()), now
+        draft, pool, config.fleet, wave_limit or RackReserveLimit(CanaryLimit()), now
     )
     plan_forget_moves(draft, pool, now)
     return draft
@@ -71,7 +71,7 @@
     for wave in list(tables.open_waves_by_id.values()):
         plan_wave_control(draft, wave, now)
     if pool_id == min(config.pools_by_id, default=None):
-        plan_standing_wave(draft, now)
+        plan_periodic_wave(draft, now)
         plan_forget_waves(draft, now)
     return draft
 
--- a/packages/systems/src/medlarspring_systems/holders.py
+++ b/packages/systems/src/medlarspring_systems/holders.py
@@ -21,7 +21,7 @@
 RENEW_SECONDS = 2.0
 LEASE_MARGIN_SECONDS = 1.0
 """The holder stops so long before the store may give its pools to another."""
-HAND_OVER_SECONDS = 10.0
+HANDOVER_DELAY_SECONDS = 10.0
 """A pool moves to a newly preferred process only after it was so for so long."""
 STORE_FAILING_SECONDS = 3.0
 
@@ -67,10 +67,10 @@
     passed over, since they could not renew a lease.
     """
     wanted = set(pool_ids)
-    fit = [
+    eligible = [
         member.id for member in members if member.store_failing < STORE_FAILING_SECONDS
     ]
-    candidates = tuple(sorted([holdings.own_id, *fit]))
+    candidates = tuple(sorted([holdings.own_id, *eligible]))
     preferred_by_id = _find_preferred(tuple(sorted(wanted)), candidates)
     acquire: list[PoolId] = []
     release = [pool for pool in holdings.pools_by_id if pool not in wanted]
@@ -101,10 +101,10 @@
         return False
     if held.other_preferred_since is None:
         held.other_preferred_since = now
-    return now - held.other_preferred_since >= HAND_OVER_SECONDS
+    return now - held.other_preferred_since >= HANDOVER_DELAY_SECONDS
 
 
-def note_lease(
+def record_lease(
     holdings: Holdings, lease_id: int, sent_at: Seconds, ttl: Seconds
 ) -> None:
     """Learn that the lease was granted or renewed.
@@ -118,14 +118,16 @@
     holdings.safe_until = sent_at + ttl - LEASE_MARGIN_SECONDS
 
 
-def note_lapsed(holdings: Holdings) -> None:
+def record_lapse(holdings: Holdings) -> None:
     """Learn that the lease is gone, and all keys bound to it."""
     holdings.lease_id = None
     holdings.safe_until = 0.0
     holdings.pools_by_id.clear()
 
 
-def find_fence(holdings: Holdings, pool_id: PoolId, now: Seconds) -> Revision | None:
+def find_fencing_revision(
+    holdings: Holdings, pool_id: PoolId, now: Seconds
+) -> Revision | None:
     """Return the holder key's revision while the pool is held for certain.
 
     A process frozen past its lease wakes up believing that it holds the pool,
@@ -139,7 +141,7 @@
     return held.mod_revision
 
 
-def list_held(holdings: Holdings, now: Seconds) -> frozenset[PoolId]:
+def list_held_pools(holdings: Holdings, now: Seconds) -> frozenset[PoolId]:
     """Return the pools held for certain."""
     if now >= holdings.safe_until:
         return frozenset()
@@ -150,9 +152,9 @@
     "Holdings",
     "HeldPool",
     "HolderPlan",
-    "find_fence",
-    "list_held",
-    "note_lapsed",
-    "note_lease",
+    "find_fencing_revision",
+    "list_held_pools",
+    "record_lapse",
+    "record_lease",
     "plan_holders",
 ]
--- a/packages/systems/src/medlarspring_systems/job_admission.py
+++ b/packages/systems/src/medlarspring_systems/job_admission.py
@@ -106,7 +106,7 @@
         return Failure(QuotaTooSmall(job.id, job.partner_id, partner.quota))
     if not tables.workers_by_id:
         return Failure(PoolEmpty(job.id, job.pool_id))
-    if not could_ever_fit(tables, job):
+    if not fits_any_worker(tables, job):
         largest = max(
             (worker.capacity for worker in tables.workers_by_id.values()),
             key=lambda size: (size.accelerators, size.cpus, size.memory_gb),
@@ -115,7 +115,7 @@
     return Success(job)
 
 
-def could_ever_fit(tables: JobTables, job: Job) -> bool:
+def fits_any_worker(tables: JobTables, job: Job) -> bool:
     """Tell whether an empty worker of the pool would hold the declared size."""
     return any(
         job.declared.fits_in(worker.capacity)
@@ -138,6 +138,6 @@
     "PoolEmpty",
     "QuotaTooSmall",
     "check_job",
-    "could_ever_fit",
+    "fits_any_worker",
     "describe_size",
 ]
--- a/packages/systems/src/medlarspring_systems/job_lifecycle.py
+++ b/packages/systems/src/medlarspring_systems/job_lifecycle.py
@@ -9,7 +9,7 @@
 
 from medlarspring_systems.job_records import put_job
 from medlarspring_systems.preemption import StopAttempt, mark_stopping
-from medlarspring_systems.quarantine import note_failure, note_success
+from medlarspring_systems.quarantine import record_failure, record_success
 from medlarspring_systems.size_beliefs import learn_use, raise_least
 from medlarspring_tables import AttemptState, JobState
 
@@ -61,7 +61,7 @@
     job = _find_current(tables, job_id, number)
     if job is None or job.attempt is None:
         return None
-    if peak is not None and end in TELLING_ENDS:
+    if peak is not None and end in REPRESENTATIVE_ENDS:
         learn_use(tables, job, peak)
     ended = _apply_end(tables, job, end, now)
     if peak is not None and end is AttemptEnd.OUT_OF_MEMORY:
@@ -88,7 +88,7 @@
     return replace(job, attempt=attempt, reason=reason)
 
 
-def list_stranded(tables: JobTables) -> list[StopAttempt]:
+def plan_drain_stops(tables: JobTables) -> list[StopAttempt]:
     """Return attempts to stop because their worker takes no more work.
 
     A drain waits for work that cannot yield; work that can is checkpointed at
@@ -115,7 +115,7 @@
             worker.reserved_for = None
 
 
-TELLING_ENDS = frozenset({AttemptEnd.SUCCEEDED, AttemptEnd.OUT_OF_MEMORY})
+REPRESENTATIVE_ENDS = frozenset({AttemptEnd.SUCCEEDED, AttemptEnd.OUT_OF_MEMORY})
 """Ends after which the peak of use tells of the job's true size."""
 
 FINAL_STATES = frozenset({JobState.DONE, JobState.FAILED, JobState.CANCELLED})
@@ -127,12 +127,12 @@
     free = replace(job, attempt=None)
     if end is AttemptEnd.SUCCEEDED:
         if worker is not None:
-            note_success(worker)
+            record_success(worker)
         return replace(free, state=JobState.DONE)
     if _was_cancelled(job):
         return replace(free, state=JobState.CANCELLED)
     if end is AttemptEnd.FAILED and worker is not None:
-        free = note_failure(tables, free, worker, now)
+        free = record_failure(tables, free, worker, now)
     if free.state is JobState.FAILED:
         return free
     return replace(free, state=JobState.WAITING)
@@ -160,6 +160,6 @@
     "cancel_job",
     "confirm_running",
     "end_attempt",
-    "list_stranded",
+    "plan_drain_stops",
     "release_stale_reservations",
 ]
--- a/packages/systems/src/medlarspring_systems/job_records.py
+++ b/packages/systems/src/medlarspring_systems/job_records.py
@@ -30,11 +30,11 @@
     """Insert or replace a job; queues and sums follow."""
     old = tables.jobs_by_id.get(job.id)
     if old is not None:
-        tables.old_by_id.setdefault(job.id, old)
-        _uncount(tables, old)
+        tables.originals_by_id.setdefault(job.id, old)
+        _subtract_from_totals(tables, old)
     tables.jobs_by_id[job.id] = job
-    _count(tables, job)
-    if old is not None and old.attempt is not None and _frees_room(old, job):
+    _add_to_totals(tables, job)
+    if old is not None and old.attempt is not None and _frees_capacity(old, job):
         tables.changes += 1
     was_waiting = old is not None and old.state is JobState.WAITING
     if job.state is JobState.WAITING and not was_waiting:
@@ -42,22 +42,22 @@
         enqueue(tables, job)
 
 
-def take_back(tables: JobTables, job_id: JobId) -> None:
+def revert_job(tables: JobTables, job_id: JobId) -> None:
     """Restore a record whose change was not written."""
-    old = tables.old_by_id.pop(job_id, None)
+    old = tables.originals_by_id.pop(job_id, None)
     if old is not None:
         put_job(tables, old)
-        tables.old_by_id.pop(job_id, None)
+        tables.originals_by_id.pop(job_id, None)
 
 
 def forget_job(tables: JobTables, job_id: JobId) -> None:
     """Remove a job whose record is gone from the store."""
     old = tables.jobs_by_id.pop(job_id, None)
     tables.revisions_by_id.pop(job_id, None)
-    tables.old_by_id.pop(job_id, None)
+    tables.originals_by_id.pop(job_id, None)
     if old is not None:
         tables.changes += 1
-        _uncount(tables, old)
+        _subtract_from_totals(tables, old)
 
 
 def put_worker(tables: JobTables, worker: Worker) -> None:
@@ -134,31 +134,31 @@
     put_job(tables, replace(job, attempt=replace(job.attempt, size=size)))
 
 
-def is_lent(job: Job) -> bool:
+def is_preemptible(job: Job) -> bool:
     """Tell whether what the job holds can be had back within seconds."""
     return job.can_checkpoint and job.urgency is not JobUrgency.URGENT
 
 
-def _frees_room(old: Job, job: Job) -> bool:
+def _frees_capacity(old: Job, job: Job) -> bool:
     """Tell whether a change of a running job may let others start."""
     if job.attempt is None or old.attempt is None:
         return True
     return job.attempt.size != old.attempt.size
 
 
-def _count(tables: JobTables, job: Job) -> None:
-    worker = _add_to_sums(tables, job, Size.plus)
+def _add_to_totals(tables: JobTables, job: Job) -> None:
+    worker = _update_totals(tables, job, Size.plus)
     if worker is not None:
         worker.job_ids.add(job.id)
 
 
-def _uncount(tables: JobTables, job: Job) -> None:
-    worker = _add_to_sums(tables, job, Size.minus)
+def _subtract_from_totals(tables: JobTables, job: Job) -> None:
+    worker = _update_totals(tables, job, Size.minus)
     if worker is not None:
         worker.job_ids.discard(job.id)
 
 
-def _add_to_sums(
+def _update_totals(
     tables: JobTables, job: Job, change: Callable[[Size, Size], Size]
 ) -> Worker | None:
     """Add what a job's attempt holds to all sums, or take it off again."""
@@ -166,21 +166,21 @@
         return None
     size = job.attempt.size
     tables.held = change(tables.held, size)
-    if is_lent(job):
-        tables.lent = change(tables.lent, size)
+    if is_preemptible(job):
+        tables.preemptible = change(tables.preemptible, size)
     partner = tables.partners_by_id.get(job.partner_id)
     if partner is not None:
         partner.held = change(partner.held, size)
     worker = tables.workers_by_id.get(job.attempt.vm_id)
     if worker is not None:
-        worker.set_aside = change(worker.set_aside, size)
+        worker.allocated = change(worker.allocated, size)
     return worker
 
 
 def _recount_worker(tables: JobTables, worker: Worker) -> None:
     for job in tables.jobs_by_id.values():
         if job.attempt is not None and job.attempt.vm_id == worker.id:
-            worker.set_aside = worker.set_aside.plus(job.attempt.size)
+            worker.allocated = worker.allocated.plus(job.attempt.size)
             worker.job_ids.add(job.id)
 
 
@@ -188,12 +188,12 @@
     "enqueue",
     "forget_job",
     "forget_worker",
-    "is_lent",
+    "is_preemptible",
     "put_job",
     "put_partner",
     "put_worker",
     "rank_job",
     "recount_capacity",
     "resize_attempt",
-    "take_back",
+    "revert_job",
 ]
--- a/packages/systems/src/medlarspring_systems/maintenance.py
+++ b/packages/systems/src/medlarspring_systems/maintenance.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from medlarspring_systems.draft import Draft
-    from medlarspring_systems.wave_width import WidthRule
+    from medlarspring_systems.wave_limits import WaveLimit
     from medlarspring_tables import FleetRow, PoolId, PoolRow
     from medlarspring_tables.vms import VMRecord
     from medlarspring_tables.waves import WaveRecord
@@ -27,7 +27,7 @@
     return record.finished_at >= wave.started_at
 
 
-def find_wanted(draft: Draft, wave: WaveRecord, pool_id: PoolId) -> list[VMRecord]:
+def find_pending_vms(draft: Draft, wave: WaveRecord, pool_id: PoolId) -> list[VMRecord]:
     """Return the pool's VMs that the wave still wants, in order of choice."""
     tables = draft.tables
     wanted = [
@@ -56,19 +56,22 @@
 
 
 def plan_wave_drains(
-    draft: Draft, pool: PoolRow, fleet: FleetRow, width: WidthRule, now: float
+    draft: Draft, pool: PoolRow, fleet: FleetRow, wave_limit: WaveLimit, now: float
 ) -> None:
     """Draft all drains of the pool that running waves want and budgets allow."""
     # A VM given up in this very draft may be the one that pauses the wave;
     # the next tick decides with it among the evidence.
-    if any(note.rule == Outcome.NOT_RETURNED.value for note in draft.notes):
+    if any(
+        planned_decision.rule == Outcome.NOT_RETURNED.value
+        for planned_decision in draft.planned_decisions
+    ):
         return
     waves = sorted(
         draft.tables.open_waves_by_id.values(), key=lambda wave: wave.started_at
     )
     for wave in waves:
         if wave.state is WaveState.RUNNING:
-            _plan_wave(draft, wave, pool, fleet, width, now)
+            _plan_wave(draft, wave, pool, fleet, wave_limit, now)
 
 
 def _plan_wave(
@@ -76,18 +79,18 @@
     wave: WaveRecord,
     pool: PoolRow,
     fleet: FleetRow,
-    width: WidthRule,
+    wave_limit: WaveLimit,
     now: float,
 ) -> None:
     cause = Cause(CauseKind.WAVE, wave.id)
-    for record in find_wanted(draft, wave, pool.id):
+    for record in find_pending_vms(draft, wave, pool.id):
         if len(draft.records_by_key) >= MAX_CHANGES:
             return
-        sighting = draft.tables.sightings_by_id.get(record.id)
-        if judge_vm(record, sighting) is not Health.AVAILABLE:
+        observation = draft.tables.observations_by_id.get(record.id)
+        if judge_vm(record, observation) is not Health.AVAILABLE:
             continue
-        if width.allows(draft, wave, record, pool):
+        if wave_limit.allows(draft, wave, record, pool):
             disrupt_vm(draft, record.id, cause, pool, fleet, now)
 
 
-__all__ = ["find_wanted", "has_ended", "plan_wave_drains"]
+__all__ = ["find_pending_vms", "has_ended", "plan_wave_drains"]
--- a/packages/systems/src/medlarspring_systems/moves.py
+++ b/packages/systems/src/medlarspring_systems/moves.py
@@ -24,7 +24,7 @@
 NEED_HOLD_SECONDS = 60.0
 """A pool has to be short for this long before VMs are moved."""
 KEEP_ENDED_SECONDS = 86_400.0
-_UNDER_WAY = (MoveState.WANTED, MoveState.DRAINING)
+_NOT_YET_JOINED = (MoveState.WANTED, MoveState.DRAINING)
 
 
 def count_members(draft: Draft, pool_id: PoolId) -> int:
@@ -37,12 +37,12 @@
     )
     for move_id in draft.tables.open_moves_by_id:
         move = draft.move(move_id)
-        if move is not None and move.state in _UNDER_WAY:
+        if move is not None and move.state in _NOT_YET_JOINED:
             members += (move.to_pool_id == pool_id) - (move.from_pool_id == pool_id)
     return members
 
 
-def plan_needs(
+def plan_needed_moves(
     draft: Draft, pool: PoolRow, pools_by_id: Mapping[PoolId, PoolRow], now: float
 ) -> None:
     """Draft the moves that bring a pool to its wanted size, and no more.
@@ -51,10 +51,10 @@
     no move calls for another.
     """
     tables = draft.tables
-    lacking = pool.wanted_vms - count_members(draft, pool.id)
-    if lacking <= 0:
+    missing = pool.wanted_vms - count_members(draft, pool.id)
+    if missing <= 0:
         tables.short_since_by_pool.pop(pool.id, None)
-        _cancel_needs(draft, pool, -lacking, now)
+        _cancel_needed_moves(draft, pool, -missing, now)
         return
     # A pool that is short for a moment only, between two edits of the table
     # or until a VM is seen again, would otherwise pay for two moves.
@@ -62,22 +62,22 @@
     if now - since < NEED_HOLD_SECONDS:
         return
     surplus_by_pool = {
-        giver.id: count_members(draft, giver.id) - giver.wanted_vms
-        for giver in pools_by_id.values()
-        if giver.id != pool.id
+        source_pool.id: count_members(draft, source_pool.id) - source_pool.wanted_vms
+        for source_pool in pools_by_id.values()
+        if source_pool.id != pool.id
     }
-    for number in range(lacking):
-        giver_id = max(
+    for number in range(missing):
+        source_pool_id = max(
             sorted(surplus_by_pool), key=surplus_by_pool.__getitem__, default=None
         )
-        if giver_id is None or surplus_by_pool[giver_id] <= 0:
+        if source_pool_id is None or surplus_by_pool[source_pool_id] <= 0:
             return
-        surplus_by_pool[giver_id] -= 1
+        surplus_by_pool[source_pool_id] -= 1
         move_id = MoveId(f"need-{pool.id}-{int(now)}-{number}")
         draft.put(
             MoveRecord(
                 id=move_id,
-                from_pool_id=giver_id,
+                from_pool_id=source_pool_id,
                 to_pool_id=pool.id,
                 is_by_need=True,
                 created_by="need",
@@ -86,7 +86,7 @@
         )
 
 
-def _cancel_needs(draft: Draft, pool: PoolRow, surplus: int, now: float) -> None:
+def _cancel_needed_moves(draft: Draft, pool: PoolRow, surplus: int, now: float) -> None:
     for move_id in sorted(draft.tables.open_moves_by_id):
         move = draft.move(move_id)
         if surplus <= 0:
@@ -164,20 +164,21 @@
     if move.vm_id is not None and not move.is_by_need:
         return [move.vm_id]
     tables = draft.tables
-    givers = _list_serving(draft, move.from_pool_id)
-    givers_by_rack = Counter(record.rack_id for record in givers)
-    takers = _list_serving(draft, move.to_pool_id)
-    takers_by_rack = Counter(record.rack_id for record in takers)
-    takers_by_zone = Counter(record.zone_id for record in takers)
+    source_vms = _list_serving(draft, move.from_pool_id)
+    source_vms_by_rack = Counter(record.rack_id for record in source_vms)
+    target_vms = _list_serving(draft, move.to_pool_id)
+    target_vms_by_rack = Counter(record.rack_id for record in target_vms)
+    target_vms_by_zone = Counter(record.zone_id for record in target_vms)
     available = [
         record
-        for record in givers
-        if judge_vm(record, tables.sightings_by_id.get(record.id)) is Health.AVAILABLE
+        for record in source_vms
+        if judge_vm(record, tables.observations_by_id.get(record.id))
+        is Health.AVAILABLE
     ]
     available.sort(
         key=lambda record: (
-            takers_by_rack[record.rack_id] - givers_by_rack[record.rack_id],
-            takers_by_zone[record.zone_id],
+            target_vms_by_rack[record.rack_id] - source_vms_by_rack[record.rack_id],
+            target_vms_by_zone[record.zone_id],
             record.id,
         )
     )
@@ -208,5 +209,5 @@
     "count_members",
     "plan_forget_moves",
     "plan_move_drains",
-    "plan_needs",
+    "plan_needed_moves",
 ]
--- a/packages/systems/src/medlarspring_systems/placement.py
+++ b/packages/systems/src/medlarspring_systems/placement.py
@@ -13,9 +13,9 @@
     RESERVE_AFTER_SECONDS,
     Blocked,
     PlacementRound,
+    check_placement,
     create_round,
-    dominant_part,
-    find_block,
+    dominant_share,
     is_within_share,
     reserve_worker,
 )
@@ -27,7 +27,7 @@
         Job,
         JobTables,
         PartnerId,
-        Ranked,
+        QueueEntry,
         Seconds,
         Size,
         Worker,
@@ -47,7 +47,7 @@
     reason: str
 
 
-def place_jobs(tables: JobTables, now: Seconds, most: int) -> list[StartAttempt]:
+def place_jobs(tables: JobTables, now: Seconds, limit: int) -> list[StartAttempt]:
     """Place up to ``most`` waiting jobs; records and sums are changed at once.
 
     ``now`` is wall time. Urgent jobs of partners within their share go first,
@@ -59,10 +59,10 @@
         return []
     round_ = create_round(tables, now)
     urgent, others = tables.urgent_by_partner, tables.waiting_by_partner
-    starts = _place_from(tables, urgent, round_, most, only_within_share=True)
-    starts += _place_from(tables, others, round_, most - len(starts))
-    starts += _place_from(tables, urgent, round_, most - len(starts))
-    if len(starts) < most:
+    starts = _place_from_queues(tables, urgent, round_, limit, only_within_share=True)
+    starts += _place_from_queues(tables, others, round_, limit - len(starts))
+    starts += _place_from_queues(tables, urgent, round_, limit - len(starts))
+    if len(starts) < limit:
         tables.settled_at_change = tables.changes
         tables.settled_at = now
     return starts
@@ -72,27 +72,27 @@
     """Return why a waiting job does not start now; None if it could."""
     round_ = create_round(tables, now)
     size = believe_size(tables, job, round_.largest)
-    found = find_block(tables, job, size, round_)
+    found = check_placement(tables, job, size, round_)
     return found if isinstance(found, Blocked) else None
 
 
-def _place_from(
+def _place_from_queues(
     tables: JobTables,
-    queues: dict[PartnerId, list[Ranked]],
+    queues: dict[PartnerId, list[QueueEntry]],
     round_: PlacementRound,
-    most: int,
+    limit: int,
     *,
     only_within_share: bool = False,
 ) -> list[StartAttempt]:
     """Serve the partner with the smallest weighted part, again and again."""
     starts: list[StartAttempt] = []
     order = [
-        (_weighted_part(tables, partner_id), partner_id)
+        (_weighted_share(tables, partner_id), partner_id)
         for partner_id, queue in queues.items()
         if queue
     ]
     heapq.heapify(order)
-    while order and len(starts) < most:
+    while order and len(starts) < limit:
         _, partner_id = heapq.heappop(order)
         partner = tables.partners_by_id.get(partner_id)
         if partner is None:
@@ -105,39 +105,39 @@
         if start is None:
             continue
         starts.append(start)
-        heapq.heappush(order, (_weighted_part(tables, partner_id), partner_id))
+        heapq.heappush(order, (_weighted_share(tables, partner_id), partner_id))
     for partner_id in [key for key, queue in queues.items() if not queue]:
         del queues[partner_id]
     return starts
 
 
 def _place_next(
-    tables: JobTables, queue: list[Ranked], round_: PlacementRound
+    tables: JobTables, queue: list[QueueEntry], round_: PlacementRound
 ) -> StartAttempt | None:
     """Place the first job of a queue that fits, looking a few places behind."""
-    passed: list[Ranked] = []
+    passed: list[QueueEntry] = []
     start: StartAttempt | None = None
     while queue and start is None and len(passed) < BACKFILL_DEPTH:
-        ranked = heapq.heappop(queue)
-        job = tables.jobs_by_id.get(ranked[1])
+        queue_entry = heapq.heappop(queue)
+        job = tables.jobs_by_id.get(queue_entry[1])
         if job is None or job.state is not JobState.WAITING:
             continue
         size = believe_size(tables, job, round_.largest)
-        found = find_block(tables, job, size, round_)
+        found = check_placement(tables, job, size, round_)
         if not isinstance(found, Blocked):
             start = _start(tables, job, size, found, round_.now)
             continue
-        passed.append(ranked)
-        if found in (Blocked.NO_ROOM, Blocked.SPARE):
+        passed.append(queue_entry)
+        if found in (Blocked.NO_FREE_WORKER, Blocked.SPARE):
             reserve_worker(tables, job, size, round_)
-        elif _may_not_be_passed(job, found, round_.now):
+        elif _blocks_backfill(job, found, round_.now):
             break
-    for ranked in passed:
-        heapq.heappush(queue, ranked)
+    for queue_entry in passed:
+        heapq.heappush(queue, queue_entry)
     return start
 
 
-def _may_not_be_passed(job: Job, block: Blocked, now: Seconds) -> bool:
+def _blocks_backfill(job: Job, block: Blocked, now: Seconds) -> bool:
     """Tell whether a job has waited too long for its partner's own quota.
 
     Smaller jobs of the same partner would refill the quota whenever a part of
@@ -169,11 +169,11 @@
     return StartAttempt(placed, f"best fit for {size.cpus:g} cpus")
 
 
-def _weighted_part(tables: JobTables, partner_id: PartnerId) -> float:
+def _weighted_share(tables: JobTables, partner_id: PartnerId) -> float:
     partner = tables.partners_by_id.get(partner_id)
     if partner is None or partner.weight <= 0:
         return float("inf")
-    return dominant_part(partner.held, tables.capacity) / partner.weight
+    return dominant_share(partner.held, tables.capacity) / partner.weight
 
 
 __all__ = ["BACKFILL_DEPTH", "StartAttempt", "explain_waiting", "place_jobs"]
--- a/packages/systems/src/medlarspring_systems/placement_rules.py
+++ b/packages/systems/src/medlarspring_systems/placement_rules.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.job_records import is_lent
+from medlarspring_systems.job_records import is_preemptible
 from medlarspring_systems.size_beliefs import believe_size
 from medlarspring_tables import NO_SIZE, JobUrgency, Size
 
@@ -22,7 +22,7 @@
 
 RESERVE_AFTER_SECONDS = 120.0
 """A job that waited this long for a large enough worker gets one reserved."""
-RESERVED_PART = 8
+WORKERS_PER_RESERVATION = 8
 """At most one worker in so many is reserved, but always one."""
 
 
@@ -31,8 +31,8 @@
 
     SPARE = "the rest of the capacity is held back as spare"
     QUOTA = "the partner's quota is in use"
-    NO_ROOM = "no worker has room now"
-    TRIED = "it failed on every worker that has room"
+    NO_FREE_WORKER = "no worker has room now"
+    ALREADY_FAILED = "it failed on every worker that has room"
 
 
 @dataclass(slots=True)
@@ -55,7 +55,7 @@
         """Tell whether a size is no smaller than one that found no room."""
         return any(other.fits_in(size) for other in self.too_large)
 
-    def note_too_large(self, size: Size) -> None:
+    def record_too_large(self, size: Size) -> None:
         """Remember a size that found no room, in place of larger ones."""
         smaller = [other for other in self.too_large if not size.fits_in(other)]
         self.too_large = [*smaller, size]
@@ -84,12 +84,12 @@
     return max((worker.capacity for worker in workers), key=lambda size: size.cpus)
 
 
-def dominant_part(held: Size, capacity: Size) -> float:
+def dominant_share(held: Size, capacity: Size) -> float:
     """Return the largest part held of any one kind of capacity."""
     return max(
-        part_of(held.cpus, capacity.cpus),
-        part_of(held.memory_gb, capacity.memory_gb),
-        part_of(held.accelerators, capacity.accelerators),
+        fraction_of(held.cpus, capacity.cpus),
+        fraction_of(held.memory_gb, capacity.memory_gb),
+        fraction_of(held.accelerators, capacity.accelerators),
     )
 
 
@@ -100,26 +100,26 @@
     if total_weight <= 0:
         return False
     share = partner.weight / total_weight
-    return dominant_part(partner.held, tables.capacity) < share
+    return dominant_share(partner.held, tables.capacity) < share
 
 
-def find_block(
+def check_placement(
     tables: JobTables, job: Job, size: Size, round_: PlacementRound
 ) -> Blocked | Worker:
     """Return the worker on which a job may start now, or why there is none."""
     partner = tables.partners_by_id[job.partner_id]
     if not partner.held.plus(size).fits_in(partner.quota):
         return Blocked.QUOTA
-    if not is_lent(job) and not _leaves_spare(tables, job, size, round_):
+    if not is_preemptible(job) and not _leaves_spare(tables, job, size, round_):
         return Blocked.SPARE
     if job.id not in round_.reserved_ids and round_.is_too_large(size):
-        return Blocked.NO_ROOM
+        return Blocked.NO_FREE_WORKER
     worker = find_worker(tables, job, size, round_.now)
     if worker is None:
-        round_.note_too_large(size)
-        return Blocked.NO_ROOM
-    if worker.id in job.failed_on and _has_untried(tables, job):
-        return Blocked.TRIED
+        round_.record_too_large(size)
+        return Blocked.NO_FREE_WORKER
+    if worker.id in job.failed_on and _has_untried_worker(tables, job):
+        return Blocked.ALREADY_FAILED
     return worker
 
 
@@ -132,14 +132,14 @@
     best: Worker | None = None
     best_key: tuple[bool, float] | None = None
     for worker in tables.workers_by_id.values():
-        if worker.capacity.cpus - worker.set_aside.cpus < size.cpus:
+        if worker.capacity.cpus - worker.allocated.cpus < size.cpus:
             continue
         if not is_usable(worker, job.id, now):
             continue
-        free = worker.capacity.minus(worker.set_aside)
+        free = worker.capacity.minus(worker.allocated)
         if not size.fits_in(free):
             continue
-        left = part_of(free.cpus - size.cpus, worker.capacity.cpus)
+        left = fraction_of(free.cpus - size.cpus, worker.capacity.cpus)
         wasted = free.accelerators if size.accelerators == 0 else 0
         key = (worker.id in job.failed_on, wasted + left)
         if best_key is None or key < best_key:
@@ -151,7 +151,7 @@
     """Tell whether a worker may take this job now."""
     if not worker.accepts_work or worker.quarantined_until > now:
         return False
-    if worker.quarantines and worker.job_ids:
+    if worker.quarantine_count and worker.job_ids:
         return False  # On probation: one job at a time until one succeeds.
     return worker.reserved_for is None or worker.reserved_for == job_id
 
@@ -165,7 +165,7 @@
     if job.id in round_.reserved_ids:
         return
     workers = tables.workers_by_id.values()
-    if len(round_.reserved_ids) >= max(1, len(workers) // RESERVED_PART):
+    if len(round_.reserved_ids) >= max(1, len(workers) // WORKERS_PER_RESERVATION):
         return
     candidates = [
         worker
@@ -179,14 +179,14 @@
         return
     emptiest = min(
         candidates,
-        key=lambda worker: part_of(worker.set_aside.cpus, worker.capacity.cpus),
+        key=lambda worker: fraction_of(worker.allocated.cpus, worker.capacity.cpus),
     )
     emptiest.reserved_for = job.id
     round_.reserved = _sum_reserved(tables)
     round_.reserved_ids.add(job.id)
 
 
-def part_of(amount: float, whole: float) -> float:
+def fraction_of(amount: float, whole: float) -> float:
     """Return a part of a whole; 0 of nothing."""
     return amount / whole if whole > 0 else 0.0
 
@@ -202,13 +202,13 @@
     """
     if job.urgency is JobUrgency.URGENT:
         return True
-    firm = tables.held.minus(tables.lent).plus(size)
+    non_preemptible = tables.held.minus(tables.preemptible).plus(size)
     if job.id not in round_.reserved_ids:
-        firm = firm.plus(round_.reserved)
+        non_preemptible = non_preemptible.plus(round_.reserved)
     usable = 1.0 - tables.spare_percent / 100.0
     return (
-        firm.cpus <= tables.capacity.cpus * usable
-        and firm.memory_gb <= tables.capacity.memory_gb * usable
+        non_preemptible.cpus <= tables.capacity.cpus * usable
+        and non_preemptible.memory_gb <= tables.capacity.memory_gb * usable
     )
 
 
@@ -223,12 +223,12 @@
         if worker.reserved_for is None:
             continue
         job = tables.jobs_by_id.get(worker.reserved_for)
-        if job is not None and not is_lent(job):
+        if job is not None and not is_preemptible(job):
             total = total.plus(believe_size(tables, job, worker.capacity))
     return total
 
 
-def _has_untried(tables: JobTables, job: Job) -> bool:
+def _has_untried_worker(tables: JobTables, job: Job) -> bool:
     """Tell whether a worker that could hold the job has not been tried."""
     return any(
         worker.accepts_work
@@ -243,12 +243,12 @@
     "Blocked",
     "PlacementRound",
     "create_round",
-    "dominant_part",
-    "find_block",
+    "dominant_share",
+    "check_placement",
     "find_worker",
     "is_usable",
     "is_within_share",
     "largest_worker",
-    "part_of",
+    "fraction_of",
     "reserve_worker",
 ]
--- a/packages/systems/src/medlarspring_systems/preemption.py
+++ b/packages/systems/src/medlarspring_systems/preemption.py
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from medlarspring_systems.job_records import put_job
-from medlarspring_systems.placement_rules import dominant_part, is_within_share
+from medlarspring_systems.placement_rules import dominant_share, is_within_share
 from medlarspring_systems.size_beliefs import believe_size
 from medlarspring_tables import AttemptState, JobState, JobUrgency
 
@@ -38,7 +38,7 @@
         if len(stops) >= MAX_PREEMPTIONS_PER_TICK:
             break
         if not _has_reserved_worker(tables, job):
-            stops += _make_room(tables, job, now)
+            stops += _preempt_for(tables, job, now)
     return stops
 
 
@@ -56,13 +56,13 @@
     return waiting
 
 
-def _may_stop(tables: JobTables, urgent: Job, victim: Job) -> bool:
+def _may_preempt(tables: JobTables, urgent: Job, victim: Job) -> bool:
     """Tell whether an urgent job may end another job's attempt.
 
     A partner over its share, or at its quota, may stop only work of its own;
     else marking all work urgent would take the rivals' capacity.
     """
-    if not can_yield(victim):
+    if not is_preemptible_now(victim):
         return False
     if victim.partner_id == urgent.partner_id:
         return True
@@ -78,16 +78,16 @@
     )
 
 
-def _make_room(tables: JobTables, job: Job, now: Seconds) -> list[StopAttempt]:
+def _preempt_for(tables: JobTables, job: Job, now: Seconds) -> list[StopAttempt]:
     best: tuple[float, str, Worker, list[Job]] | None = None
     for worker in tables.workers_by_id.values():
         size = believe_size(tables, job, worker.capacity)
-        if not _may_empty(worker, now) or not size.fits_in(worker.capacity):
+        if not _is_preemption_target(worker, now) or not size.fits_in(worker.capacity):
             continue
         victims = _choose_victims(tables, job, worker, size)
         if victims is None:
             continue
-        cost = sum(_cost(tables, victim, now) for victim in victims)
+        cost = sum(_preemption_cost(tables, victim, now) for victim in victims)
         if best is None or (cost, worker.id) < best[:2]:
             best = (cost, worker.id, worker, victims)
     if best is None:
@@ -107,22 +107,22 @@
     return StopAttempt(stopping, reason)
 
 
-def _may_empty(worker: Worker, now: Seconds) -> bool:
+def _is_preemption_target(worker: Worker, now: Seconds) -> bool:
     usable = worker.accepts_work and worker.quarantined_until <= now
-    return usable and worker.reserved_for is None and not worker.quarantines
+    return usable and worker.reserved_for is None and not worker.quarantine_count
 
 
 def _choose_victims(
     tables: JobTables, urgent: Job, worker: Worker, size: Size
 ) -> list[Job] | None:
     """Return the fewest attempts whose end makes the job fit, or None."""
-    free = worker.capacity.minus(worker.set_aside)
+    free = worker.capacity.minus(worker.allocated)
     candidates = [
         job
         for job_id in sorted(worker.job_ids)
-        if _may_stop(tables, urgent, job := tables.jobs_by_id[job_id])
+        if _may_preempt(tables, urgent, job := tables.jobs_by_id[job_id])
     ]
-    candidates.sort(key=lambda job: -_room_of(job))
+    candidates.sort(key=lambda job: -_cpus_of(job))
     victims: list[Job] = []
     for job in candidates:
         if size.fits_in(free):
@@ -133,31 +133,31 @@
     return victims if size.fits_in(free) else None
 
 
-def can_yield(job: Job) -> bool:
+def is_preemptible_now(job: Job) -> bool:
     """Tell whether an attempt may be checkpointed for urgent work."""
     if job.urgency is JobUrgency.URGENT or not job.can_checkpoint:
         return False
     return job.attempt is not None and job.attempt.state is AttemptState.RUNNING
 
 
-def _room_of(job: Job) -> float:
+def _cpus_of(job: Job) -> float:
     return job.attempt.size.cpus if job.attempt else 0.0
 
 
-def _cost(tables: JobTables, job: Job, now: Seconds) -> float:
+def _preemption_cost(tables: JobTables, job: Job, now: Seconds) -> float:
     """Weigh a stop: lost time, and less if the partner holds over its share."""
     assert job.attempt is not None
     partner = tables.partners_by_id.get(job.partner_id)
     ran = max(now - job.attempt.started_at, 1.0)
     if partner is None or partner.weight <= 0:
         return ran
-    part = dominant_part(partner.held, tables.capacity) / partner.weight
-    return ran / (1.0 + part)
+    weighted_share = dominant_share(partner.held, tables.capacity) / partner.weight
+    return ran / (1.0 + weighted_share)
 
 
 __all__ = [
     "StopAttempt",
-    "can_yield",
+    "is_preemptible_now",
     "mark_stopping",
     "plan_preemptions",
 ]
--- a/packages/systems/src/medlarspring_systems/size_beliefs.py
+++ b/packages/systems/src/medlarspring_systems/size_beliefs.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from medlarspring_tables import Size, SizeBelief
+from medlarspring_tables import Size, SizeEstimate
 
 if TYPE_CHECKING:
     from collections import deque
@@ -20,7 +20,7 @@
 """Set aside this much more than the quantile of what was seen."""
 MIN_RATIO = 0.05
 MAX_RATIO = 12.0
-NOTHING_SEEN = SizeBelief()
+NOTHING_SEEN = SizeEstimate()
 """Until a few attempts of a kind were seen, the declaration holds."""
 
 
@@ -30,7 +30,7 @@
     Accelerators are whole devices that a job opens itself: the declaration
     holds.
     """
-    belief = tables.beliefs_by_kind.get((job.partner_id, job.kind), NOTHING_SEEN)
+    belief = tables.estimates_by_kind.get((job.partner_id, job.kind), NOTHING_SEEN)
     cpus = job.declared.cpus * belief.cpu_ratio
     memory_gb = job.declared.memory_gb * belief.memory_ratio
     return Size(
@@ -55,7 +55,7 @@
 def learn_use(tables: JobTables, job: Job, peak: Size) -> None:
     """Remember the largest use seen of one attempt that ran for a while."""
     key = (job.partner_id, job.kind)
-    belief = tables.beliefs_by_kind.setdefault(key, SizeBelief())
+    belief = tables.estimates_by_kind.setdefault(key, SizeEstimate())
     _remember(belief.cpu_ratios, peak.cpus, job.declared.cpus)
     _remember(belief.memory_ratios, peak.memory_gb, job.declared.memory_gb)
     if len(belief.cpu_ratios) >= MIN_OBSERVATIONS:
--- a/packages/systems/src/medlarspring_systems/spare.py
+++ b/packages/systems/src/medlarspring_systems/spare.py
@@ -34,7 +34,7 @@
     needed: int
     largest_domain: str
     domain_vms: int
-    lent: int
+    preemptible_use: int
     """Of the held, lent to work that can be throttled or checkpointed."""
     held_by_pool: dict[PoolId, int]
     held_by_zone: dict[ZoneId, int]
@@ -59,13 +59,14 @@
     pools_by_id: Mapping[PoolId, PoolRow],
     fleet: FleetRow,
     domain: FailureDomain = FailureDomain.RACK,
-    lent: int = 0,
+    preemptible_use: int = 0,
 ) -> SpareReport:
     """Count the spare as it stands."""
     available = [
         record
         for record in tables.vms_by_id.values()
-        if judge_vm(record, tables.sightings_by_id.get(record.id)) is Health.AVAILABLE
+        if judge_vm(record, tables.observations_by_id.get(record.id))
+        is Health.AVAILABLE
     ]
     by_pool = Counter(record.pool_id for record in available)
     by_domain = Counter(_domain_of(record, domain) for record in available)
@@ -82,9 +83,9 @@
         needed=count_needed(len(available), domain_vms, fleet.spare_percent),
         largest_domain=largest_domain,
         domain_vms=domain_vms,
-        lent=min(lent, held),
+        preemptible_use=min(preemptible_use, held),
         held_by_pool=held_by_pool,
-        held_by_zone=_spread(available, held_by_pool),
+        held_by_zone=_count_spare_by_zone(available, held_by_pool),
     )
 
 
@@ -94,7 +95,7 @@
     return f"zone {record.zone_id}"
 
 
-def _spread(
+def _count_spare_by_zone(
     available: list[VMRecord], held_by_pool: Mapping[PoolId, int]
 ) -> dict[ZoneId, int]:
     """Return each pool's spare by zone: it lies where most of its VMs are."""
--- a/packages/systems/src/medlarspring_systems/vm_actions.py
+++ b/packages/systems/src/medlarspring_systems/vm_actions.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from medlarspring_tables.fleet_tables import FleetTables
-    from medlarspring_tables.vms import VMRecord, VMSighting
+    from medlarspring_tables.vms import VMObservation, VMRecord
 
 
 class Action(Enum):
@@ -28,10 +28,10 @@
     Each revision of a record carries one kind of action only, so an action
     that arrives late can never undo a later step of the same intent.
     """
-    sighting = tables.sightings_by_id.get(record.id)
-    if sighting is None or has_accepted(tables, record, sighting):
+    observation = tables.observations_by_id.get(record.id)
+    if observation is None or has_accepted(tables, record, observation):
         return None
-    is_drained = sighting.condition is VMCondition.DRAINED
+    is_drained = observation.condition is VMCondition.DRAINED
     match record.state:
         case VMState.DRAINING:
             return Action.DRAIN
@@ -45,9 +45,11 @@
             return None
 
 
-def has_accepted(tables: FleetTables, record: VMRecord, sighting: VMSighting) -> bool:
+def has_accepted(
+    tables: FleetTables, record: VMRecord, observation: VMObservation
+) -> bool:
     """Say whether the platform accepted the action of the record as it stands."""
-    return sighting.revision >= tables.revision_of(key_of_vm(record.id))
+    return observation.revision >= tables.revision_of(key_of_vm(record.id))
 
 
 __all__ = ["Action", "choose_action", "has_accepted"]
--- a/packages/systems/src/medlarspring_systems/vm_progress.py
+++ b/packages/systems/src/medlarspring_systems/vm_progress.py
@@ -14,19 +14,19 @@
     is_rack_lost,
 )
 from medlarspring_systems.disruptions import MAX_CHANGES
-from medlarspring_systems.draft import Decided
+from medlarspring_systems.draft import DecisionKind
 from medlarspring_systems.vm_actions import has_accepted
 from medlarspring_systems.vm_steps import (
     drain_again,
-    finish_wave,
     give_up,
-    is_late_move,
+    is_move_recorded,
     join,
+    record_wave_outcome,
     restore,
     serve,
     set_move,
 )
-from medlarspring_systems.wave_width import EVIDENCE_DEPTH
+from medlarspring_systems.wave_limits import OUTCOME_WINDOW
 from medlarspring_tables import VMId, WaveId
 from medlarspring_tables.fleet_tables import key_of_vm
 from medlarspring_tables.moves import MoveId, MoveState
@@ -37,9 +37,9 @@
     from medlarspring_systems.draft import Draft
     from medlarspring_tables import PoolRow
     from medlarspring_tables.fleet_tables import FleetTables
-    from medlarspring_tables.vms import VMRecord, VMSighting
+    from medlarspring_tables.vms import VMObservation, VMRecord
 
-_ALIVE = (VMCondition.SERVING, VMCondition.DRAINING, VMCondition.DRAINED)
+_REACHABLE = (VMCondition.SERVING, VMCondition.DRAINING, VMCondition.DRAINED)
 DRAIN_LIMIT_SECONDS = 600.0
 """A drain that takes longer is taken back and reported."""
 MOVE_SETTLE_SECONDS = 4.0
@@ -48,7 +48,7 @@
 RETURN_LIMIT_SECONDS = 900.0
 """A VM that is not back this long after its reboot is given up."""
 MIN_RETURN_LIMIT_SECONDS = 120.0
-LATE_RATIO = 2.5
+RETURN_LIMIT_RATIO = 2.5
 """Given up earlier at this many times the median of those that returned."""
 MIN_RETURNED = 3
 
@@ -56,57 +56,57 @@
 def plan_progress(draft: Draft, pool: PoolRow, now: float) -> None:
     """Draft the next step of every VM of the pool that does not serve."""
     busy = sorted(draft.tables.busy_vm_ids_by_pool.get(pool.id, ()))
-    _put_back_for_budget(draft, pool, busy, now)
+    _restore_for_budget(draft, pool, busy, now)
     for vm_id in busy[:MAX_CHANGES]:
         if key_of_vm(vm_id) not in draft.records_by_key:
             _plan_vm(draft, vm_id, now)
 
 
-def _put_back_for_budget(
+def _restore_for_budget(
     draft: Draft, pool: PoolRow, busy: list[VMId], now: float
 ) -> None:
     """Take drains back while unplanned failures hold the pool under its budget."""
-    lacking = -count_availability(draft, pool).room
+    shortfall = -count_availability(draft, pool).room
     for vm_id in busy:
-        if lacking <= 0:
+        if shortfall <= 0:
             return
         record = draft.vm(vm_id)
-        if record.state is VMState.DRAINING and not is_late_move(record):
+        if record.state is VMState.DRAINING and not is_move_recorded(record):
             restore(draft, record, "budget-needs-it", now)
-            lacking -= 1
+            shortfall -= 1
         elif record.state is VMState.RESTORING:
-            lacking -= 1
+            shortfall -= 1
 
 
 def _plan_vm(draft: Draft, vm_id: VMId, now: float) -> None:
     record = draft.vm(vm_id)
-    sighting = draft.tables.sightings_by_id.get(vm_id)
-    if _is_lost_with_rack(draft.tables, record, sighting, now):
-        finish_wave(draft, record, Outcome.RACK_LOST, now)
+    observation = draft.tables.observations_by_id.get(vm_id)
+    if _is_lost_with_rack(draft.tables, record, observation, now):
+        record_wave_outcome(draft, record, Outcome.RACK_LOST, now)
         give_up(draft, draft.vm(vm_id), Outcome.RACK_LOST.value, now)
         return
     match record.state:
         case VMState.DRAINING:
-            _plan_draining(draft, record, sighting, now)
+            _plan_draining(draft, record, observation, now)
         case VMState.REBOOTING:
-            _plan_rebooting(draft, record, sighting, now)
+            _plan_rebooting(draft, record, observation, now)
         case VMState.RESTORING:
-            _plan_restoring(draft, record, sighting, now)
+            _plan_restoring(draft, record, observation, now)
         case VMState.JOINING:
-            _plan_joining(draft, record, sighting, now)
+            _plan_joining(draft, record, observation, now)
         case VMState.OUT:
-            _plan_out(draft, record, sighting, now)
+            _plan_out(draft, record, observation, now)
 
 
 def _is_lost_with_rack(
-    tables: FleetTables, record: VMRecord, sighting: VMSighting | None, now: float
+    tables: FleetTables, record: VMRecord, observation: VMObservation | None, now: float
 ) -> bool:
     """Say whether a VM in the middle of its maintenance went with its rack.
 
     Waited for like a single VM, it would keep its pool from being refilled
     long after the others of the rack have been replaced.
     """
-    is_down = sighting is None or sighting.condition is VMCondition.DOWN
+    is_down = observation is None or observation.condition is VMCondition.DOWN
     is_waited_for = record.state in (
         VMState.DRAINING,
         VMState.REBOOTING,
@@ -117,32 +117,32 @@
 
 
 def _plan_draining(
-    draft: Draft, record: VMRecord, sighting: VMSighting | None, now: float
+    draft: Draft, record: VMRecord, observation: VMObservation | None, now: float
 ) -> None:
-    is_joining = is_late_move(record)
+    is_joining = is_move_recorded(record)
     if not is_joining and not _is_cause_open(draft, record):
         restore(draft, record, "cause-ended", now)
         return
-    if sighting is not None and has_accepted(draft.tables, record, sighting):
-        if sighting.condition is VMCondition.SERVING:
+    if observation is not None and has_accepted(draft.tables, record, observation):
+        if observation.condition is VMCondition.SERVING:
             # A holder cut off from the store put the VM back, or it failed and
             # came back by itself. A drain of this intent that is still on its
             # way would take it out again unlisted, so the intent is closed
             # before the VM counts.
             restore(draft, record, "serves-again", now)
             return
-        if sighting.condition is VMCondition.DRAINED:
-            _use_drained(draft, record, sighting, now)
+        if observation.condition is VMCondition.DRAINED:
+            _plan_drained(draft, record, observation, now)
             return
     # Only now the time is looked at: after an outage of the store the drain is
     # old, but the VM was put back or is drained, and nothing timed out.
     if not is_joining and now - record.since > DRAIN_LIMIT_SECONDS:
-        finish_wave(draft, record, Outcome.DRAIN_TIMED_OUT, now)
+        record_wave_outcome(draft, record, Outcome.DRAIN_TIMED_OUT, now)
         restore(draft, draft.vm(record.id), "drain-timed-out", now)
 
 
-def _use_drained(
-    draft: Draft, record: VMRecord, sighting: VMSighting, now: float
+def _plan_drained(
+    draft: Draft, record: VMRecord, observation: VMObservation, now: float
 ) -> None:
     if record.target_pool_id is not None:
         # Entry VMs that have not heard of the drain send work of the old pool
@@ -152,20 +152,22 @@
         if now - record.since >= MOVE_SETTLE_SECONDS:
             join(draft, record, record.target_pool_id, now)
         return
-    state = {"state": VMState.REBOOTING, "since": now, "boot": sighting.boot}
+    state = {"state": VMState.REBOOTING, "since": now, "boot": observation.boot}
     draft.put(msgspec.structs.replace(record, **state))
-    draft.note(Decided.REBOOT, "drained", vm_id=record.id, boot=sighting.boot)
+    draft.record_decision(
+        DecisionKind.REBOOT, "drained", vm_id=record.id, boot=observation.boot
+    )
 
 
 def _plan_rebooting(
-    draft: Draft, record: VMRecord, sighting: VMSighting | None, now: float
+    draft: Draft, record: VMRecord, observation: VMObservation | None, now: float
 ) -> None:
-    if sighting is not None and sighting.condition is VMCondition.SERVING:
-        _plan_serving_again(draft, record, sighting, now)
+    if observation is not None and observation.condition is VMCondition.SERVING:
+        _plan_serving_again(draft, record, observation, now)
     elif now - record.since > find_return_limit(draft.tables, record):
         is_lost = is_rack_lost(draft.tables, record)
         outcome = Outcome.RACK_LOST if is_lost else Outcome.NOT_RETURNED
-        finish_wave(draft, record, outcome, now)
+        record_wave_outcome(draft, record, outcome, now)
         give_up(draft, draft.vm(record.id), outcome.value, now)
 
 
@@ -181,26 +183,26 @@
     finished = tables.finished_by_wave.get(WaveId(record.cause.id), [])
     returned = [
         finish.seconds
-        for finish in finished[-EVIDENCE_DEPTH:]
+        for finish in finished[-OUTCOME_WINDOW:]
         if finish.outcome is Outcome.BACK
     ]
     if len(returned) < MIN_RETURNED:
         return RETURN_LIMIT_SECONDS
-    limit = LATE_RATIO * statistics.median(returned)
+    limit = RETURN_LIMIT_RATIO * statistics.median(returned)
     return min(max(limit, MIN_RETURN_LIMIT_SECONDS), RETURN_LIMIT_SECONDS)
 
 
 def _plan_serving_again(
-    draft: Draft, record: VMRecord, sighting: VMSighting, now: float
+    draft: Draft, record: VMRecord, observation: VMObservation, now: float
 ) -> None:
-    is_rebooted = sighting.boot > record.boot
-    if is_rebooted and has_accepted(draft.tables, record, sighting):
-        finish_wave(draft, record, Outcome.BACK, now)
+    is_rebooted = observation.boot > record.boot
+    if is_rebooted and has_accepted(draft.tables, record, observation):
+        record_wave_outcome(draft, record, Outcome.BACK, now)
         serve(draft, draft.vm(record.id), "returned", now)
     elif is_rebooted:
         # It failed and came back before the reboot was asked. A reboot that is
         # still on its way must not reach it once it serves.
-        finish_wave(draft, record, Outcome.BACK, now)
+        record_wave_outcome(draft, record, Outcome.BACK, now)
         restore(draft, draft.vm(record.id), "rebooted-by-itself", now)
     else:
         # A holder cut off from the store put it back. Rebooting it now would
@@ -210,14 +212,14 @@
 
 
 def _plan_restoring(
-    draft: Draft, record: VMRecord, sighting: VMSighting | None, now: float
+    draft: Draft, record: VMRecord, observation: VMObservation | None, now: float
 ) -> None:
     if (
-        sighting is not None
-        and sighting.condition is VMCondition.SERVING
-        and has_accepted(draft.tables, record, sighting)
+        observation is not None
+        and observation.condition is VMCondition.SERVING
+        and has_accepted(draft.tables, record, observation)
     ):
-        if sighting.pool_id != record.pool_id:
+        if observation.pool_id != record.pool_id:
             drain_again(draft, record, record.pool_id, now)
         else:
             serve(draft, record, "put-back", now)
@@ -226,11 +228,11 @@
 
 
 def _plan_joining(
-    draft: Draft, record: VMRecord, sighting: VMSighting | None, now: float
+    draft: Draft, record: VMRecord, observation: VMObservation | None, now: float
 ) -> None:
-    if sighting is not None and sighting.condition is VMCondition.SERVING:
-        has_joined = sighting.pool_id == record.pool_id
-        if has_joined and has_accepted(draft.tables, record, sighting):
+    if observation is not None and observation.condition is VMCondition.SERVING:
+        has_joined = observation.pool_id == record.pool_id
+        if has_joined and has_accepted(draft.tables, record, observation):
             set_move(draft, record, MoveState.DONE, now)
             serve(draft, record, "joined", now)
         else:
@@ -241,9 +243,9 @@
 
 
 def _plan_out(
-    draft: Draft, record: VMRecord, sighting: VMSighting | None, now: float
+    draft: Draft, record: VMRecord, observation: VMObservation | None, now: float
 ) -> None:
-    if sighting is None or sighting.condition not in _ALIVE:
+    if observation is None or observation.condition not in _REACHABLE:
         return
     # The VM was given up with an action perhaps still on its way to it; the
     # restoration makes the platform refuse that one from now on.
--- a/packages/systems/src/medlarspring_systems/vm_steps.py
+++ b/packages/systems/src/medlarspring_systems/vm_steps.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from medlarspring_systems.draft import Decided
+from medlarspring_systems.draft import DecisionKind
 from medlarspring_tables import WaveId
 from medlarspring_tables.moves import MoveId, MoveState
 from medlarspring_tables.vms import CauseKind, Outcome, VMState
@@ -29,8 +29,8 @@
     )
     draft.put(joined)
     set_move(draft, record, MoveState.JOINING, now)
-    draft.note(
-        Decided.MOVE,
+    draft.record_decision(
+        DecisionKind.MOVE,
         "drained",
         vm_id=record.id,
         from_pool=record.pool_id,
@@ -48,7 +48,7 @@
         "target_pool_id": target_pool_id,
     }
     draft.put(msgspec.structs.replace(record, **again))
-    draft.note(Decided.DRAIN, "put-back-seen", vm_id=record.id)
+    draft.record_decision(DecisionKind.DRAIN, "put-back-seen", vm_id=record.id)
 
 
 def restore(draft: Draft, record: VMRecord, rule: str, now: float) -> None:
@@ -57,7 +57,7 @@
     draft.put(msgspec.structs.replace(record, **state))
     if record.state is VMState.DRAINING:
         set_move(draft, record, MoveState.WANTED, now)
-    draft.note(Decided.PUT_BACK, rule, vm_id=record.id)
+    draft.record_decision(DecisionKind.PUT_BACK, rule, vm_id=record.id)
 
 
 def serve(draft: Draft, record: VMRecord, rule: str, now: float) -> None:
@@ -73,7 +73,7 @@
             target_pool_id=None,
         )
     )
-    draft.note(Decided.SERVE, rule, vm_id=record.id)
+    draft.record_decision(DecisionKind.SERVE, rule, vm_id=record.id)
 
 
 def give_up(draft: Draft, record: VMRecord, rule: str, now: float) -> None:
@@ -82,10 +82,12 @@
     draft.unlist_in_zone(record)
     state = {"state": VMState.OUT, "since": now, "target_pool_id": None}
     draft.put(msgspec.structs.replace(record, **state))
-    draft.note(Decided.GIVE_UP, rule, vm_id=record.id)
+    draft.record_decision(DecisionKind.GIVE_UP, rule, vm_id=record.id)
 
 
-def finish_wave(draft: Draft, record: VMRecord, outcome: Outcome, now: float) -> None:
+def record_wave_outcome(
+    draft: Draft, record: VMRecord, outcome: Outcome, now: float
+) -> None:
     """Note how the VM's part in its wave ended."""
     if record.cause is None or record.cause.kind is not CauseKind.WAVE:
         return
@@ -100,8 +102,8 @@
             began_at=record.since,
         )
     )
-    draft.note(
-        Decided.VM_ENDED,
+    draft.record_decision(
+        DecisionKind.VM_ENDED,
         outcome.value,
         vm_id=record.id,
         wave_id=WaveId(record.cause.id),
@@ -119,16 +121,16 @@
     draft.put(msgspec.structs.replace(move, state=state, ended_at=ended_at))
 
 
-def is_late_move(record: VMRecord) -> bool:
+def is_move_recorded(record: VMRecord) -> bool:
     """Say whether the VM belongs to its new pool before the platform knows."""
     return record.target_pool_id == record.pool_id
 
 
 __all__ = [
     "drain_again",
-    "finish_wave",
+    "record_wave_outcome",
     "give_up",
-    "is_late_move",
+    "is_move_recorded",
     "join",
     "restore",
     "serve",
--- a/packages/systems/src/medlarspring_systems/wave_control.py
+++ b/packages/systems/src/medlarspring_systems/wave_control.py
@@ -7,9 +7,9 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from medlarspring_systems.draft import Decided
+from medlarspring_systems.draft import DecisionKind
 from medlarspring_systems.maintenance import has_ended
-from medlarspring_systems.wave_width import EVIDENCE_DEPTH, find_evidence
+from medlarspring_systems.wave_limits import OUTCOME_WINDOW, find_recent_outcomes
 from medlarspring_tables import MedlarspringError, WaveId
 from medlarspring_tables.fleet_tables import key_of_wave
 from medlarspring_tables.vms import Outcome, VMState
@@ -25,13 +25,13 @@
 DAY_SECONDS = 86_400.0
 PERIOD_SECONDS = 42 * DAY_SECONDS
 """Every VM is maintained once in this time."""
-LEAD_SECONDS = 7 * DAY_SECONDS
+PERIODIC_WAVE_LEAD_SECONDS = 7 * DAY_SECONDS
 """The standing wave takes a VM this long before its time is up."""
 MAX_FAILURES_IN_A_ROW = 3
 MAX_RECENT_FAILURES = 5
-PROBATION_SECONDS = 600.0
+FIRST_PAUSE_SECONDS = 600.0
 """First wait of a wave paused by evidence; doubles with each pause."""
-MAX_PROBATION_SECONDS = 4 * 3_600.0
+MAX_PAUSE_SECONDS = 4 * 3_600.0
 
 
 class WaveRefused(MedlarspringError):
@@ -129,33 +129,35 @@
 
 def plan_wave_control(draft: Draft, wave: WaveRecord, now: float) -> None:
     """Draft what evidence demands: a pause, a resumption or the end."""
-    changed = _judge_wave(draft.tables, wave, now)
+    changed = _evaluate_wave(draft.tables, wave, now)
     if changed is None:
         return
     draft.put(changed)
-    draft.note(
-        _DECIDED_BY_STATE[changed.state],
+    draft.record_decision(
+        _DECISIONS_BY_STATE[changed.state],
         changed.reason or "evidence",
         wave_id=wave.id,
         pauses=changed.pauses,
     )
 
 
-_DECIDED_BY_STATE = {
-    WaveState.RUNNING: Decided.RESUME,
-    WaveState.PAUSED: Decided.PAUSE,
-    WaveState.DONE: Decided.FINISH,
+_DECISIONS_BY_STATE = {
+    WaveState.RUNNING: DecisionKind.RESUME,
+    WaveState.PAUSED: DecisionKind.PAUSE,
+    WaveState.DONE: DecisionKind.FINISH,
 }
 
 
-def _judge_wave(tables: FleetTables, wave: WaveRecord, now: float) -> WaveRecord | None:
+def _evaluate_wave(
+    tables: FleetTables, wave: WaveRecord, now: float
+) -> WaveRecord | None:
     if wave.state is WaveState.PAUSED:
         if 0.0 < wave.resumes_at <= now:
             return _resume(wave, now, wave.pauses)
         return None
-    reason = find_pause_reason(find_evidence(tables, wave), wave)
+    reason = find_pause_reason(find_recent_outcomes(tables, wave), wave)
     if reason:
-        wait = min(PROBATION_SECONDS * 2**wave.pauses, MAX_PROBATION_SECONDS)
+        wait = min(FIRST_PAUSE_SECONDS * 2**wave.pauses, MAX_PAUSE_SECONDS)
         return msgspec.structs.replace(
             wave,
             state=WaveState.PAUSED,
@@ -169,7 +171,7 @@
     return None
 
 
-def find_pause_reason(evidence: list[FinishedVM], wave: WaveRecord) -> str:
+def find_pause_reason(outcomes: list[FinishedVM], wave: WaveRecord) -> str:
     """Return why the failures of a wave look correlated, or an empty string.
 
     One VM in fifty fails a reboot by itself; then three in a row come about
@@ -177,23 +179,23 @@
     has to show one return before its failures count singly again.
     """
     failed = [
-        finish.vm_id for finish in evidence if finish.outcome is Outcome.NOT_RETURNED
+        finish.vm_id for finish in outcomes if finish.outcome is Outcome.NOT_RETURNED
     ]
-    in_a_row = _count_in_a_row(evidence)
-    is_on_probation = wave.pauses > 0 and in_a_row == len(evidence)
-    if is_on_probation and in_a_row > 0:
+    in_a_row = _count_in_a_row(outcomes)
+    lacks_returned_vm = wave.pauses > 0 and in_a_row == len(outcomes)
+    if lacks_returned_vm and in_a_row > 0:
         return f"the trial VM {failed[-1]} did not return"
     if in_a_row >= MAX_FAILURES_IN_A_ROW:
         names = ", ".join(failed[-in_a_row:])
         return f"{in_a_row} VMs in a row did not return ({names})"
     if len(failed) >= MAX_RECENT_FAILURES:
-        return f"{len(failed)} of the last {EVIDENCE_DEPTH} VMs did not return"
+        return f"{len(failed)} of the last {OUTCOME_WINDOW} VMs did not return"
     return ""
 
 
-def _count_in_a_row(evidence: list[FinishedVM]) -> int:
+def _count_in_a_row(outcomes: list[FinishedVM]) -> int:
     count = 0
-    for finish in reversed(evidence):
+    for finish in reversed(outcomes):
         if finish.outcome is not Outcome.NOT_RETURNED:
             break
         count += 1
@@ -210,12 +212,15 @@
     return True
 
 
-def plan_standing_wave(draft: Draft, now: float) -> None:
+def plan_periodic_wave(draft: Draft, now: float) -> None:
     """Draft the next standing wave once any VM's time is nearly up."""
     tables = draft.tables
-    if any(wave.created_by == STANDING for wave in tables.open_waves_by_id.values()):
+    if any(
+        wave.created_by == PERIODIC_WAVE_CREATOR
+        for wave in tables.open_waves_by_id.values()
+    ):
         return
-    due_before = now - (PERIOD_SECONDS - LEAD_SECONDS)
+    due_before = now - (PERIOD_SECONDS - PERIODIC_WAVE_LEAD_SECONDS)
     due = [
         record.id
         for record in tables.vms_by_id.values()
@@ -228,12 +233,14 @@
         WaveRecord(
             id=wave_id,
             vm_ids=frozenset(due),
-            created_by=STANDING,
+            created_by=PERIODIC_WAVE_CREATOR,
             started_at=now,
             resumed_at=now,
         )
     )
-    draft.note(Decided.START, "once-in-six-weeks", wave_id=wave_id, vms=len(due))
+    draft.record_decision(
+        DecisionKind.START, "once-in-six-weeks", wave_id=wave_id, vms=len(due)
+    )
 
 
 def plan_forget_waves(draft: Draft, now: float) -> None:
@@ -243,17 +250,17 @@
             draft.delete(key_of_wave(wave.id))
 
 
-STANDING = "standing order"
+PERIODIC_WAVE_CREATOR = "standing order"
 
 __all__ = [
-    "STANDING",
+    "PERIODIC_WAVE_CREATOR",
     "WaveRefused",
     "abort_wave",
     "create_wave",
     "find_pause_reason",
     "pause_wave",
     "plan_forget_waves",
-    "plan_standing_wave",
+    "plan_periodic_wave",
     "plan_wave_control",
     "resume_wave",
 ]
--- a/packages/systems/src/medlarspring_systems/wave_width.py
+++ b/packages/systems/src/medlarspring_systems/wave_limits.py
@@ -16,11 +16,11 @@
     from medlarspring_tables.vms import VMRecord
     from medlarspring_tables.waves import WaveRecord
 
-EVIDENCE_DEPTH = 20
+OUTCOME_WINDOW = 20
 """Ends of VMs that a wave is judged by."""
 
 
-class WidthRule(Protocol):
+class WaveLimit(Protocol):
     """Limits a wave beyond the budgets of pools and zones."""
 
     def allows(
@@ -30,7 +30,7 @@
         ...
 
 
-class BudgetWidth:
+class BudgetOnlyLimit:
     """As wide as the budgets alone allow."""
 
     def allows(
@@ -40,7 +40,7 @@
         return True
 
 
-class CanaryWidth:
+class CanaryLimit:
     """One VM a zone until one has returned, then as wide as the budgets allow.
 
     A reboot that no VM survives costs one VM a zone, not all that the budgets
@@ -51,14 +51,14 @@
         self, draft: Draft, wave: WaveRecord, vm: VMRecord, pool: PoolRow
     ) -> bool:
         """Allow every VM after a proof, else the first of its zone."""
-        if has_proof(draft.tables, wave):
+        if has_returned_vm(draft.tables, wave):
             return True
         cause = Cause(CauseKind.WAVE, wave.id)
         out = draft.zone_disruptions(vm.zone_id).causes_by_vm.values()
         return cause not in out
 
 
-class RackReserveWidth:
+class RackReserveLimit:
     """As the inner rule, but a pool stays able to lose any one rack.
 
     Drained to its budget, a pool falls under it with the next rack that is
@@ -66,7 +66,7 @@
     lose a rack even at its wanted size is drained to its budget all the same.
     """
 
-    def __init__(self, inner: WidthRule) -> None:
+    def __init__(self, inner: WaveLimit) -> None:
         self._inner = inner
 
     def allows(
@@ -87,8 +87,8 @@
         if record.state is VMState.OUT:
             continue
         members_by_rack[record.rack_id] += 1
-        sighting = draft.tables.sightings_by_id.get(vm_id)
-        is_available = judge_vm(record, sighting) is Health.AVAILABLE
+        observation = draft.tables.observations_by_id.get(vm_id)
+        is_available = judge_vm(record, observation) is Health.AVAILABLE
         available_by_rack[record.rack_id] += is_available and vm_id != vm.id
     left = sum(available_by_rack.values()) - max(available_by_rack.values(), default=0)
     if left >= pool.min_available:
@@ -97,7 +97,7 @@
     return pool.wanted_vms - 1 - largest < pool.min_available
 
 
-def has_proof(tables: FleetTables, wave: WaveRecord) -> bool:
+def has_returned_vm(tables: FleetTables, wave: WaveRecord) -> bool:
     """Say whether a VM has returned since the wave was last resumed."""
     for finish in reversed(tables.finished_by_wave.get(wave.id, [])):
         if finish.began_at < wave.resumed_at:
@@ -107,7 +107,7 @@
     return False
 
 
-def find_evidence(tables: FleetTables, wave: WaveRecord) -> list[FinishedVM]:
+def find_recent_outcomes(tables: FleetTables, wave: WaveRecord) -> list[FinishedVM]:
     """Return the last failure and the ends before it, in order of beginning.
 
     What began after it is left out: of those only the successes are known yet.
@@ -120,18 +120,18 @@
     end = bisect_right(finished, failed[-1])
     return [
         finish
-        for finish in finished[max(0, end - EVIDENCE_DEPTH) : end]
+        for finish in finished[max(0, end - OUTCOME_WINDOW) : end]
         if finish.began_at >= wave.resumed_at
     ]
 
 
 __all__ = [
-    "EVIDENCE_DEPTH",
-    "BudgetWidth",
-    "CanaryWidth",
-    "RackReserveWidth",
-    "WidthRule",
-    "find_evidence",
-    "has_proof",
+    "OUTCOME_WINDOW",
+    "BudgetOnlyLimit",
+    "CanaryLimit",
+    "RackReserveLimit",
+    "WaveLimit",
+    "find_recent_outcomes",
+    "has_returned_vm",
     "keeps_rack_reserve",
 ]
--- a/packages/systems/src/medlarspring_systems/wave_progress.py
+++ b/packages/systems/src/medlarspring_systems/wave_progress.py
@@ -12,8 +12,8 @@
 from medlarspring_systems.availability import Health, judge_vm
 from medlarspring_systems.disruptions import disrupt_vm
 from medlarspring_systems.draft import Draft
-from medlarspring_systems.maintenance import find_wanted, has_ended
-from medlarspring_systems.wave_width import CanaryWidth, keeps_rack_reserve
+from medlarspring_systems.maintenance import find_pending_vms, has_ended
+from medlarspring_systems.wave_limits import CanaryLimit, keeps_rack_reserve
 from medlarspring_tables.vms import Cause, CauseKind, Outcome, VMCondition, VMState
 from medlarspring_tables.waves import WaveState
 
@@ -51,8 +51,8 @@
         return Step.REBOOTING
     if record.state is not VMState.DRAINING:
         return Step.WANTED
-    sighting = tables.sightings_by_id.get(vm_id)
-    if sighting is not None and sighting.condition is not VMCondition.SERVING:
+    observation = tables.observations_by_id.get(vm_id)
+    if observation is not None and observation.condition is not VMCondition.SERVING:
         return Step.DRAINING
     return Step.LISTED
 
@@ -102,17 +102,17 @@
         for vm_id, step in steps_by_vm.items()
         if step in (Step.NOT_RETURNED, Step.DRAIN_TIMED_OUT)
     ]
-    progress.expected_end = _expect_end(progress, wave, now)
+    progress.expected_end = _estimate_end(progress, wave, now)
     for pool_id, pool in pools_by_id.items():
-        wanted = find_wanted(draft, wave, pool_id)
-        if wanted and wave.is_open:
-            block = _find_block(draft, wave, wanted, pool, fleet, now)
+        pending_vms = find_pending_vms(draft, wave, pool_id)
+        if pending_vms and wave.is_open:
+            block = _find_block(draft, wave, pending_vms, pool, fleet, now)
             if block:
                 progress.blocks_by_pool[pool_id] = block
     return progress
 
 
-def _expect_end(progress: Progress, wave: WaveRecord, now: float) -> float | None:
+def _estimate_end(progress: Progress, wave: WaveRecord, now: float) -> float | None:
     if not wave.is_open:
         return wave.ended_at
     if wave.state is WaveState.PAUSED or progress.left == 0:
@@ -126,7 +126,7 @@
 def _find_block(
     draft: Draft,
     wave: WaveRecord,
-    wanted: list[VMRecord],
+    pending_vms: list[VMRecord],
     pool: PoolRow,
     fleet: FleetRow,
     now: float,
@@ -135,20 +135,20 @@
         return f"the wave is paused: {wave.reason}"
     cause = Cause(CauseKind.WAVE, wave.id)
     reason = ""
-    for record in wanted:
-        sighting = draft.tables.sightings_by_id.get(record.id)
-        health = judge_vm(record, sighting)
+    for record in pending_vms:
+        observation = draft.tables.observations_by_id.get(record.id)
+        health = judge_vm(record, observation)
         if health is not Health.AVAILABLE:
             reason = f"VM {record.id} is {health.value}"
             continue
-        if not CanaryWidth().allows(draft, wave, record, pool):
+        if not CanaryLimit().allows(draft, wave, record, pool):
             reason = f"zone {record.zone_id} waits for its first VM to return"
             continue
         if not keeps_rack_reserve(draft, record, pool):
             reason = f"pool {pool.id} keeps VMs for the loss of a rack"
             continue
-        trial = Draft(draft.tables)
-        refused = disrupt_vm(trial, record.id, cause, pool, fleet, now)
+        scratch = Draft(draft.tables)
+        refused = disrupt_vm(scratch, record.id, cause, pool, fleet, now)
         if is_successful(refused):
             return ""
         reason = refused.failure().reason
--- a/packages/systems/tests/conftest.py
+++ b/packages/systems/tests/conftest.py
@@ -19,7 +19,7 @@
     ZoneId,
 )
 from medlarspring_tables.fleet_tables import FleetTables, key_of
-from medlarspring_tables.vms import VMCondition, VMRecord, VMSighting, VMState
+from medlarspring_tables.vms import VMCondition, VMObservation, VMRecord, VMState
 from medlarspring_tables.waves import WaveRecord
 
 VMS_IN_RACK = 4
@@ -34,7 +34,7 @@
     revision: int = 100
     now: float = 10_000.0
 
-    def take(self, draft: Draft) -> Draft:
+    def commit(self, draft: Draft) -> Draft:
         """Write a draft as the store would."""
         self.revision += 1
         for key, record in draft.records_by_key.items():
@@ -48,8 +48,8 @@
         """Plan one pool and all waves, and write the result."""
         self.now += seconds
         pool_id = PoolId(pool)
-        self.take(plan_waves(self.tables, self.config, pool_id, self.now))
-        return self.take(plan_pool(self.tables, self.config, pool_id, None, self.now))
+        self.commit(plan_waves(self.tables, self.config, pool_id, self.now))
+        return self.commit(plan_pool(self.tables, self.config, pool_id, None, self.now))
 
     def add_pool(self, pool: str, vms: int, wanted: int, min_available: int) -> None:
         row = PoolRow(id=PoolId(pool), wanted_vms=wanted, min_available=min_available)
@@ -68,22 +68,22 @@
             maintained_at=self.now,
         )
         self.put(record)
-        sighting = VMSighting(vm_id, pool_id, VMCondition.SERVING, 1, Revision(0))
-        self.tables.sightings_by_id[vm_id] = sighting
+        observation = VMObservation(vm_id, pool_id, VMCondition.SERVING, 1, Revision(0))
+        self.tables.observations_by_id[vm_id] = observation
 
     def put(self, *records: VMRecord | WaveRecord) -> None:
         draft = Draft(self.tables)
         for record in records:
             draft.put(record)
-        self.take(draft)
+        self.commit(draft)
 
-    def see(self, vm: str, condition: VMCondition, **changes: object) -> None:
+    def observe(self, vm: str, condition: VMCondition, **changes: object) -> None:
         """Let the platform show a VM, after it accepted the record's action."""
         vm_id = VMId(vm)
         revision = self.tables.revision_of(key_of(self.tables.vms_by_id[vm_id]))
-        seen = self.tables.sightings_by_id[vm_id]
+        seen = self.tables.observations_by_id[vm_id]
         changed = replace(seen, condition=condition, revision=revision, **changes)  # type: ignore[arg-type]
-        self.tables.sightings_by_id[vm_id] = changed
+        self.tables.observations_by_id[vm_id] = changed
 
     def start_wave(self, wave: str = "w") -> WaveRecord:
         record = WaveRecord(
@@ -110,13 +110,13 @@
 
     def reboot(self, vm: str, pool: str = "a", returns: bool = True) -> None:
         """Carry one VM from its drain to its return, or to its loss."""
-        self.see(vm, VMCondition.DRAINED)
+        self.observe(vm, VMCondition.DRAINED)
         self.tick(pool)
         if returns:
-            self.see(vm, VMCondition.SERVING, boot=self.vm(vm).boot + 1)
+            self.observe(vm, VMCondition.SERVING, boot=self.vm(vm).boot + 1)
             self.tick(pool)
         else:
-            self.see(vm, VMCondition.DOWN)
+            self.observe(vm, VMCondition.DOWN)
 
 
 @pytest.fixture
--- a/packages/systems/tests/test_disruptions.py
+++ b/packages/systems/tests/test_disruptions.py
@@ -38,14 +38,14 @@
         (None, 1),
     ],
 )
-def test_vms_failed_or_unseen_on_their_own_use_up_the_budget(fleet, condition, allowed):
+def test_failed_or_unseen_vms_count_against_the_budget(fleet, condition, allowed):
     if condition is None:
-        del fleet.tables.sightings_by_id[VMId("a7")]
+        del fleet.tables.observations_by_id[VMId("a7")]
     else:
-        fleet.see("a7", condition)
+        fleet.observe("a7", condition)
     draft = Draft(fleet.tables)
-    taken = [is_successful(disrupt(fleet, draft, f"a{n}")) for n in range(4)]
-    assert taken == [True] * allowed + [False] * (4 - allowed)
+    results = [is_successful(disrupt(fleet, draft, f"a{n}")) for n in range(4)]
+    assert results == [True] * allowed + [False] * (4 - allowed)
     listed = draft.pool_disruptions(PoolId("a")).causes_by_vm
     assert len(listed) == allowed
 
@@ -70,19 +70,19 @@
     assert is_successful(disrupt(fleet, draft, "a4"))
 
 
-def test_vm_goes_through_each_step_only_on_evidence(fleet):
+def test_vm_takes_each_step_only_after_an_observation(fleet):
     fleet.start_wave()
     fleet.tick()
     assert fleet.states(VMState.DRAINING) == ["a0", "a4"]
     assert choose_action(fleet.tables, fleet.vm("a0")) is Action.DRAIN
-    fleet.see("a0", VMCondition.DRAINING)
+    fleet.observe("a0", VMCondition.DRAINING)
     fleet.tick()
     assert fleet.vm("a0").state is VMState.DRAINING
-    fleet.see("a0", VMCondition.DRAINED)
+    fleet.observe("a0", VMCondition.DRAINED)
     fleet.tick()
     assert fleet.vm("a0").state is VMState.REBOOTING
     assert choose_action(fleet.tables, fleet.vm("a0")) is Action.REBOOT
-    fleet.see("a0", VMCondition.SERVING, boot=2)
+    fleet.observe("a0", VMCondition.SERVING, boot=2)
     fleet.tick()
     assert fleet.vm("a0").outcome is Outcome.BACK
     assert fleet.vm("a0").wave_id == WaveId("w")
@@ -90,7 +90,7 @@
     assert VMId("a0") not in listed
 
 
-def test_drains_are_put_back_when_failures_take_the_pool_under_its_budget(fleet):
+def test_drains_are_cancelled_when_failures_take_the_pool_below_its_budget(fleet):
     """
     Two VMs are being drained when two others fail on their own. The pool is
     then under its budget by failures, and the drains are taken back at once:
@@ -99,20 +99,20 @@
     fleet.start_wave()
     fleet.tick()
     for vm in ("a6", "a7"):
-        fleet.see(vm, VMCondition.DOWN)
+        fleet.observe(vm, VMCondition.DOWN)
     fleet.tick()
     assert fleet.states(VMState.RESTORING) == ["a0", "a4"]
     assert choose_action(fleet.tables, fleet.vm("a0")) is Action.RESTORE
     for vm in ("a0", "a4"):
-        fleet.see(vm, VMCondition.SERVING)
+        fleet.observe(vm, VMCondition.SERVING)
     fleet.tick()
     assert fleet.states(VMState.SERVING) == [f"a{n}" for n in range(8)]
 
 
-def test_late_drain_and_lost_reboot_end_with_a_report(fleet):
+def test_drain_timeout_and_failed_reboot_are_recorded(fleet):
     fleet.start_wave()
     fleet.tick()
-    fleet.see("a0", VMCondition.DRAINING)
+    fleet.observe("a0", VMCondition.DRAINING)
     fleet.reboot("a4", returns=False)
     fleet.tick(seconds=DRAIN_LIMIT_SECONDS + 1)
     assert fleet.vm("a0").state is VMState.RESTORING
@@ -120,14 +120,14 @@
     fleet.tick(seconds=RETURN_LIMIT_SECONDS)
     assert fleet.vm("a4").state is VMState.OUT
     assert fleet.vm("a4").outcome is Outcome.NOT_RETURNED
-    fleet.see("a4", VMCondition.SERVING, boot=2)
+    fleet.observe("a4", VMCondition.SERVING, boot=2)
     fleet.tick()
-    fleet.see("a4", VMCondition.SERVING)
+    fleet.observe("a4", VMCondition.SERVING)
     fleet.tick()
     assert fleet.vm("a4").state is VMState.SERVING
 
 
-def test_vm_put_back_by_a_cut_off_holder_is_drained_again_before_its_reboot(fleet):
+def test_vm_restored_by_a_partitioned_holder_is_drained_again_before_its_reboot(fleet):
     """
     The holder saw the VM drained and wrote the intent to reboot it. Meanwhile a
     former holder, cut off from the store, had put the VM back, and requests run
@@ -136,17 +136,17 @@
     """
     fleet.start_wave()
     fleet.tick()
-    fleet.see("a0", VMCondition.DRAINED)
+    fleet.observe("a0", VMCondition.DRAINED)
     fleet.tick()
     assert fleet.vm("a0").state is VMState.REBOOTING
-    fleet.tables.sightings_by_id[VMId("a0")].condition = VMCondition.SERVING
+    fleet.tables.observations_by_id[VMId("a0")].condition = VMCondition.SERVING
     fleet.tick()
     assert fleet.vm("a0").state is VMState.DRAINING
     assert choose_action(fleet.tables, fleet.vm("a0")) is Action.DRAIN
 
 
 @pytest.mark.parametrize("state", [VMState.DRAINING, VMState.REBOOTING, VMState.OUT])
-def test_vm_that_came_back_by_itself_is_closed_to_late_actions_first(fleet, state):
+def test_vm_that_rebooted_by_itself_is_restored_before_it_counts(fleet, state):
     """
     A VM fails in the middle of its maintenance and boots by itself. A drain or
     reboot sent by a frozen holder may still arrive; were the VM counted at
@@ -156,21 +156,21 @@
     fleet.start_wave()
     fleet.tick()
     if state is not VMState.DRAINING:
-        fleet.see("a0", VMCondition.DRAINED)
+        fleet.observe("a0", VMCondition.DRAINED)
         fleet.tick()
     if state is VMState.OUT:
-        fleet.tables.sightings_by_id[VMId("a0")].condition = VMCondition.DOWN
+        fleet.tables.observations_by_id[VMId("a0")].condition = VMCondition.DOWN
         fleet.tick(seconds=RETURN_LIMIT_SECONDS + 1)
     assert fleet.vm("a0").state is state
-    seen = fleet.tables.sightings_by_id[VMId("a0")]
+    observation = fleet.tables.observations_by_id[VMId("a0")]
     if state is VMState.DRAINING:
-        fleet.see("a0", VMCondition.DRAINING)
-    seen = fleet.tables.sightings_by_id[VMId("a0")]
-    seen.condition, seen.boot = VMCondition.SERVING, 2
+        fleet.observe("a0", VMCondition.DRAINING)
+    observation = fleet.tables.observations_by_id[VMId("a0")]
+    observation.condition, observation.boot = VMCondition.SERVING, 2
     fleet.tick()
     assert fleet.vm("a0").state is VMState.RESTORING
     assert choose_action(fleet.tables, fleet.vm("a0")) is Action.RESTORE
     fleet.put(pause_wave(fleet.wave(), "enough", fleet.now).unwrap())
-    fleet.see("a0", VMCondition.SERVING)
+    fleet.observe("a0", VMCondition.SERVING)
     fleet.tick()
     assert fleet.vm("a0").state is VMState.SERVING
--- a/packages/systems/tests/test_holders.py
+++ b/packages/systems/tests/test_holders.py
@@ -3,17 +3,17 @@
 from collections import Counter
 
 from medlarspring_systems.holders import (
-    HAND_OVER_SECONDS,
+    HANDOVER_DELAY_SECONDS,
     LEASE_MARGIN_SECONDS,
     LEASE_SECONDS,
     STORE_FAILING_SECONDS,
     HeldPool,
     Holdings,
-    find_fence,
-    list_held,
-    note_lapsed,
-    note_lease,
+    find_fencing_revision,
+    list_held_pools,
     plan_holders,
+    record_lapse,
+    record_lease,
 )
 from medlarspring_tables import EntryVMId, Member, PoolId, Revision, ZoneId
 
@@ -39,14 +39,14 @@
     assert max(Counter(preferred.values()).values()) <= 9
 
 
-def test_only_the_pools_of_the_one_that_goes_move():
+def test_leaving_member_moves_only_its_own_pools():
     before = find_preferred(IDS)
     after = find_preferred(IDS[1:])
     moved = {pool for pool in POOLS if before[pool] != after[pool]}
     assert moved == {pool for pool in POOLS if before[pool] == IDS[0]}
 
 
-def test_member_without_the_store_is_passed_over():
+def test_member_that_cannot_reach_the_store_is_not_preferred():
     own = IDS[0]
     others = create_members(IDS[:2], own)
     alone = plan_holders(Holdings(own), POOLS, [], 0.0)
@@ -56,7 +56,7 @@
     assert plan_holders(Holdings(own), POOLS, others, 0.0) == alone
 
 
-def test_pool_is_handed_over_only_after_a_steady_while():
+def test_pool_is_handed_over_only_after_the_handover_delay():
     own = IDS[0]
     others = create_members(IDS, own)
     pool = plan_holders(Holdings(IDS[1]), POOLS, create_members(IDS, IDS[1]), 0.0)
@@ -65,13 +65,13 @@
     holdings.pools_by_id[pool_id] = HeldPool(pool_id, Revision(5))
     assert plan_holders(holdings, POOLS, others, 0.0).release == ()
     assert plan_holders(holdings, POOLS, [], 5.0).release == ()
-    assert plan_holders(holdings, POOLS, others, HAND_OVER_SECONDS).release == ()
-    late = 2 * HAND_OVER_SECONDS
+    assert plan_holders(holdings, POOLS, others, HANDOVER_DELAY_SECONDS).release == ()
+    late = 2 * HANDOVER_DELAY_SECONDS
     assert plan_holders(holdings, POOLS, others, late).release == (pool_id,)
     assert plan_holders(holdings, [], [], late).release == (pool_id,)
 
 
-def test_holder_stops_by_its_own_clock_before_the_store_lets_another_in():
+def test_holder_stops_before_its_lease_expires_in_the_store():
     """
     The holder is paused, or the store stops answering. Its lease lapses in the
     store LEASE_SECONDS after the last renewal arrived; it was sent before, and
@@ -79,21 +79,21 @@
     """
     pool_id = POOLS[0]
     holdings = Holdings(IDS[0])
-    note_lease(holdings, 77, sent_at=10.0, ttl=LEASE_SECONDS)
+    record_lease(holdings, 77, sent_at=10.0, ttl=LEASE_SECONDS)
     holdings.pools_by_id[pool_id] = HeldPool(pool_id, Revision(5))
     safe_until = 10.0 + LEASE_SECONDS - LEASE_MARGIN_SECONDS
-    assert find_fence(holdings, pool_id, safe_until - 0.1) == 5
-    assert find_fence(holdings, pool_id, safe_until) is None
-    assert list_held(holdings, safe_until) == frozenset()
-    note_lease(holdings, 77, sent_at=16.0, ttl=LEASE_SECONDS)
-    assert list_held(holdings, 17.0) == {pool_id}
-    note_lapsed(holdings)
-    assert find_fence(holdings, pool_id, 17.0) is None
+    assert find_fencing_revision(holdings, pool_id, safe_until - 0.1) == 5
+    assert find_fencing_revision(holdings, pool_id, safe_until) is None
+    assert list_held_pools(holdings, safe_until) == frozenset()
+    record_lease(holdings, 77, sent_at=16.0, ttl=LEASE_SECONDS)
+    assert list_held_pools(holdings, 17.0) == {pool_id}
+    record_lapse(holdings)
+    assert find_fencing_revision(holdings, pool_id, 17.0) is None
 
 
 def test_new_lease_starts_without_pools():
     holdings = Holdings(IDS[0])
-    note_lease(holdings, 1, 0.0, LEASE_SECONDS)
+    record_lease(holdings, 1, 0.0, LEASE_SECONDS)
     holdings.pools_by_id[POOLS[0]] = HeldPool(POOLS[0], Revision(5))
-    note_lease(holdings, 2, 1.0, LEASE_SECONDS)
-    assert list_held(holdings, 1.0) == frozenset()
+    record_lease(holdings, 2, 1.0, LEASE_SECONDS)
+    assert list_held_pools(holdings, 1.0) == frozenset()
--- a/packages/systems/tests/test_maintenance.py
+++ b/packages/systems/tests/test_maintenance.py
@@ -7,15 +7,15 @@
 from medlarspring_systems.maintenance import plan_wave_drains
 from medlarspring_systems.vm_progress import RETURN_LIMIT_SECONDS
 from medlarspring_systems.wave_control import (
+    FIRST_PAUSE_SECONDS,
     PERIOD_SECONDS,
-    PROBATION_SECONDS,
     abort_wave,
     create_wave,
     pause_wave,
     resume_wave,
 )
+from medlarspring_systems.wave_limits import BudgetOnlyLimit, RackReserveLimit
 from medlarspring_systems.wave_progress import Step, measure_progress
-from medlarspring_systems.wave_width import BudgetWidth, RackReserveWidth
 from medlarspring_tables import FleetRow, PoolId, VMId, WaveId
 from medlarspring_tables.vms import Outcome, VMCondition, VMState
 from medlarspring_tables.waves import WaveState
@@ -31,7 +31,7 @@
     )
 
 
-def test_first_vm_of_each_zone_has_to_return_before_the_wave_widens(fleet):
+def test_canary_of_each_zone_has_to_return_before_more_vms_drain(fleet):
     fleet.add_pool("b", vms=8, wanted=8, min_available=4)
     fleet.start_wave()
     fleet.tick("b")
@@ -57,7 +57,7 @@
     assert progress(fleet).counts_by_step == {Step.BACK: 8}
 
 
-def test_failures_in_a_row_pause_the_wave_and_a_failed_trial_doubles_the_wait(fleet):
+def test_failures_in_a_row_pause_the_wave_and_a_failed_canary_doubles_the_pause(fleet):
     """
     A bad image: no VM survives its reboot. Operators see the wave pause with
     the names before the pool is under its budget; after the probation one VM
@@ -79,8 +79,8 @@
     assert "in a row did not return" in wave.reason
     lost = len(fleet.states(VMState.OUT))
     for vm in fleet.states(VMState.RESTORING):
-        fleet.see(vm, VMCondition.SERVING)
-    fleet.tick("b", PROBATION_SECONDS + 1)
+        fleet.observe(vm, VMCondition.SERVING)
+    fleet.tick("b", FIRST_PAUSE_SECONDS + 1)
     fleet.tick("b")
     assert fleet.wave().state is WaveState.RUNNING
     assert len(fleet.states(VMState.DRAINING)) <= 2
@@ -126,13 +126,13 @@
     assert (fleet.wave().state is WaveState.PAUSED) == is_paused
 
 
-def test_lost_rack_is_not_blamed_on_the_wave(fleet):
+def test_lost_rack_does_not_pause_the_wave(fleet):
     fleet.add_pool("b", vms=8, wanted=8, min_available=4)
     fleet.start_wave()
     fleet.tick("b")
     fleet.reboot("b0", "b", returns=False)
     for vm in ("b1", "b2", "b3"):
-        fleet.see(vm, VMCondition.DOWN)
+        fleet.observe(vm, VMCondition.DOWN)
     fleet.tick("b", RETURN_LIMIT_SECONDS + 1)
     fleet.tick("b", RETURN_LIMIT_SECONDS + 1)
     assert fleet.wave().state is WaveState.RUNNING
@@ -147,8 +147,8 @@
     assert fleet.states(VMState.RESTORING) == ["a0", "a4"]
     assert progress(fleet).blocks_by_pool[PoolId("a")].endswith("storm")
     for vm in ("a0", "a4"):
-        fleet.see(vm, VMCondition.SERVING)
-    fleet.tick(seconds=10 * PROBATION_SECONDS)
+        fleet.observe(vm, VMCondition.SERVING)
+    fleet.tick(seconds=10 * FIRST_PAUSE_SECONDS)
     assert fleet.states(VMState.DRAINING) == []
     fleet.put(resume_wave(fleet.wave(), fleet.now).unwrap())
     fleet.tick()
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize(("min_available", "drained"), [(6, 2), (4, 4), (3, 2), (2, 4)])
-def test_pool_that_can_lose_a_rack_stays_able_to(fleet, min_available, drained):
+def test_wave_leaves_a_pool_able_to_lose_a_rack(fleet, min_available, drained):
     """
     Eight VMs stand in two racks of four. With a budget of 3 the pool can lose
     a rack and have one VM out of each; with 4 or 6 it never could, and the
@@ -168,13 +168,13 @@
     draft = Draft(fleet.tables)
     wave = fleet.start_wave()
     pool = fleet.config.pools_by_id[PoolId("b")]
-    width = RackReserveWidth(BudgetWidth())
-    plan_wave_drains(draft, pool, fleet.config.fleet, width, fleet.now)
+    wave_limit = RackReserveLimit(BudgetOnlyLimit())
+    plan_wave_drains(draft, pool, fleet.config.fleet, wave_limit, fleet.now)
     states = [draft.vm(vm_id).state for vm_id in wave.vm_ids]
     assert states.count(VMState.DRAINING) == drained
 
 
-def test_standing_wave_takes_the_vms_whose_time_is_nearly_up(fleet):
+def test_periodic_wave_includes_the_vms_that_are_nearly_due(fleet):
     fleet.tick(seconds=PERIOD_SECONDS / 2)
     assert not fleet.tables.waves_by_id
     fleet.tick(seconds=PERIOD_SECONDS / 2 - 86_400)
@@ -183,7 +183,7 @@
     assert len(wave.vm_ids) == 8
 
 
-def test_ended_wave_is_forgotten_after_a_whole_period(fleet):
+def test_ended_wave_is_deleted_after_a_full_period(fleet):
     fleet.start_wave()
     fleet.put(abort_wave(fleet.wave(), "wrong image", fleet.now).unwrap())
     fleet.tick(seconds=PERIOD_SECONDS - 1)
--- a/packages/systems/tests/test_moves.py
+++ b/packages/systems/tests/test_moves.py
@@ -10,7 +10,7 @@
 from medlarspring_tables.vms import VMCondition, VMState
 
 
-def want(fleet, pool, wanted):
+def set_wanted_vms(fleet, pool, wanted):
     row = msgspec.structs.replace(
         fleet.config.pools_by_id[PoolId(pool)], wanted_vms=wanted
     )
@@ -29,9 +29,9 @@
     return fleet
 
 
-def test_need_moves_exactly_what_lacks_and_only_after_a_while(two_pools):
+def test_short_pool_gets_exactly_the_missing_vms_after_a_delay(two_pools):
     fleet = two_pools
-    want(fleet, "a", 10)
+    set_wanted_vms(fleet, "a", 10)
     fleet.tick("a")
     assert move_states(fleet) == []
     fleet.tick("a", NEED_HOLD_SECONDS)
@@ -39,64 +39,64 @@
     fleet.tick("b")
     assert move_states(fleet) == [MoveState.DRAINING] * 2
     for vm in fleet.states(VMState.DRAINING):
-        fleet.see(vm, VMCondition.DRAINED)
+        fleet.observe(vm, VMCondition.DRAINED)
     fleet.tick("b", MOVE_SETTLE_SECONDS)
     moved = fleet.states(VMState.JOINING)
     assert [fleet.vm(vm).pool_id for vm in moved] == ["a", "a"]
     for vm in moved:
-        fleet.see(vm, VMCondition.SERVING, pool_id=PoolId("a"))
+        fleet.observe(vm, VMCondition.SERVING, pool_id=PoolId("a"))
     fleet.tick("a")
     assert move_states(fleet) == [MoveState.DONE] * 2
     fleet.tick("a", KEEP_ENDED_SECONDS + 1)
     assert move_states(fleet) == []
 
 
-def test_drained_vm_stays_drained_until_nobody_sends_it_work_of_the_old_pool(two_pools):
+def test_drained_vm_is_moved_only_after_the_settle_time(two_pools):
     """
     An idle VM is drained within a tick of the order. Entry VMs that have not
     heard of it still hold slots of its old pool; moved at once, it would run
     their requests as a VM of the new pool.
     """
     fleet = two_pools
-    fleet.put(*wish(1))
+    fleet.put(*request_moves(1))
     fleet.tick("b")
     (vm,) = fleet.states(VMState.DRAINING)
-    fleet.see(vm, VMCondition.DRAINED)
+    fleet.observe(vm, VMCondition.DRAINED)
     fleet.tick("b", MOVE_SETTLE_SECONDS - 0.1)
     assert fleet.states(VMState.DRAINING) == [vm]
     fleet.tick("b", 0.1)
     assert fleet.states(VMState.JOINING) == [vm]
 
 
-def test_need_that_passes_is_withdrawn(two_pools):
+def test_moves_are_cancelled_when_the_pool_is_no_longer_short(two_pools):
     fleet = two_pools
-    want(fleet, "a", 10)
+    set_wanted_vms(fleet, "a", 10)
     fleet.tick("a")
     fleet.tick("a", NEED_HOLD_SECONDS)
-    want(fleet, "a", 8)
+    set_wanted_vms(fleet, "a", 8)
     fleet.tick("a")
     fleet.tick("b")
     assert move_states(fleet) == [MoveState.REFUSED] * 2
     assert fleet.states(VMState.DRAINING) == []
 
 
-def test_giving_pool_keeps_its_budget(two_pools):
+def test_source_pool_keeps_its_budget(two_pools):
     """
     An operator wishes two VMs away from a pool whose others have failed. The
     pool stands at its budget, so the moves wait; the VMs go on serving.
     """
     fleet = two_pools
     for number in range(4):
-        fleet.see(f"b{number}", VMCondition.DOWN)
-    fleet.put(*wish(2))
+        fleet.observe(f"b{number}", VMCondition.DOWN)
+    fleet.put(*request_moves(2))
     fleet.tick("b")
     assert move_states(fleet) == [MoveState.WANTED] * 2
-    fleet.see("b0", VMCondition.SERVING)
+    fleet.observe("b0", VMCondition.SERVING)
     fleet.tick("b")
     assert sorted(state.value for state in move_states(fleet)) == ["draining", "wanted"]
 
 
-def wish(count):
+def request_moves(count):
     return [
         MoveRecord(
             id=MoveId(f"m{number}"), from_pool_id=PoolId("b"), to_pool_id=PoolId("a")
@@ -105,23 +105,23 @@
     ]
 
 
-def test_operator_cannot_take_a_pool_under_its_budget_for_good(two_pools):
+def test_moves_that_would_shrink_a_pool_below_its_budget_are_refused(two_pools):
     fleet = two_pools
-    fleet.put(*wish(5))
+    fleet.put(*request_moves(5))
     fleet.tick("b")
     refused = [m for m in fleet.tables.moves_by_id.values() if not m.is_open]
     assert len(refused) >= 1
     assert "min_available" in refused[0].reason
 
 
-def test_move_taken_back_is_tried_again(two_pools):
+def test_cancelled_drain_of_a_move_is_retried(two_pools):
     fleet = two_pools
-    fleet.put(*wish(1))
+    fleet.put(*request_moves(1))
     fleet.tick("b")
     (vm,) = fleet.states(VMState.DRAINING)
     for _ in range(2):
-        fleet.see(vm, VMCondition.SERVING)
+        fleet.observe(vm, VMCondition.SERVING)
         fleet.tick("b")
     assert fleet.vm(vm).pool_id == "b"
     assert move_states(fleet) == [MoveState.DRAINING]
-    assert fleet.tables.sightings_by_id[VMId(vm)].revision < Revision(fleet.revision)
+    assert fleet.tables.observations_by_id[VMId(vm)].revision < Revision(fleet.revision)
--- a/packages/systems/tests/test_placement.py
+++ b/packages/systems/tests/test_placement.py
@@ -14,7 +14,7 @@
     cancel_job,
     confirm_running,
     end_attempt,
-    list_stranded,
+    plan_drain_stops,
 )
 from medlarspring_systems.job_records import put_job, put_partner, put_worker
 from medlarspring_systems.placement import explain_waiting, place_jobs
@@ -129,7 +129,7 @@
     assert explain_waiting(tables, waiting, 0.0) is Blocked.QUOTA
 
 
-def test_work_that_cannot_yield_stays_out_of_the_spare():
+def test_work_that_is_not_preemptible_stays_out_of_the_spare():
     tables = make_tables(workers=4)
     tables.spare_percent = 25.0
     for number in range(16):
@@ -140,7 +140,7 @@
     assert len(run_until_confirmed(tables)) == 4
 
 
-def test_urgent_job_on_a_full_pool_gets_room_by_one_checkpoint():
+def test_urgent_job_on_a_full_pool_preempts_one_attempt():
     """
     The pool is full of checkpointable work when an urgent job comes.
     One attempt is stopped, the worker is held for the urgent job, and a job of
@@ -163,7 +163,7 @@
     assert tables.jobs_by_id[stop.job.id].state is JobState.WAITING
 
 
-def test_bulk_job_is_not_overtaken_for_ever():
+def test_bulk_job_starts_although_newer_jobs_keep_coming():
     """
     Newer normal jobs arrive faster than one worker runs them.
     Without a bound on overtaking the reconciliation would wait for ever; with
@@ -225,7 +225,7 @@
     assert all(job.state is JobState.DONE for job in tables.jobs_by_id.values())
 
 
-def test_job_that_fails_everywhere_is_failed_and_workers_are_not_blamed():
+def test_job_that_fails_everywhere_is_failed_without_quarantining_workers():
     """
     One job crashes on every worker. After three workers it is given up with
     the reason, and the evidence against those workers is withdrawn.
@@ -235,11 +235,11 @@
     job = fail_everywhere(tables, "poison")
     assert job.state is JobState.FAILED
     assert "3 different workers" in job.reason
-    assert not any(worker.blamed_by for worker in tables.workers_by_id.values())
-    assert not any(worker.quarantines for worker in tables.workers_by_id.values())
+    assert not any(worker.failed_job_ids for worker in tables.workers_by_id.values())
+    assert not any(worker.quarantine_count for worker in tables.workers_by_id.values())
 
 
-def test_late_word_about_an_earlier_attempt_changes_nothing():
+def test_late_report_of_an_earlier_attempt_is_ignored():
     """
     An attempt is lost, the job runs elsewhere, and then the first worker
     reports its end. Taking the report would free the second worker.
@@ -270,18 +270,18 @@
     assert place_jobs(tables, 1.0, 10) == []
 
 
-def test_drained_worker_checkpoints_what_can_yield():
+def test_drained_worker_checkpoints_preemptible_attempts():
     tables = make_tables(workers=1)
     tables.spare_percent = 0.0
     put_job(tables, make_job("soft", can_checkpoint=True))
     put_job(tables, make_job("firm"))
     run_until_confirmed(tables)
     tables.workers_by_id[VMId("vm-0")].accepts_work = False
-    assert [stop.job.id for stop in list_stranded(tables)] == ["soft"]
-    assert list_stranded(tables) == []
+    assert [stop.job.id for stop in plan_drain_stops(tables)] == ["soft"]
+    assert plan_drain_stops(tables) == []
 
 
-def test_sizes_are_learnt_from_use():
+def test_sizes_are_estimated_from_observed_use():
     tables = make_tables(workers=4)
     tables.spare_percent = 0.0
     for number in range(16):
@@ -295,7 +295,7 @@
     assert len(run_until_confirmed(tables, 10.0)) > 100
 
 
-def test_large_job_is_not_kept_from_its_quota_by_small_ones_of_its_partner():
+def test_large_job_gets_its_quota_although_its_partner_submits_small_ones():
     """
     The quota holds four small jobs or one large one, and small ones come on.
     Once the large job has waited two minutes, none of them passes it.
@@ -321,9 +321,7 @@
 @pytest.mark.parametrize(
     ("partner_of_soft", "stops"), [("south", ["soft0"]), ("north", [])]
 )
-def test_partner_over_its_share_makes_room_only_from_its_own_work(
-    partner_of_soft, stops
-):
+def test_partner_over_its_share_preempts_only_its_own_work(partner_of_soft, stops):
     """
     South holds three of four workers with firm work and asks for urgent room.
     It may stop its own work, but stopping north's would take north's share.
@@ -356,7 +354,7 @@
         end = AttemptEnd.OUT_OF_MEMORY
         end_attempt(tables, job.id, number, end, 1.0, peak=peak)
     assert sizes == [4, 8, 16]
-    assert not any(worker.blamed_by for worker in tables.workers_by_id.values())
+    assert not any(worker.failed_job_ids for worker in tables.workers_by_id.values())
 
 
 def test_work_that_can_only_be_throttled_stays_out_of_the_spare():
--- a/packages/tables/src/medlarspring_tables/__init__.py
+++ b/packages/tables/src/medlarspring_tables/__init__.py
@@ -41,9 +41,9 @@
     JobTables,
     JobUrgency,
     PartnerUse,
-    Ranked,
+    QueueEntry,
     Size,
-    SizeBelief,
+    SizeEstimate,
     Worker,
 )
 from medlarspring_tables.members import Member, MemberState, MemberTable
@@ -57,9 +57,9 @@
     "JobTables",
     "JobUrgency",
     "PartnerUse",
-    "Ranked",
+    "QueueEntry",
     "Size",
-    "SizeBelief",
+    "SizeEstimate",
     "Worker",
     "ROW_TYPES_BY_KIND",
     "AcceptedEdit",
--- a/packages/tables/src/medlarspring_tables/fleet_tables.py
+++ b/packages/tables/src/medlarspring_tables/fleet_tables.py
@@ -14,7 +14,7 @@
 from medlarspring_tables.waves import WaveRecord
 
 if TYPE_CHECKING:
-    from medlarspring_tables.vms import VMSighting
+    from medlarspring_tables.vms import VMObservation
 
 FleetRecord = VMRecord | PoolDisruptions | ZoneDisruptions | WaveRecord | MoveRecord
 
@@ -86,7 +86,7 @@
     waves_by_id: dict[WaveId, WaveRecord] = field(default_factory=dict)
     moves_by_id: dict[MoveId, MoveRecord] = field(default_factory=dict)
     revisions_by_key: dict[str, Revision] = field(default_factory=dict)
-    sightings_by_id: dict[VMId, VMSighting] = field(default_factory=dict)
+    observations_by_id: dict[VMId, VMObservation] = field(default_factory=dict)
     failing_since_by_id: dict[VMId, float] = field(default_factory=dict)
     """Since when a VM that should serve has been down or unseen."""
     short_since_by_pool: dict[PoolId, float] = field(default_factory=dict)
--- a/packages/tables/src/medlarspring_tables/jobs.py
+++ b/packages/tables/src/medlarspring_tables/jobs.py
@@ -149,13 +149,13 @@
     capacity: Size
     accepts_work: bool = True
     """False while the VM is drained, moved, failed or not seen."""
-    set_aside: Size = NO_SIZE
+    allocated: Size = NO_SIZE
     """Sum over the attempts that the worker may hold."""
     job_ids: set[JobId] = field(default_factory=set)
     quarantined_until: Seconds = 0.0
-    quarantines: int = 0
+    quarantine_count: int = 0
     """Quarantines since the last success; each one is longer."""
-    blamed_by: set[JobId] = field(default_factory=set)
+    failed_job_ids: set[JobId] = field(default_factory=set)
     """Different jobs that failed here since the last success."""
     reserved_for: JobId | None = None
     """A large job that waits until this worker is empty enough."""
@@ -172,7 +172,7 @@
 
 
 @dataclass(slots=True)
-class SizeBelief:
+class SizeEstimate:
     """Observed use divided by declared use, newest last, by partner and kind."""
 
     cpu_ratios: deque[float] = field(default_factory=lambda: deque(maxlen=64))
@@ -182,7 +182,7 @@
     memory_ratio: float = 1.0
 
 
-Ranked = tuple[Seconds, JobId]
+QueueEntry = tuple[Seconds, JobId]
 """A job in a queue; the smallest rank is placed first."""
 
 
@@ -198,14 +198,14 @@
     revisions_by_id: dict[JobId, Revision] = field(default_factory=dict)
     workers_by_id: dict[VMId, Worker] = field(default_factory=dict)
     partners_by_id: dict[PartnerId, PartnerUse] = field(default_factory=dict)
-    beliefs_by_kind: dict[tuple[PartnerId, str], SizeBelief] = field(
+    estimates_by_kind: dict[tuple[PartnerId, str], SizeEstimate] = field(
         default_factory=dict
     )
-    urgent_by_partner: dict[PartnerId, list[Ranked]] = field(default_factory=dict)
-    waiting_by_partner: dict[PartnerId, list[Ranked]] = field(default_factory=dict)
+    urgent_by_partner: dict[PartnerId, list[QueueEntry]] = field(default_factory=dict)
+    waiting_by_partner: dict[PartnerId, list[QueueEntry]] = field(default_factory=dict)
     capacity: Size = NO_SIZE
     """Sum over the workers that accept work."""
-    lent: Size = NO_SIZE
+    preemptible: Size = NO_SIZE
     """Sum over the attempts that can be checkpointed within seconds."""
     held: Size = NO_SIZE
     """Sum over all attempts."""
@@ -215,7 +215,7 @@
     settled_at_change: int = -1
     """The count at which the last round found nothing more to place."""
     settled_at: Seconds = 0.0
-    old_by_id: dict[JobId, Job] = field(default_factory=dict)
+    originals_by_id: dict[JobId, Job] = field(default_factory=dict)
     """Records as they stood before changes that are not yet written."""
 
 
@@ -228,8 +228,8 @@
     "JobTables",
     "JobUrgency",
     "PartnerUse",
-    "Ranked",
+    "QueueEntry",
     "Size",
-    "SizeBelief",
+    "SizeEstimate",
     "Worker",
 ]
--- a/packages/tables/src/medlarspring_tables/vms.py
+++ b/packages/tables/src/medlarspring_tables/vms.py
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class VMSighting:
+class VMObservation:
     """What the platform's control last said of a VM; old ones are dropped."""
 
     vm_id: VMId
@@ -103,6 +103,6 @@
     "Outcome",
     "VMCondition",
     "VMRecord",
-    "VMSighting",
+    "VMObservation",
     "VMState",
 ]
