--- a/packages/tables/src/medlarspring_tables/__init__.py
+++ b/packages/tables/src/medlarspring_tables/__init__.py
@@ -1,4 +1,4 @@
-"""Typed rows, ids, states and errors; no input or output."""
+"""Typed rows, ids, states and errors; performs no input or output."""
 
 from __future__ import annotations
 
--- a/packages/tables/src/medlarspring_tables/fleet.py
+++ b/packages/tables/src/medlarspring_tables/fleet.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's VM list and of the entry VMs that were seen."""
+"""Rows of the platform's list of upstream VMs and entry VMs."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ListedState(Enum):
-    """What the platform's lagging list says of a VM."""
+    """State of a VM in the platform's list, which lags behind the real state."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class VMList:
-    """One answer of the platform's list."""
+    """One response of the platform's list."""
 
     vms_by_id: dict[VMId, ListedVM] = field(default_factory=dict)
     entry_vms_by_id: dict[EntryVMId, ListedEntryVM] = field(default_factory=dict)
--- a/packages/tables/src/medlarspring_tables/fleet_tables.py
+++ b/packages/tables/src/medlarspring_tables/fleet_tables.py
@@ -1,4 +1,4 @@
-"""All durable fleet records in memory, with indexes kept up by each change."""
+"""In-memory copy of all fleet records, with indexes updated on each change."""
 
 from __future__ import annotations
 
@@ -64,10 +64,11 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class FinishedVM:
-    """The end of one VM's part in a wave, in the order of the beginnings.
+    """Outcome of one VM in a wave; sorts by the time its maintenance began.
 
-    A VM that returns is known long before one that does not; by their ends,
-    failures of one moment would stand in a row that they do not form.
+    A success is known long before a failure, which is only known at its
+    timeout. Sorted by end time, failures that time out together would look
+    consecutive although VMs between them succeeded.
     """
 
     began_at: float
@@ -78,7 +79,7 @@
 
 @dataclass(slots=True)
 class FleetTables:
-    """Records by id and the indexes that keep a tick's work incremental."""
+    """Fleet records by id, and indexes so that a tick does not scan all records."""
 
     vms_by_id: dict[VMId, VMRecord] = field(default_factory=dict)
     disruptions_by_pool: dict[PoolId, PoolDisruptions] = field(default_factory=dict)
@@ -88,32 +89,32 @@
     revisions_by_key: dict[str, Revision] = field(default_factory=dict)
     observations_by_id: dict[VMId, VMObservation] = field(default_factory=dict)
     failing_since_by_id: dict[VMId, float] = field(default_factory=dict)
-    """Since when a VM that should serve has been down or unseen."""
+    """Wall time since which a VM that should serve has been down or unseen."""
     short_since_by_pool: dict[PoolId, float] = field(default_factory=dict)
-    """Since when a pool has been under its wanted size."""
+    """Wall time since which a pool has been below its wanted size."""
     vm_ids_by_pool: defaultdict[PoolId, set[VMId]] = field(
         default_factory=lambda: defaultdict(set)
     )
     busy_vm_ids_by_pool: defaultdict[PoolId, set[VMId]] = field(
         default_factory=lambda: defaultdict(set)
     )
-    """VMs whose record says anything but SERVING."""
+    """VMs whose record is in any state except ``SERVING``."""
     finished_by_wave: defaultdict[WaveId, list[FinishedVM]] = field(
         default_factory=lambda: defaultdict(list)
     )
     failed_by_wave: defaultdict[WaveId, list[FinishedVM]] = field(
         default_factory=lambda: defaultdict(list)
     )
-    """Those of the finished that did not return."""
+    """Subset of ``finished_by_wave`` with outcome ``NOT_RETURNED``."""
     open_waves_by_id: dict[WaveId, WaveRecord] = field(default_factory=dict)
     open_moves_by_id: dict[MoveId, MoveRecord] = field(default_factory=dict)
 
     def revision_of(self, key: str) -> Revision:
-        """Return the revision of a key's last known change; 0 if absent."""
+        """Return the last known revision of a key; ``ABSENT`` if there is none."""
         return self.revisions_by_key.get(key, ABSENT)
 
     def find(self, key: str) -> FleetRecord | None:
-        """Return the record kept under a store key."""
+        """Return the record stored under a key, or None."""
         kind, _, id_ = key.removeprefix(FLEET_PREFIX).partition("/")
         match kind:
             case "vms":
@@ -130,7 +131,7 @@
                 return None
 
     def put(self, record: FleetRecord, revision: Revision) -> None:
-        """Take a record unless a newer one is known."""
+        """Store a record unless a newer revision is known."""
         key = key_of(record)
         if revision <= self.revision_of(key):
             return
@@ -154,7 +155,7 @@
                     self.open_moves_by_id[record.id] = record
 
     def remove(self, key: str, revision: Revision | None = None) -> None:
-        """Forget a deleted key, unless it is known from after ``revision``."""
+        """Remove a deleted key, unless a revision after ``revision`` is known."""
         if revision is not None and self.revision_of(key) > revision:
             return
         if self.revisions_by_key.pop(key, None) is None:
--- a/packages/tables/src/medlarspring_tables/jobs.py
+++ b/packages/tables/src/medlarspring_tables/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs, their attempts on workers, and what is believed of their size."""
+"""Jobs, their attempts on workers, and estimates of their size."""
 
 from __future__ import annotations
 
@@ -21,41 +21,41 @@
 
 
 class JobUrgency(Enum):
-    """How soon a job has to start."""
+    """Priority class of a job."""
 
     URGENT = "urgent"
     NORMAL = "normal"
     BULK = "bulk"
-    """May be slow, is never skipped: reconciliation, reports."""
+    """May start late but must not starve, for example reconciliation or reports."""
 
 
 class JobState(Enum):
-    """Where a job stands."""
+    """State of a job."""
 
     WAITING = "waiting"
     RUNNING = "running"
-    """An attempt is intended or runs; its VM may hold it."""
+    """An attempt is intended or running; its worker may hold it."""
     DONE = "done"
     FAILED = "failed"
     CANCELLED = "cancelled"
 
 
 class AttemptState(Enum):
-    """Where one attempt to run a job stands."""
+    """State of one attempt to run a job."""
 
     INTENDED = "intended"
     """Written before the worker is told; the worker may already run it."""
     RUNNING = "running"
     STOPPING = "stopping"
-    """The worker was told to checkpoint or stop; it may still run it."""
+    """The worker was told to checkpoint or stop; it may still run the attempt."""
 
 
 ROUNDING = 1e-9
-"""Sums of floats that went up and down again may be off by this much."""
+"""Tolerance for floating-point error in sums after additions and subtractions."""
 
 
 class Size(Struct, frozen=True):
-    """Processors, memory and accelerators."""
+    """An amount of processors, memory and accelerators."""
 
     cpus: float
     memory_gb: float
@@ -78,7 +78,7 @@
         )
 
     def fits_in(self, other: Size) -> bool:
-        """Tell whether every part is covered by ``other``."""
+        """Return whether no component exceeds that of ``other``."""
         return (
             self.cpus <= other.cpus + ROUNDING
             and self.memory_gb <= other.memory_gb + ROUNDING
@@ -93,45 +93,45 @@
     """One run of a job on one worker."""
 
     number: int
-    """Counts from 1 for each job; the worker refuses a smaller one."""
+    """Counts from 1 for each job; the worker refuses a lower number."""
     vm_id: VMId
     state: AttemptState
     size: Size
-    """What is set aside for it on the worker."""
+    """Resources allocated to the attempt on the worker."""
     started_at: Seconds
-    """Wall time of the intent."""
+    """Wall time at which the intent was written."""
 
 
 class Job(Struct, frozen=True, kw_only=True):
-    """One job as kept in the store; its single attempt is part of the record.
+    """A job as stored, with its current attempt as part of the record.
 
-    With the attempt inside the record, one compare-and-swap decides who runs
-    the job, so that no two holders can place it twice.
+    Because the attempt is inside the record, one compare-and-swap decides
+    where the job runs, and two holders cannot place it twice.
     """
 
     id: JobId
     partner_id: PartnerId
     pool_id: PoolId
     kind: str
-    """Jobs of one partner and kind are taken to have like errors of size."""
+    """Jobs of one partner and kind share one ``SizeEstimate``."""
     declared: Size
     declared_seconds: float
     urgency: JobUrgency = JobUrgency.NORMAL
     can_checkpoint: bool = False
     can_throttle: bool = False
-    """Kept on record only; nothing throttles running work yet."""
+    """Recorded only; nothing throttles running work yet."""
     submitted_at: Seconds
     """Wall time."""
     submitted_by: str = ""
     ended_at: Seconds = 0.0
-    """Wall time of the end; 0 before it."""
+    """Wall time of the end; 0 while the job has not ended."""
     state: JobState = JobState.WAITING
     attempt: Attempt | None = None
     attempts_made: int = 0
     least: Size = NO_SIZE
-    """Least to set aside, from attempts that ended for want of memory."""
+    """Minimum allocation, raised after each attempt that ran out of memory."""
     failed_on: tuple[VMId, ...] = ()
-    """Different workers on which the job failed, oldest first."""
+    """Distinct workers on which the job failed, oldest first."""
     checkpoint: str = ""
     """Name of the newest checkpoint; empty when there is none."""
     reason: str = ""
@@ -140,7 +140,7 @@
 
 @dataclass(slots=True)
 class Worker:
-    """A worker of a pool as the placement sees it."""
+    """A worker of a pool, as used by placement."""
 
     id: VMId
     pool_id: PoolId
@@ -150,20 +150,20 @@
     accepts_work: bool = True
     """False while the VM is drained, moved, failed or not seen."""
     allocated: Size = NO_SIZE
-    """Sum over the attempts that the worker may hold."""
+    """Sum of the sizes of the attempts that the worker may hold."""
     job_ids: set[JobId] = field(default_factory=set)
     quarantined_until: Seconds = 0.0
     quarantine_count: int = 0
-    """Quarantines since the last success; each one is longer."""
+    """Quarantines since the last success; each lasts longer than the one before."""
     failed_job_ids: set[JobId] = field(default_factory=set)
-    """Different jobs that failed here since the last success."""
+    """Distinct jobs that failed on this worker since its last success."""
     reserved_for: JobId | None = None
-    """A large job that waits until this worker is empty enough."""
+    """A job that waits until this worker has enough free capacity for it."""
 
 
 @dataclass(slots=True)
 class PartnerUse:
-    """What one partner holds and may hold in a pool."""
+    """A partner's weight, quota and allocated resources in a pool."""
 
     id: PartnerId
     weight: float
@@ -173,25 +173,27 @@
 
 @dataclass(slots=True)
 class SizeEstimate:
-    """Observed use divided by declared use, newest last, by partner and kind."""
+    """Ratios of observed to declared use for one partner and kind, newest last."""
 
     cpu_ratios: deque[float] = field(default_factory=lambda: deque(maxlen=64))
     memory_ratios: deque[float] = field(default_factory=lambda: deque(maxlen=64))
     cpu_ratio: float = 1.0
-    """What to set aside for each declared processor."""
+    """Processors to allocate for each declared processor."""
     memory_ratio: float = 1.0
+    """Memory to allocate for each declared GB."""
 
 
 QueueEntry = tuple[Seconds, JobId]
-"""A job in a queue; the smallest rank is placed first."""
+"""Rank and id of a queued job; the lowest rank is placed first."""
 
 
 @dataclass(slots=True)
 class JobTables:
-    """All that the placement of one pool's jobs looks at.
+    """State from which the jobs of one pool are placed.
 
-    The queues are heaps of ``(rank, id)``. An id whose job no longer waits is
-    dropped when it comes to the front, so that a cancellation costs no search.
+    The queues are heaps of ``(rank, id)``. An entry whose job no longer waits is
+    dropped when it reaches the front, so that cancelling a job does not have to
+    search the queue.
     """
 
     jobs_by_id: dict[JobId, Job] = field(default_factory=dict)
@@ -204,19 +206,23 @@
     urgent_by_partner: dict[PartnerId, list[QueueEntry]] = field(default_factory=dict)
     waiting_by_partner: dict[PartnerId, list[QueueEntry]] = field(default_factory=dict)
     capacity: Size = NO_SIZE
-    """Sum over the workers that accept work."""
+    """Total capacity of the workers that accept work."""
     preemptible: Size = NO_SIZE
-    """Sum over the attempts that can be checkpointed within seconds."""
+    """Total size of the attempts that can be checkpointed within seconds."""
     held: Size = NO_SIZE
-    """Sum over all attempts."""
+    """Total size of all attempts."""
     spare_percent: float = 10.0
     changes: int = 0
-    """Counts what may let a waiting job start: ends, workers, partners, jobs."""
+    """Incremented by each change that may let a waiting job start.
+
+    Such changes are ended attempts and changed workers, partners or jobs.
+    """
     settled_at_change: int = -1
-    """The count at which the last round found nothing more to place."""
+    """Value of ``changes`` when the last round had placed all that it could."""
     settled_at: Seconds = 0.0
+    """Wall time of that round."""
     originals_by_id: dict[JobId, Job] = field(default_factory=dict)
-    """Records as they stood before changes that are not yet written."""
+    """Records as they were before changes that are not yet written."""
 
 
 __all__ = [
--- a/packages/tables/src/medlarspring_tables/moves.py
+++ b/packages/tables/src/medlarspring_tables/moves.py
@@ -13,7 +13,7 @@
 
 
 class MoveState(Enum):
-    """Where a move stands."""
+    """State of a move."""
 
     WANTED = "wanted"
     DRAINING = "draining"
@@ -29,9 +29,9 @@
     from_pool_id: PoolId
     to_pool_id: PoolId
     vm_id: VMId | None = None
-    """The VM; chosen by the giving pool's holder unless an operator named it."""
+    """VM to move; chosen by the source pool's holder unless an operator named it."""
     is_by_need: bool = False
-    """Made by control work for a pool under its wanted size."""
+    """Created by control work because the target pool is below its wanted size."""
     state: MoveState = MoveState.WANTED
     reason: str = ""
     created_by: str = ""
@@ -40,7 +40,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the move still has work to do."""
+        """Whether the move has neither completed nor been refused."""
         return self.state not in (MoveState.DONE, MoveState.REFUSED)
 
 
--- a/packages/tables/src/medlarspring_tables/pools.py
+++ b/packages/tables/src/medlarspring_tables/pools.py
@@ -1,4 +1,4 @@
-"""Records of disruptions: by pool for the budget, by zone for its limit."""
+"""Records of disrupted VMs: per pool for its budget, per zone for its limit."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class PoolDisruptions(Struct, frozen=True, kw_only=True):
-    """The VMs that control work has taken out of service in one pool."""
+    """The VMs of one pool that control work has taken out of service."""
 
     pool_id: PoolId
     causes_by_vm: dict[VMId, Cause] = field(default_factory=dict)
 
 
 class ZoneDisruptions(Struct, frozen=True, kw_only=True):
-    """The VMs of one availability zone that control work has taken out."""
+    """The VMs of one availability zone that control work has taken out of service."""
 
     zone_id: ZoneId
     causes_by_vm: dict[VMId, Cause] = field(default_factory=dict)
--- a/packages/tables/src/medlarspring_tables/vms.py
+++ b/packages/tables/src/medlarspring_tables/vms.py
@@ -1,4 +1,4 @@
-"""Records and sightings of VMs."""
+"""Records of VMs, and observations of their condition by the platform."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 
 class VMState(Enum):
-    """What the control work intends for a VM; written before any action."""
+    """State that control work intends for a VM; written before any action."""
 
     SERVING = "serving"
     DRAINING = "draining"
     """Listed among its pool's disruptions; gets no new work."""
     REBOOTING = "rebooting"
     RESTORING = "restoring"
-    """A drain is being taken back."""
+    """A drain is being cancelled."""
     JOINING = "joining"
-    """Moved while drained; does not serve in its new pool yet."""
+    """Moved while drained; not serving in its new pool yet."""
     OUT = "out"
-    """Did not return, or failed for long; replaced in the pool's count."""
+    """Did not return, or failed for long; no longer counts as a member of its pool."""
 
 
 class VMCondition(Enum):
-    """What the platform says a VM does."""
+    """Condition of a VM as reported by the platform."""
 
     SERVING = "serving"
     DRAINING = "draining"
-    """Takes no new work; requests are in flight."""
+    """Accepts no new work; requests are still in flight."""
     DRAINED = "drained"
     REBOOTING = "rebooting"
     DOWN = "down"
@@ -44,24 +44,24 @@
 
 
 class Cause(Struct, frozen=True):
-    """The wave or move on whose behalf a VM is disrupted."""
+    """The wave or move for which a VM is disrupted."""
 
     kind: CauseKind
     id: str
 
 
 class Outcome(Enum):
-    """How a maintenance wave ended for one VM."""
+    """Result of a maintenance wave for one VM."""
 
     BACK = "back"
     NOT_RETURNED = "not-returned"
     RACK_LOST = "rack-lost"
-    """Did not return, and neither did its rack; not the wave's doing."""
+    """Lost together with its rack; does not count as a failure of the wave."""
     DRAIN_TIMED_OUT = "drain-timed-out"
 
 
 class VMRecord(Struct, frozen=True, kw_only=True):
-    """The durable truth on one VM: its one pool and its state."""
+    """Stored record of a VM; the authority on its pool and intended state."""
 
     id: VMId
     pool_id: PoolId
@@ -72,29 +72,29 @@
     """Wall time at which the state was written."""
     cause: Cause | None = None
     target_pool_id: PoolId | None = None
-    """Where the VM goes once it is drained, if it is being moved."""
+    """Pool to which the VM moves once it is drained; None if it is not moved."""
     boot: int = 0
-    """Boot count seen before the reboot that is intended."""
+    """Boot count observed before the intended reboot."""
     wave_id: WaveId | None = None
-    """The last wave that ended for this VM, with its outcome and end."""
+    """The last wave that finished for this VM; the next three fields describe it."""
     outcome: Outcome | None = None
     finished_at: float = 0.0
     began_at: float = 0.0
-    """Wall time of the intent whose end is ``finished_at``."""
+    """Wall time of the intent that finished at ``finished_at``."""
     maintained_at: float = 0.0
-    """Wall time of the last reboot it returned from, or of its adoption."""
+    """Wall time of the last successful reboot, or of the VM's adoption."""
 
 
 @dataclass(slots=True)
 class VMObservation:
-    """What the platform's control last said of a VM; old ones are dropped."""
+    """Last status of a VM from the platform's control; outdated ones are dropped."""
 
     vm_id: VMId
     pool_id: PoolId
     condition: VMCondition
     boot: int
     revision: Revision
-    """Highest record revision carried by an action that the platform accepted."""
+    """Highest record revision of the actions that the platform accepted."""
 
 
 __all__ = [
--- a/packages/tables/src/medlarspring_tables/waves.py
+++ b/packages/tables/src/medlarspring_tables/waves.py
@@ -10,7 +10,7 @@
 
 
 class WaveState(Enum):
-    """Where a wave stands as a whole."""
+    """State of a wave as a whole."""
 
     RUNNING = "running"
     PAUSED = "paused"
@@ -19,26 +19,29 @@
 
 
 class WaveRecord(Struct, frozen=True, kw_only=True):
-    """Intent to reboot each of a set of VMs once."""
+    """Intent to reboot each VM of a set once."""
 
     id: WaveId
     vm_ids: frozenset[VMId]
     state: WaveState = WaveState.RUNNING
     reason: str = ""
-    """Why it is paused, aborted or done."""
+    """Why the wave is paused, aborted or done."""
     created_by: str = ""
     started_at: float = 0.0
     resumed_at: float = 0.0
-    """Evidence from before this wall time no longer pauses the wave."""
+    """Outcomes of VMs that began before this wall time no longer pause the wave."""
     resumes_at: float = 0.0
-    """Wall time of the next try while paused by evidence; 0 waits for a word."""
+    """Wall time at which a wave paused by failures resumes by itself.
+
+    0 while the wave is paused by an operator, who has to resume it.
+    """
     pauses: int = 0
-    """Pauses by evidence in a row, each with a longer wait."""
+    """Consecutive pauses because of failures, each longer than the one before."""
     ended_at: float = 0.0
 
     @property
     def is_open(self) -> bool:
-        """Whether the wave still has work to do."""
+        """Whether the wave is neither done nor aborted."""
         return self.state in (WaveState.RUNNING, WaveState.PAUSED)
 
 
