--- a/packages/systems/src/medlarspring_systems/__init__.py
+++ b/packages/systems/src/medlarspring_systems/__init__.py
@@ -1,3 +1,3 @@
-"""Pure decisions over the tables: no clock, socket or log call inside."""
+"""Pure decision logic over the tables, without clock, network or logging."""
 
 from __future__ import annotations
--- a/packages/systems/src/medlarspring_systems/adoption.py
+++ b/packages/systems/src/medlarspring_systems/adoption.py
@@ -1,4 +1,4 @@
-"""Takes listed VMs into the records and forgets those that have gone."""
+"""Creates records of newly listed VMs and deletes those of VMs that are gone."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     from medlarspring_tables import PoolRow, VMList
 
 FORGET_AFTER_SECONDS = 3_600.0
-"""A VM that is out and listed no more is forgotten after this long."""
+"""Delay before the record of a VM that is out and no longer listed is deleted."""
 
 
 def plan_adoption(draft: Draft, pool: PoolRow, vm_list: VMList, now: float) -> None:
     """Draft records for VMs that the list shows in the pool for the first time.
 
-    Afterwards the record alone says which pool a VM is in: the list lags, and
-    its label would undo a move.
+    From then on only the record determines the pool of a VM. The list lags
+    behind, so following its pool label would undo moves.
     """
     for vm in vm_list.vms_by_id.values():
         if vm.pool_id != pool.id or vm.id in draft.tables.vms_by_id:
--- a/packages/systems/src/medlarspring_systems/availability.py
+++ b/packages/systems/src/medlarspring_systems/availability.py
@@ -1,4 +1,4 @@
-"""Counts what a pool can serve with, against its availability budget."""
+"""Counts the available VMs of a pool against its availability budget."""
 
 from __future__ import annotations
 
@@ -15,13 +15,16 @@
     from medlarspring_tables.vms import VMObservation, VMRecord
 
 REPLACE_AFTER_SECONDS = 300.0
-"""A VM that failed on its own for this long is replaced in its pool's count."""
+"""A VM that fails without a disruption for this long no longer counts as a member.
+
+Its pool is then short of a VM and gets a replacement.
+"""
 REPLACE_RACK_AFTER_SECONDS = 120.0
-"""The same for a VM of a lost rack, which no restart of single VMs brings back."""
+"""The same limit for a VM of a lost rack, which does not recover by VM restarts."""
 
 
 class Health(Enum):
-    """Whether a VM counts towards its pool's budget, and why not."""
+    """Whether a VM counts as available for its pool's budget, or why it does not."""
 
     AVAILABLE = "available"
     DISRUPTED = "disrupted"
@@ -33,7 +36,7 @@
 
 @dataclass(slots=True)
 class Availability:
-    """One pool's VMs by health."""
+    """Number of VMs of one pool by health."""
 
     pool_id: PoolId
     min_available: int
@@ -45,19 +48,20 @@
 
     @property
     def room(self) -> int:
-        """VMs that may be disrupted now; below 0 the budget is broken."""
+        """Number of VMs that may be disrupted now; negative if the budget is broken."""
         return self.available - self.min_available
 
     @property
     def members(self) -> int:
-        """VMs that belong to the pool and are not given up."""
+        """Number of VMs in the pool that have not been given up."""
         return self.available + self.disrupted + self.failed + self.unseen
 
 
 def judge_vm(record: VMRecord, observation: VMObservation | None) -> Health:
-    """Return a VM's health; without a fresh sighting nothing good is assumed.
+    """Return a VM's health; without a current observation it counts as unseen.
 
-    A VM that the platform still shows in another pool does not serve its own.
+    A VM that the platform still shows in another pool counts as failed, since it
+    does not serve its own pool yet.
     """
     if record.state is VMState.OUT:
         return Health.OUT
@@ -73,10 +77,11 @@
 
 
 def count_availability(draft: Draft, row: PoolRow) -> Availability:
-    """Count a pool as it would stand after the draft."""
+    """Count a pool's VMs as they will be after the draft is written."""
     availability = Availability(row.id, row.min_available)
-    # A successor's records of single VMs may lag behind the list, which it has
-    # read under the revision it writes. A VM on the list is out in any case.
+    # After a takeover, this process's VM records may lag behind the pool's list
+    # of disruptions, which it read at the revision under which it writes.
+    # A VM on that list is out of service in any case.
     listed = draft.pool_disruptions(row.id).causes_by_vm
     for vm_id in draft.tables.vm_ids_by_pool.get(row.id, ()):
         record = draft.vm(vm_id)
@@ -98,7 +103,7 @@
 
 
 def record_failing_vms(tables: FleetTables, pool_id: PoolId, now: float) -> None:
-    """Remember since when each serving VM of a pool has been down or unseen."""
+    """Record since when each VM of a pool that should serve is down or unseen."""
     for vm_id in tables.vm_ids_by_pool.get(pool_id, ()):
         health = judge_vm(tables.vms_by_id[vm_id], tables.observations_by_id.get(vm_id))
         if health in (Health.FAILED, Health.UNSEEN):
@@ -108,10 +113,10 @@
 
 
 def is_rack_lost(tables: FleetTables, record: VMRecord) -> bool:
-    """Say whether most of a VM's rack-mates in its pool fail without any drain.
+    """Return whether most other VMs of a VM's rack and pool fail undrained.
 
-    A rack that is lost takes VMs of the wave along with others; VMs that the
-    wave itself broke leave their rack-mates serving.
+    Losing a rack also takes down VMs that no wave has drained. If only the wave
+    broke its VMs, the other VMs of the rack still serve.
     """
     rack_peers = [
         vm_id
--- a/packages/systems/src/medlarspring_systems/disruptions.py
+++ b/packages/systems/src/medlarspring_systems/disruptions.py
@@ -19,11 +19,11 @@
     from medlarspring_tables.vms import Cause
 
 MAX_CHANGES = 32
-"""VMs changed by one transaction; keeps it under the store's limit of parts."""
+"""Bound on the VMs changed by one transaction, to stay within the store's limit."""
 
 
 class DisruptionRefused(MedlarspringError):
-    """A VM may not be taken out of service now."""
+    """A VM must not be taken out of service now."""
 
     code = "disruption-refused"
 
@@ -34,22 +34,23 @@
         self.remedy = remedy
 
     def message(self) -> str:
-        """Say what blocks the VM and what ends it."""
+        """Return what blocks the drain and how to resolve it."""
         return f"VM {self.vm_id} is not drained: {self.reason}. {self.remedy}"
 
 
 def disrupt_vm(
     draft: Draft, vm_id: VMId, cause: Cause, pool: PoolRow, fleet: FleetRow, now: float
 ) -> Result[None, DisruptionRefused]:
-    """Draft the intent to drain one VM, if every budget allows it."""
+    """Draft the intent to drain one VM if all budgets allow it."""
     record = draft.vm(vm_id)
     if record.pool_id != pool.id or record.state is not VMState.SERVING:
         reason = f"it is {record.state.value} in pool {record.pool_id}"
         return Failure(DisruptionRefused(vm_id, reason, "Wait until it serves."))
     availability = count_availability(draft, pool)
-    # Two VMs drained on one count would take the pool under its budget. The
-    # count includes the draft, and the list that it was made from is written
-    # under its revision, so a count that is out of date is never acted on.
+    # Two drains based on the same count would take the pool below its budget.
+    # The count therefore includes the draft, and the pool's list of disruptions
+    # is written under the revision it was read at: if the count was outdated,
+    # the transaction fails.
     if availability.room < 1:
         return Failure(_refuse_for_budget(vm_id, availability))
     zone = draft.zone_disruptions(record.zone_id)
--- a/packages/systems/src/medlarspring_systems/draft.py
+++ b/packages/systems/src/medlarspring_systems/draft.py
@@ -1,4 +1,4 @@
-"""Changes of fleet records under preparation, to be written all or none."""
+"""Staged changes of fleet records, written in one transaction."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class DecisionKind(Enum):
-    """What a draft does to a VM or a wave."""
+    """Kind of a decision about a VM or a wave."""
 
     ADOPT = "adopt"
     DRAIN = "drain"
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlannedDecision:
-    """One decision for ``explain``: about which VM or wave, and why."""
+    """A decision with its subject and reason, as shown by ``explain``."""
 
     decided: DecisionKind
     rule: str
@@ -57,29 +57,29 @@
 
 @dataclass(slots=True)
 class Draft:
-    """Reads through to the tables and collects what is to be written."""
+    """Collects changes to write; reads return them in place of the tables' records."""
 
     tables: FleetTables
     records_by_key: dict[str, FleetRecord | None] = field(default_factory=dict)
-    """New records; None deletes the key."""
+    """New records by store key; None deletes the key."""
     planned_decisions: list[PlannedDecision] = field(default_factory=list)
 
     def vm(self, vm_id: VMId) -> VMRecord:
-        """Return a VM's record as it would stand."""
+        """Return a VM's record with the draft applied."""
         record = self.records_by_key.get(key_of_vm(vm_id))
         if isinstance(record, VMRecord):
             return record
         return self.tables.vms_by_id[vm_id]
 
     def move(self, move_id: MoveId) -> MoveRecord | None:
-        """Return a move as it would stand."""
+        """Return a move with the draft applied, or None if it is unknown."""
         record = self.records_by_key.get(key_of_move(move_id))
         if isinstance(record, MoveRecord):
             return record
         return self.tables.moves_by_id.get(move_id)
 
     def pool_disruptions(self, pool_id: PoolId) -> PoolDisruptions:
-        """Return a pool's list as it would stand."""
+        """Return a pool's list of disruptions with the draft applied."""
         record = self.records_by_key.get(key_of_disruptions(pool_id))
         if isinstance(record, PoolDisruptions):
             return record
@@ -87,7 +87,7 @@
         return known or PoolDisruptions(pool_id=pool_id)
 
     def zone_disruptions(self, zone_id: ZoneId) -> ZoneDisruptions:
-        """Return a zone's list as it would stand."""
+        """Return a zone's list of disruptions with the draft applied."""
         record = self.records_by_key.get(key_of_zone(zone_id))
         if isinstance(record, ZoneDisruptions):
             return record
@@ -95,11 +95,11 @@
         return known or ZoneDisruptions(zone_id=zone_id)
 
     def put(self, record: FleetRecord) -> None:
-        """Plan to write a record."""
+        """Stage the write of a record."""
         self.records_by_key[key_of(record)] = record
 
     def delete(self, key: str) -> None:
-        """Plan to delete a key."""
+        """Stage the deletion of a key."""
         self.records_by_key[key] = None
 
     def record_decision(
@@ -111,13 +111,13 @@
         wave_id: WaveId | None = None,
         **facts: Fact,
     ) -> None:
-        """Explain a part of the draft."""
+        """Record why a part of the draft was decided."""
         self.planned_decisions.append(
             PlannedDecision(decided, rule, vm_id, wave_id, facts)
         )
 
     def list_vm(self, vm: VMRecord, cause: Cause) -> None:
-        """Enter a VM in the lists of its pool and its zone."""
+        """Add a VM to the disruptions of its pool and of its zone."""
         pool = self.pool_disruptions(vm.pool_id)
         causes_by_vm = {**pool.causes_by_vm, vm.id: cause}
         self.put(PoolDisruptions(pool_id=vm.pool_id, causes_by_vm=causes_by_vm))
@@ -126,18 +126,19 @@
         self.put(ZoneDisruptions(zone_id=vm.zone_id, causes_by_vm=causes_by_vm))
 
     def unlist_in_pool(self, vm: VMRecord) -> None:
-        """Take a VM off its pool's list."""
+        """Remove a VM from its pool's disruptions."""
         causes_by_vm = dict(self.pool_disruptions(vm.pool_id).causes_by_vm)
         if causes_by_vm.pop(vm.id, None) is not None:
             self.put(PoolDisruptions(pool_id=vm.pool_id, causes_by_vm=causes_by_vm))
 
     def unlist_in_zone(self, vm: VMRecord) -> None:
-        """Take a VM off its zone's list.
+        """Remove a VM from its zone's disruptions.
 
-        Holders of other pools write the list too, so the one known here may be
-        from before the VM was listed. Left as it is, the VM would use up the
-        zone's limit for ever. Written under its old revision, the list
-        conflicts, is read again, and the next try takes the VM off.
+        Holders of other pools also write this list, so the copy known here may
+        predate the VM's entry. The list is written even then: the outdated
+        revision causes a conflict, the list is read again and the next attempt
+        removes the VM. Without that write the VM would count against the zone's
+        limit forever.
         """
         causes_by_vm = dict(self.zone_disruptions(vm.zone_id).causes_by_vm)
         causes_by_vm.pop(vm.id, None)
--- a/packages/systems/src/medlarspring_systems/fleet_plan.py
+++ b/packages/systems/src/medlarspring_systems/fleet_plan.py
@@ -1,4 +1,4 @@
-"""One tick of a pool's control work: every system in its order."""
+"""Plans one tick of control work for a pool, and the control of waves."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
     now: float,
     wave_limit: WaveLimit | None = None,
 ) -> Draft:
-    """Return all that one pool's control work wants written now.
+    """Return a draft of all changes that one pool's control work needs now.
 
-    Moves come before waves: a pool that lacks VMs serves worse than one whose
-    VMs are maintained a little later.
+    Moves are planned before waves because a shortage of VMs affects service,
+    whereas maintenance can be delayed.
     """
     draft = Draft(tables)
     pool = config.pools_by_id.get(pool_id)
@@ -62,10 +62,11 @@
 def plan_waves(
     tables: FleetTables, config: ConfigTable, pool_id: PoolId, now: float
 ) -> Draft:
-    """Return what the waves as a whole want written.
+    """Return a draft of the state changes of waves.
 
-    Every pool's holder judges waves: a pause must not wait for one process.
-    The record's revision lets only one of them write it.
+    The holder of every pool evaluates all waves, so that a pause does not depend
+    on a single process. The revision of the wave's record ensures that only one
+    of them writes the change.
     """
     draft = Draft(tables)
     for wave in list(tables.open_waves_by_id.values()):
--- a/packages/systems/src/medlarspring_systems/holders.py
+++ b/packages/systems/src/medlarspring_systems/holders.py
@@ -1,7 +1,7 @@
-"""Which process should hold the control work of which pool, and since when.
+"""Assigns the control work of pools to processes, guarded by store leases.
 
-The store's lease decides who holds; this module decides who tries, and whether
-this process may still act by its own clock.
+The lease in the store determines the holder. This module determines which pools
+a process tries to acquire, and whether its lease is still valid by its own clock.
 """
 
 from __future__ import annotations
@@ -20,10 +20,11 @@
 LEASE_SECONDS = 6.0
 RENEW_SECONDS = 2.0
 LEASE_MARGIN_SECONDS = 1.0
-"""The holder stops so long before the store may give its pools to another."""
+"""The holder stops this long before its lease can expire in the store."""
 HANDOVER_DELAY_SECONDS = 10.0
-"""A pool moves to a newly preferred process only after it was so for so long."""
+"""A pool is handed over once another process has been preferred for this long."""
 STORE_FAILING_SECONDS = 3.0
+"""A member whose store calls fail for this long is not considered as a holder."""
 
 
 @dataclass(slots=True)
@@ -32,24 +33,24 @@
 
     pool_id: PoolId
     mod_revision: Revision
-    """Of the holder key; the fence of every write of the pool's control work."""
+    """Revision of the holder key; every write of the control work is fenced by it."""
     other_preferred_since: Seconds | None = None
 
 
 @dataclass(slots=True)
 class Holdings:
-    """What this process holds, and until when it may count on it."""
+    """Pools that this process holds, and until when its lease is valid."""
 
     own_id: EntryVMId
     lease_id: int | None = None
     safe_until: Seconds = 0.0
-    """By this process's own clock, counted from when the renewal was sent."""
+    """By this process's own clock, counted from when the last renewal was sent."""
     pools_by_id: dict[PoolId, HeldPool] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class HolderPlan:
-    """What to do next about the holder keys."""
+    """Holder keys to acquire and to release next."""
 
     acquire: tuple[PoolId, ...] = ()
     release: tuple[PoolId, ...] = ()
@@ -61,10 +62,10 @@
     members: Iterable[Member],
     now: Seconds,
 ) -> HolderPlan:
-    """Return the pools to try for and those to hand over.
+    """Return the pools to acquire and those to release.
 
-    ``members`` are the steady others. Those that the store does not answer are
-    passed over, since they could not renew a lease.
+    ``members`` are the other members with a stable state. Those whose store
+    calls fail are not considered, since they could not renew a lease.
     """
     wanted = set(pool_ids)
     eligible = [
@@ -89,7 +90,10 @@
 def _find_preferred(
     pool_ids: tuple[PoolId, ...], candidates: tuple[EntryVMId, ...]
 ) -> dict[PoolId, EntryVMId]:
-    """Return the preferred holders; both change seldom, and this runs each tick."""
+    """Return the preferred holder of each pool.
+
+    Cached because this runs every tick while the arguments seldom change.
+    """
     return {pool_id: rank(f"holder/{pool_id}", candidates)[0] for pool_id in pool_ids}
 
 
@@ -107,10 +111,10 @@
 def record_lease(
     holdings: Holdings, lease_id: int, sent_at: Seconds, ttl: Seconds
 ) -> None:
-    """Learn that the lease was granted or renewed.
+    """Record that the lease was granted or renewed.
 
-    The store counts from when it got the call, which is after ``sent_at``; so
-    this process's count always ends first.
+    The store starts the TTL when it receives the call, which is after
+    ``sent_at``, so the lease always ends earlier by this process's clock.
     """
     if holdings.lease_id != lease_id:
         holdings.pools_by_id.clear()
@@ -119,7 +123,7 @@
 
 
 def record_lapse(holdings: Holdings) -> None:
-    """Learn that the lease is gone, and all keys bound to it."""
+    """Record that the lease has expired, and with it all keys bound to it."""
     holdings.lease_id = None
     holdings.safe_until = 0.0
     holdings.pools_by_id.clear()
@@ -128,12 +132,12 @@
 def find_fencing_revision(
     holdings: Holdings, pool_id: PoolId, now: Seconds
 ) -> Revision | None:
-    """Return the holder key's revision while the pool is held for certain.
+    """Return the holder key's revision; None unless the lease is surely valid.
 
-    A process frozen past its lease wakes up believing that it holds the pool,
-    while a successor already drains VMs. Its own clock ran on, so it sees that
-    the lease may have lapsed. A write sent just before is refused by the store:
-    it carries this revision, and the successor's key has another.
+    A process that was suspended past its lease still has the pool in its
+    holdings while a successor already drains VMs. Its own clock has advanced, so
+    it sees that the lease may have expired. The store rejects a write sent just
+    before: the write carries this revision, and the successor's key has another.
     """
     held = holdings.pools_by_id.get(pool_id)
     if held is None or now >= holdings.safe_until:
@@ -142,7 +146,7 @@
 
 
 def list_held_pools(holdings: Holdings, now: Seconds) -> frozenset[PoolId]:
-    """Return the pools held for certain."""
+    """Return the pools held under a lease that is surely valid."""
     if now >= holdings.safe_until:
         return frozenset()
     return frozenset(holdings.pools_by_id)
--- a/packages/systems/src/medlarspring_systems/job_admission.py
+++ b/packages/systems/src/medlarspring_systems/job_admission.py
@@ -1,4 +1,4 @@
-"""Which jobs can ever run; the others are told so at once."""
+"""Rejects jobs on submission that could never run."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class JobRefused(MedlarspringError):
-    """The job can never run as it was submitted."""
+    """The job can never run as submitted."""
 
     code = "job-refused"
 
@@ -30,7 +30,7 @@
         self.largest = largest
 
     def message(self) -> str:
-        """Say what is missing and what to do."""
+        """Return what is missing and how to resolve it."""
         return (
             f"Job {self.job_id} asks for {describe_size(self.declared)}, but the"
             f" largest worker of its pool has {describe_size(self.largest)}."
@@ -50,7 +50,7 @@
         self.quota = quota
 
     def message(self) -> str:
-        """Say what is missing and what to do."""
+        """Return what is missing and how to resolve it."""
         return (
             f"Job {self.job_id} exceeds the whole quota of partner"
             f" {self.partner_id} ({describe_size(self.quota)}). Raise it with"
@@ -69,7 +69,7 @@
         self.partner_id = partner_id
 
     def message(self) -> str:
-        """Say what is missing and what to do."""
+        """Return what is missing and how to resolve it."""
         return (
             f"Job {self.job_id} names partner {self.partner_id}, which has no row."
             f" Add it with `medlarspring table add partner {self.partner_id}`."
@@ -87,7 +87,7 @@
         self.pool_id = pool_id
 
     def message(self) -> str:
-        """Say what is missing and what to do."""
+        """Return what is missing and how to resolve it."""
         return (
             f"Job {self.job_id} names pool {self.pool_id}, which has no workers."
             " Look at `medlarspring pool list` and submit to one that has."
@@ -95,9 +95,9 @@
 
 
 def check_job(tables: JobTables, job: Job) -> Result[Job, JobRefused]:
-    """Return the job if some worker and the quota could hold it one day.
+    """Return the job if it fits the partner's quota and at least one worker.
 
-    Workers that are drained or failed now still count: they come back.
+    Workers that are drained or failed now count too, since they will return.
     """
     partner = tables.partners_by_id.get(job.partner_id)
     if partner is None:
@@ -116,7 +116,7 @@
 
 
 def fits_any_worker(tables: JobTables, job: Job) -> bool:
-    """Tell whether an empty worker of the pool would hold the declared size."""
+    """Return whether the declared size fits any worker of the pool when empty."""
     return any(
         job.declared.fits_in(worker.capacity)
         for worker in tables.workers_by_id.values()
@@ -124,7 +124,7 @@
 
 
 def describe_size(size: Size) -> str:
-    """Return a size for people."""
+    """Return a size as text for messages."""
     return (
         f"{size.cpus:g} cpus, {size.memory_gb:g} GB memory"
         f" and {size.accelerators} accelerators"
--- a/packages/systems/src/medlarspring_systems/job_lifecycle.py
+++ b/packages/systems/src/medlarspring_systems/job_lifecycle.py
@@ -1,4 +1,4 @@
-"""What becomes of a job when a worker, a partner or a lease says something."""
+"""State changes of jobs on worker reports, cancellations and expired leases."""
 
 from __future__ import annotations
 
@@ -25,13 +25,16 @@
     CHECKPOINTED = "checkpointed"
     STOPPED = "stopped"
     OUT_OF_MEMORY = "out-of-memory"
-    """The worker ended it because it used more memory than there was."""
+    """The worker ended it because it ran out of memory."""
     LOST = "lost"
-    """The worker is gone and the task's lease has certainly run out."""
+    """The worker is gone and the lease of the task has surely expired."""
 
 
 def confirm_running(tables: JobTables, job_id: JobId, number: int) -> Job | None:
-    """Note that the worker runs the attempt; None when it is not the current one."""
+    """Record that the worker runs an attempt, and return the updated job.
+
+    None if the attempt is not the current one or its start is already recorded.
+    """
     job = _find_current(tables, job_id, number)
     if job is None or job.attempt is None:
         return None
@@ -52,11 +55,11 @@
     peak: Size | None = None,
     checkpoint: str = "",
 ) -> Job | None:
-    """Take an attempt's end into the record; None when it is not the current one.
+    """Record the end of an attempt; None if it is not the current one.
 
-    A late word about an earlier attempt would free a worker that runs the
-    next one, and the job would run twice; the attempt's number tells them
-    apart.
+    A late report of an earlier attempt, if applied, would release the worker
+    that runs the next attempt, and the job would run twice. The attempt number
+    tells them apart.
     """
     job = _find_current(tables, job_id, number)
     if job is None or job.attempt is None:
@@ -77,8 +80,8 @@
 def cancel_job(job: Job, reason: str, now: Seconds) -> Job | None:
     """Return the record of a cancelled job; a running attempt is stopped first.
 
-    None when there is nothing left to cancel. A waiting job costs no search:
-    its queue entry is dropped when it comes up.
+    None if the job has already ended. The queue is not searched for a waiting
+    job: its entry is dropped when it reaches the front.
     """
     if job.state in FINAL_STATES:
         return None
@@ -89,10 +92,10 @@
 
 
 def plan_drain_stops(tables: JobTables) -> list[StopAttempt]:
-    """Return attempts to stop because their worker takes no more work.
+    """Return the attempts to stop because their worker accepts no more work.
 
-    A drain waits for work that cannot yield; work that can is checkpointed at
-    once and goes on elsewhere.
+    Attempts that can be checkpointed are stopped at once and continue on another
+    worker. A drain waits for all others to end.
     """
     stops: list[StopAttempt] = []
     for worker in tables.workers_by_id.values():
@@ -106,7 +109,7 @@
 
 
 def release_stale_reservations(tables: JobTables) -> None:
-    """Give back workers reserved for jobs that no longer wait."""
+    """Release workers that are reserved for jobs that no longer wait."""
     for worker in tables.workers_by_id.values():
         if worker.reserved_for is None:
             continue
@@ -116,7 +119,7 @@
 
 
 REPRESENTATIVE_ENDS = frozenset({AttemptEnd.SUCCEEDED, AttemptEnd.OUT_OF_MEMORY})
-"""Ends after which the peak of use tells of the job's true size."""
+"""Ends after which the peak use is representative of the job's real size."""
 
 FINAL_STATES = frozenset({JobState.DONE, JobState.FAILED, JobState.CANCELLED})
 
--- a/packages/systems/src/medlarspring_systems/job_records.py
+++ b/packages/systems/src/medlarspring_systems/job_records.py
@@ -1,4 +1,4 @@
-"""Changes of job records, with all sums and queues kept in step."""
+"""Changes job records and keeps the totals and queues consistent with them."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     from medlarspring_tables import JobId, PartnerUse, Seconds, VMId
 
 BULK_PENALTY_SECONDS = 600.0
-"""A bulk job is overtaken only by jobs submitted up to this much later."""
+"""A bulk job is overtaken only by jobs submitted at most this much later."""
 
 
 def put_job(tables: JobTables, job: Job) -> None:
-    """Insert or replace a job; queues and sums follow."""
+    """Insert or replace a job and update the queues and totals."""
     old = tables.jobs_by_id.get(job.id)
     if old is not None:
         tables.originals_by_id.setdefault(job.id, old)
@@ -43,7 +43,7 @@
 
 
 def revert_job(tables: JobTables, job_id: JobId) -> None:
-    """Restore a record whose change was not written."""
+    """Restore the previous record of a job whose change was not written."""
     old = tables.originals_by_id.pop(job_id, None)
     if old is not None:
         put_job(tables, old)
@@ -51,7 +51,7 @@
 
 
 def forget_job(tables: JobTables, job_id: JobId) -> None:
-    """Remove a job whose record is gone from the store."""
+    """Remove a job whose record was deleted from the store."""
     old = tables.jobs_by_id.pop(job_id, None)
     tables.revisions_by_id.pop(job_id, None)
     tables.originals_by_id.pop(job_id, None)
@@ -61,7 +61,7 @@
 
 
 def put_worker(tables: JobTables, worker: Worker) -> None:
-    """Insert a worker, or take over what changed of a known one."""
+    """Insert a worker, or update the capacity and availability of a known one."""
     known = tables.workers_by_id.get(worker.id)
     if known is None:
         tables.workers_by_id[worker.id] = worker
@@ -78,13 +78,13 @@
 
 
 def forget_worker(tables: JobTables, vm_id: VMId) -> None:
-    """Remove a worker that left the pool; its attempts stay on record."""
+    """Remove a worker that left the pool; its attempts stay in their records."""
     tables.workers_by_id.pop(vm_id, None)
     recount_capacity(tables)
 
 
 def recount_capacity(tables: JobTables) -> None:
-    """Sum the workers that accept work; call after one changed."""
+    """Recompute the total capacity; has to be called when a worker has changed."""
     total = NO_SIZE
     for worker in tables.workers_by_id.values():
         if worker.accepts_work:
@@ -94,7 +94,7 @@
 
 
 def put_partner(tables: JobTables, partner: PartnerUse) -> None:
-    """Insert a partner, or take over its weight and quota."""
+    """Insert a partner, or update the weight and quota of a known one."""
     known = tables.partners_by_id.get(partner.id)
     if known is None:
         tables.partners_by_id[partner.id] = partner
@@ -107,7 +107,7 @@
 
 
 def enqueue(tables: JobTables, job: Job) -> None:
-    """Put a waiting job into its partner's queue."""
+    """Add a waiting job to its partner's queue."""
     queues = tables.waiting_by_partner
     if job.urgency is JobUrgency.URGENT:
         queues = tables.urgent_by_partner
@@ -116,11 +116,11 @@
 
 
 def rank_job(job: Job) -> Seconds:
-    """Return the place of a job in its partner's queue; smaller goes first.
+    """Return the rank of a job in its partner's queue; the lowest runs first.
 
-    Bulk work that always yielded to newer work would never run under steady
-    load, and a reconciliation would be skipped without a sign. The penalty is
-    a fixed time, so only work submitted within it can overtake.
+    If bulk jobs always ranked behind newer jobs, they would never run under
+    steady load, and a reconciliation would be skipped silently. The penalty is a
+    fixed time, so only jobs submitted within it can overtake.
     """
     if job.urgency is JobUrgency.BULK:
         return job.submitted_at + BULK_PENALTY_SECONDS
@@ -128,19 +128,19 @@
 
 
 def resize_attempt(tables: JobTables, job: Job, size: Size) -> None:
-    """Change what is set aside for a running job."""
+    """Change the allocation of a job's attempt; does nothing without an attempt."""
     if job.attempt is None:
         return
     put_job(tables, replace(job, attempt=replace(job.attempt, size=size)))
 
 
 def is_preemptible(job: Job) -> bool:
-    """Tell whether what the job holds can be had back within seconds."""
+    """Return whether the job's resources can be reclaimed within seconds."""
     return job.can_checkpoint and job.urgency is not JobUrgency.URGENT
 
 
 def _frees_capacity(old: Job, job: Job) -> bool:
-    """Tell whether a change of a running job may let others start."""
+    """Return whether a change of a running job may let other jobs start."""
     if job.attempt is None or old.attempt is None:
         return True
     return job.attempt.size != old.attempt.size
@@ -161,7 +161,10 @@
 def _update_totals(
     tables: JobTables, job: Job, change: Callable[[Size, Size], Size]
 ) -> Worker | None:
-    """Add what a job's attempt holds to all sums, or take it off again."""
+    """Add the size of a job's attempt to all totals, or subtract it.
+
+    Returns the worker of the attempt if it is known.
+    """
     if job.attempt is None:
         return None
     size = job.attempt.size
--- a/packages/systems/src/medlarspring_systems/maintenance.py
+++ b/packages/systems/src/medlarspring_systems/maintenance.py
@@ -1,4 +1,4 @@
-"""Drains the VMs of maintenance waves, as many at a time as is safe."""
+"""Drains the VMs of maintenance waves within budgets and wave limits."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 def has_ended(wave: WaveRecord, record: VMRecord) -> bool:
-    """Say whether a VM's part in a wave is over.
+    """Return whether a wave is finished for a VM.
 
-    A VM that another wave rebooted after this one had started counts too:
-    overlapping waves would otherwise reboot it once each, in turns.
+    A VM that another wave has rebooted since this wave started counts as
+    finished too. Otherwise each of several overlapping waves would reboot it.
     """
     return record.finished_at >= wave.started_at
 
 
 def find_pending_vms(draft: Draft, wave: WaveRecord, pool_id: PoolId) -> list[VMRecord]:
-    """Return the pool's VMs that the wave still wants, in order of choice."""
+    """Return the pool's VMs that still have to be drained, in order of preference."""
     tables = draft.tables
     wanted = [
         record
@@ -42,8 +42,8 @@
         tables.vms_by_id[vm_id].rack_id
         for vm_id in tables.busy_vm_ids_by_pool.get(pool_id, ())
     )
-    # Taking the racks one after another keeps the VMs out of service in one
-    # failure domain, so that its loss costs the pool the least.
+    # Racks are drained one after another. The VMs out of service are then in the
+    # same failure domain, so the loss of a rack costs the pool the fewest VMs.
     wanted.sort(
         key=lambda record: (
             -out_by_rack[record.rack_id],
@@ -58,9 +58,9 @@
 def plan_wave_drains(
     draft: Draft, pool: PoolRow, fleet: FleetRow, wave_limit: WaveLimit, now: float
 ) -> None:
-    """Draft all drains of the pool that running waves want and budgets allow."""
-    # A VM given up in this very draft may be the one that pauses the wave;
-    # the next tick decides with it among the evidence.
+    """Draft all drains of running waves that limits and budgets allow in a pool."""
+    # A VM given up in this draft may cause the wave to pause, so no drains are
+    # planned until the next tick has evaluated the wave with that failure.
     if any(
         planned_decision.rule == Outcome.NOT_RETURNED.value
         for planned_decision in draft.planned_decisions
--- a/packages/systems/src/medlarspring_systems/moves.py
+++ b/packages/systems/src/medlarspring_systems/moves.py
@@ -1,4 +1,4 @@
-"""Moves VMs between pools, by need or by an operator's wish."""
+"""Moves VMs between pools, to reach their wanted sizes or on operator request."""
 
 from __future__ import annotations
 
@@ -22,13 +22,14 @@
     from medlarspring_tables.vms import VMRecord
 
 NEED_HOLD_SECONDS = 60.0
-"""A pool has to be short for this long before VMs are moved."""
+"""A pool has to be below its wanted size for this long before VMs are moved."""
 KEEP_ENDED_SECONDS = 86_400.0
+"""Delay before the record of an ended move is deleted."""
 _NOT_YET_JOINED = (MoveState.WANTED, MoveState.DRAINING)
 
 
 def count_members(draft: Draft, pool_id: PoolId) -> int:
-    """Return the VMs the pool will hold once all its open moves have ended."""
+    """Return the number of VMs in the pool once all its open moves have ended."""
     tables = draft.tables
     records = map(draft.vm, tables.vm_ids_by_pool.get(pool_id, ()))
     members = sum(
@@ -45,10 +46,10 @@
 def plan_needed_moves(
     draft: Draft, pool: PoolRow, pools_by_id: Mapping[PoolId, PoolRow], now: float
 ) -> None:
-    """Draft the moves that bring a pool to its wanted size, and no more.
+    """Draft the moves that bring a pool to its wanted size.
 
-    One move per VM lacking is the least possible: only surplus is taken, so
-    no move calls for another.
+    Exactly one move is made for each missing VM. Only VMs above another pool's
+    wanted size are taken, so that a move never causes a further one.
     """
     tables = draft.tables
     missing = pool.wanted_vms - count_members(draft, pool.id)
@@ -56,8 +57,8 @@
         tables.short_since_by_pool.pop(pool.id, None)
         _cancel_needed_moves(draft, pool, -missing, now)
         return
-    # A pool that is short for a moment only, between two edits of the table
-    # or until a VM is seen again, would otherwise pay for two moves.
+    # A pool may be short only briefly, between two edits of the table or until
+    # a VM is seen again. Moving VMs at once would then cost two moves.
     since = tables.short_since_by_pool.setdefault(pool.id, now)
     if now - since < NEED_HOLD_SECONDS:
         return
@@ -108,7 +109,7 @@
     fleet: FleetRow,
     now: float,
 ) -> None:
-    """Draft the drains of the moves that a pool has to give VMs for."""
+    """Draft the drains of the moves that take VMs from a pool."""
     moves = [
         move
         for move in map(draft.move, draft.tables.open_moves_by_id)
@@ -160,7 +161,7 @@
 
 
 def _choose_vms(draft: Draft, move: MoveRecord) -> list[VMId]:
-    """Return candidates, best first: both pools stay spread over racks."""
+    """Return candidates, best first, to keep both pools spread over racks."""
     if move.vm_id is not None and not move.is_by_need:
         return [move.vm_id]
     tables = draft.tables
@@ -196,7 +197,7 @@
 
 
 def plan_forget_moves(draft: Draft, pool: PoolRow, now: float) -> None:
-    """Draft the deletion of moves to the pool that ended long ago."""
+    """Draft the deletion of moves to the pool after ``KEEP_ENDED_SECONDS``."""
     for move in list(draft.tables.moves_by_id.values()):
         is_old = not move.is_open and now - move.ended_at > KEEP_ENDED_SECONDS
         if is_old and move.to_pool_id == pool.id:
