--- a/packages/systems/src/medlarspring_systems/placement.py
+++ b/packages/systems/src/medlarspring_systems/placement.py
@@ -1,4 +1,4 @@
-"""Where waiting jobs start: fair between partners, best fit on workers."""
+"""Places waiting jobs: weighted fairness between partners, best fit on workers."""
 
 from __future__ import annotations
 
@@ -34,25 +34,29 @@
     )
 
 BACKFILL_DEPTH = 8
-"""Jobs looked at behind one that does not fit, per partner and round."""
+"""Number of jobs tried per queue when those in front do not fit."""
 RECHECK_SECONDS = 5.0
-"""Time alone lets a job start: a quarantine ends, a job has waited long."""
+"""Interval of rounds without changes.
+
+Time alone can let a job start, when a quarantine ends or a job has waited long
+enough for a reserved worker.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start a job on a worker; the record already holds the attempt."""
+    """Order to start a job on a worker; the record already holds the attempt."""
 
     job: Job
     reason: str
 
 
 def place_jobs(tables: JobTables, now: Seconds, limit: int) -> list[StartAttempt]:
-    """Place up to ``most`` waiting jobs; records and sums are changed at once.
+    """Place up to ``limit`` waiting jobs and update records and totals at once.
 
     ``now`` is wall time. Urgent jobs of partners within their share go first,
-    then all partners by the part of the pool they hold for their weight.
-    A round after which nothing changed has nothing to find and costs nothing.
+    then the jobs of all partners, lowest weighted share first. A round is skipped
+    if nothing has changed since one that placed all it could.
     """
     is_settled = tables.settled_at_change == tables.changes
     if is_settled and now - tables.settled_at < RECHECK_SECONDS:
@@ -69,7 +73,7 @@
 
 
 def explain_waiting(tables: JobTables, job: Job, now: Seconds) -> Blocked | None:
-    """Return why a waiting job does not start now; None if it could."""
+    """Return why a waiting job cannot start now; None if it can."""
     round_ = create_round(tables, now)
     size = believe_size(tables, job, round_.largest)
     found = check_placement(tables, job, size, round_)
@@ -84,7 +88,7 @@
     *,
     only_within_share: bool = False,
 ) -> list[StartAttempt]:
-    """Serve the partner with the smallest weighted part, again and again."""
+    """Place jobs one by one, each time from the lowest weighted share's queue."""
     starts: list[StartAttempt] = []
     order = [
         (_weighted_share(tables, partner_id), partner_id)
@@ -114,7 +118,7 @@
 def _place_next(
     tables: JobTables, queue: list[QueueEntry], round_: PlacementRound
 ) -> StartAttempt | None:
-    """Place the first job of a queue that fits, looking a few places behind."""
+    """Place the first job that fits among the first ``BACKFILL_DEPTH`` of a queue."""
     passed: list[QueueEntry] = []
     start: StartAttempt | None = None
     while queue and start is None and len(passed) < BACKFILL_DEPTH:
@@ -138,10 +142,10 @@
 
 
 def _blocks_backfill(job: Job, block: Blocked, now: Seconds) -> bool:
-    """Tell whether a job has waited too long for its partner's own quota.
+    """Return whether a job has waited too long for its partner's quota.
 
-    Smaller jobs of the same partner would refill the quota whenever a part of
-    it comes free, and the large job would never start.
+    Otherwise smaller jobs of the same partner would use the quota whenever a
+    part of it becomes free, and the large job would never start.
     """
     has_waited = now - job.submitted_at >= RESERVE_AFTER_SECONDS
     return block is Blocked.QUOTA and has_waited
--- a/packages/systems/src/medlarspring_systems/placement_rules.py
+++ b/packages/systems/src/medlarspring_systems/placement_rules.py
@@ -1,4 +1,4 @@
-"""The rules by which a job may or may not start on a worker."""
+"""Rules that determine whether and where a job may start."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 RESERVE_AFTER_SECONDS = 120.0
 """A job that waited this long for a large enough worker gets one reserved."""
 WORKERS_PER_RESERVATION = 8
-"""At most one worker in so many is reserved, but always one."""
+"""At most one of this many workers is reserved, but at least one per pool."""
 
 
 class Blocked(Enum):
@@ -37,32 +37,32 @@
 
 @dataclass(slots=True)
 class PlacementRound:
-    """Facts that hold for one round, so that they are worked out once."""
+    """Values that are computed once per placement round."""
 
     now: Seconds
     """Wall time."""
     largest: Size
-    """The largest worker, accelerators aside."""
+    """Capacity of the worker with the most processors."""
     total_weight: float
     reserved: Size
-    """What is reserved for jobs that cannot yield."""
+    """Total size reserved for jobs that are not preemptible."""
     reserved_ids: set[JobId]
     """Jobs that have a worker reserved."""
     too_large: list[Size] = field(default_factory=list)
-    """Sizes for which no worker had room; room only shrinks in a round."""
+    """Sizes that fit no worker; free capacity only decreases during a round."""
 
     def is_too_large(self, size: Size) -> bool:
-        """Tell whether a size is no smaller than one that found no room."""
+        """Return whether a size is at least as large as one that fits no worker."""
         return any(other.fits_in(size) for other in self.too_large)
 
     def record_too_large(self, size: Size) -> None:
-        """Remember a size that found no room, in place of larger ones."""
+        """Record a size that fits no worker, in place of larger ones."""
         smaller = [other for other in self.too_large if not size.fits_in(other)]
         self.too_large = [*smaller, size]
 
 
 def create_round(tables: JobTables, now: Seconds) -> PlacementRound:
-    """Return the facts of a round that begins now."""
+    """Return the values for a round that starts now."""
     return PlacementRound(
         now=now,
         largest=largest_worker(tables),
@@ -77,7 +77,7 @@
 
 
 def largest_worker(tables: JobTables) -> Size:
-    """Return the size of the worker with the most processors."""
+    """Return the capacity of the worker with the most processors."""
     workers = tables.workers_by_id.values()
     if not workers:
         return NO_SIZE
@@ -85,7 +85,7 @@
 
 
 def dominant_share(held: Size, capacity: Size) -> float:
-    """Return the largest part held of any one kind of capacity."""
+    """Return the largest share held of any one resource."""
     return max(
         fraction_of(held.cpus, capacity.cpus),
         fraction_of(held.memory_gb, capacity.memory_gb),
@@ -96,7 +96,7 @@
 def is_within_share(
     tables: JobTables, partner: PartnerUse, total_weight: float
 ) -> bool:
-    """Tell whether a partner holds less than its weight entitles it to."""
+    """Return whether a partner holds less than its weighted fair share."""
     if total_weight <= 0:
         return False
     share = partner.weight / total_weight
@@ -106,7 +106,7 @@
 def check_placement(
     tables: JobTables, job: Job, size: Size, round_: PlacementRound
 ) -> Blocked | Worker:
-    """Return the worker on which a job may start now, or why there is none."""
+    """Return the worker on which a job may start now, or why it may not."""
     partner = tables.partners_by_id[job.partner_id]
     if not partner.held.plus(size).fits_in(partner.quota):
         return Blocked.QUOTA
@@ -124,10 +124,10 @@
 
 
 def find_worker(tables: JobTables, job: Job, size: Size, now: Seconds) -> Worker | None:
-    """Return the usable worker that the job would leave with least room.
+    """Return the usable worker with the least free capacity left by the job.
 
     Best fit keeps whole workers free for large jobs. Workers on which the job
-    failed come last; reserved ones take only the job they wait for.
+    failed come last. A reserved worker accepts only the job it is reserved for.
     """
     best: Worker | None = None
     best_key: tuple[bool, float] | None = None
@@ -148,18 +148,18 @@
 
 
 def is_usable(worker: Worker, job_id: JobId, now: Seconds) -> bool:
-    """Tell whether a worker may take this job now."""
+    """Return whether a worker may start this job now."""
     if not worker.accepts_work or worker.quarantined_until > now:
         return False
     if worker.quarantine_count and worker.job_ids:
-        return False  # On probation: one job at a time until one succeeds.
+        return False  # After a quarantine, one job at a time until one succeeds.
     return worker.reserved_for is None or worker.reserved_for == job_id
 
 
 def reserve_worker(
     tables: JobTables, job: Job, size: Size, round_: PlacementRound
 ) -> None:
-    """Keep small jobs off one worker once a large job has waited for long."""
+    """Reserve a worker for a job that has waited ``RESERVE_AFTER_SECONDS``."""
     if round_.now - job.submitted_at < RESERVE_AFTER_SECONDS:
         return
     if job.id in round_.reserved_ids:
@@ -187,18 +187,18 @@
 
 
 def fraction_of(amount: float, whole: float) -> float:
-    """Return a part of a whole; 0 of nothing."""
+    """Return the fraction ``amount / whole``; 0 if ``whole`` is not positive."""
     return amount / whole if whole > 0 else 0.0
 
 
 def _leaves_spare(
     tables: JobTables, job: Job, size: Size, round_: PlacementRound
 ) -> bool:
-    """Tell whether work that cannot yield stays out of the spare.
+    """Return whether the spare capacity stays free of non-preemptible work.
 
-    Spare that is held by work nobody can stop would be gone when a rack
-    fails, and urgent work would wait for hours. Work that can be
-    checkpointed within seconds may use it meanwhile; urgent work may always.
+    If such work held the spare, none would be left when a rack fails, and urgent
+    work would wait for hours. Preemptible work may use the spare because it can
+    be checkpointed within seconds, and urgent work may always use it.
     """
     if job.urgency is JobUrgency.URGENT:
         return True
@@ -213,10 +213,11 @@
 
 
 def _sum_reserved(tables: JobTables) -> Size:
-    """Return what is reserved for jobs that cannot yield.
+    """Return the total size reserved for jobs that are not preemptible.
 
-    Counting only what runs, small jobs elsewhere would fill the capacity up
-    to the spare, and the worker emptied for a large job would stay unused.
+    If only running jobs counted, small jobs on other workers would use all
+    capacity up to the spare, and the large job could not start on the worker
+    reserved for it.
     """
     total = NO_SIZE
     for worker in tables.workers_by_id.values():
@@ -229,7 +230,7 @@
 
 
 def _has_untried_worker(tables: JobTables, job: Job) -> bool:
-    """Tell whether a worker that could hold the job has not been tried."""
+    """Return whether the job has not yet failed on some worker that fits it."""
     return any(
         worker.accepts_work
         and worker.id not in job.failed_on
--- a/packages/systems/src/medlarspring_systems/preemption.py
+++ b/packages/systems/src/medlarspring_systems/preemption.py
@@ -1,4 +1,4 @@
-"""Making room for urgent work by checkpointing what can yield."""
+"""Frees workers for urgent jobs by checkpointing preemptible attempts."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopAttempt:
-    """Tell the worker to checkpoint and stop an attempt."""
+    """Order to checkpoint and stop an attempt on its worker."""
 
     job: Job
     reason: str
@@ -29,9 +29,9 @@
 def plan_preemptions(tables: JobTables, now: Seconds) -> list[StopAttempt]:
     """Return the attempts to stop so that waiting urgent jobs can start.
 
-    Runs after placement: what still waits in the urgent queues found no room.
-    Each urgent job gets one worker reserved, so that the room made for it is
-    not taken by others, and no second worker is emptied for the same job.
+    Runs after placement, so jobs still in the urgent queues could not be placed.
+    One worker is reserved for each urgent job, so that other jobs do not use the
+    capacity freed for it and no second worker is preempted for the same job.
     """
     stops: list[StopAttempt] = []
     for job in _list_urgent(tables):
@@ -57,10 +57,10 @@
 
 
 def _may_preempt(tables: JobTables, urgent: Job, victim: Job) -> bool:
-    """Tell whether an urgent job may end another job's attempt.
+    """Return whether an urgent job may preempt another job's attempt.
 
-    A partner over its share, or at its quota, may stop only work of its own;
-    else marking all work urgent would take the rivals' capacity.
+    A partner over its share or at its quota may preempt only its own work.
+    Otherwise it could take other partners' capacity by marking all work urgent.
     """
     if not is_preemptible_now(victim):
         return False
@@ -99,7 +99,7 @@
 
 
 def mark_stopping(tables: JobTables, job: Job, reason: str) -> StopAttempt:
-    """Note in the record that the attempt is being stopped."""
+    """Record that the attempt is being stopped, and return the order to stop it."""
     assert job.attempt is not None
     attempt = replace(job.attempt, state=AttemptState.STOPPING)
     stopping = replace(job, attempt=attempt)
@@ -115,7 +115,7 @@
 def _choose_victims(
     tables: JobTables, urgent: Job, worker: Worker, size: Size
 ) -> list[Job] | None:
-    """Return the fewest attempts whose end makes the job fit, or None."""
+    """Return attempts to stop, largest first, until the job fits; None if it cannot."""
     free = worker.capacity.minus(worker.allocated)
     candidates = [
         job
@@ -134,7 +134,7 @@
 
 
 def is_preemptible_now(job: Job) -> bool:
-    """Tell whether an attempt may be checkpointed for urgent work."""
+    """Return whether a job has a running attempt that may be checkpointed."""
     if job.urgency is JobUrgency.URGENT or not job.can_checkpoint:
         return False
     return job.attempt is not None and job.attempt.state is AttemptState.RUNNING
@@ -145,7 +145,7 @@
 
 
 def _preemption_cost(tables: JobTables, job: Job, now: Seconds) -> float:
-    """Weigh a stop: lost time, and less if the partner holds over its share."""
+    """Return the run time lost by a stop, reduced by the partner's weighted share."""
     assert job.attempt is not None
     partner = tables.partners_by_id.get(job.partner_id)
     ran = max(now - job.attempt.started_at, 1.0)
--- a/packages/systems/src/medlarspring_systems/quarantine.py
+++ b/packages/systems/src/medlarspring_systems/quarantine.py
@@ -1,4 +1,4 @@
-"""Which workers fail everything, and which jobs fail everywhere."""
+"""Tells faulty workers from faulty jobs and quarantines the workers."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
     from medlarspring_tables import Job, JobTables, Seconds, Worker
 
 FAILED_JOBS_TO_QUARANTINE = 3
-"""Different jobs that failed in a row before a worker is set aside."""
+"""Distinct jobs that fail on a worker without a success before its quarantine."""
 FAILED_WORKERS_TO_FAIL_JOB = 3
-"""Different workers that failed a job before the job is at fault."""
+"""Distinct workers on which a job fails before the job itself is failed."""
 FIRST_QUARANTINE_SECONDS = 60.0
 MAX_QUARANTINE_SECONDS = 3600.0
 MAX_QUARANTINED_FRACTION = 0.25
-"""Never more of the pool than this, whatever the evidence says."""
+"""Upper bound on the quarantined fraction of a pool; one worker is always allowed."""
 
 
 def record_success(worker: Worker) -> None:
-    """Clear a worker: what ran to its end there proves it works."""
+    """Reset a worker's failures and quarantine after a successful attempt."""
     worker.failed_job_ids.clear()
     worker.quarantine_count = 0
     worker.quarantined_until = 0.0
 
 
 def record_failure(tables: JobTables, job: Job, worker: Worker, now: Seconds) -> Job:
-    """Count a failure against job and worker; returns the job's new record.
+    """Count a failure against the job and its worker; return the job's new record.
 
-    A job that fails everywhere would otherwise take one worker after the
-    other with it, until the pool is empty. Once different workers failed it,
-    the job is at fault and its evidence against all workers is withdrawn.
+    A job that fails on enough distinct workers is failed itself, and its
+    failures no longer count against those workers. Otherwise a faulty job would
+    have one worker after the other quarantined until the pool is empty.
     """
     failed_on = job.failed_on
     if worker.id not in failed_on:
@@ -56,7 +56,7 @@
 
 
 def _workers_to_fail_job(tables: JobTables) -> int:
-    """Small pools have fewer workers to try."""
+    """Return the distinct workers needed to fail a job; fewer in small pools."""
     usable = sum(worker.accepts_work for worker in tables.workers_by_id.values())
     return max(1, min(FAILED_WORKERS_TO_FAIL_JOB, usable))
 
--- a/packages/systems/src/medlarspring_systems/spare.py
+++ b/packages/systems/src/medlarspring_systems/spare.py
@@ -1,4 +1,4 @@
-"""How much spare the fleet holds, needs and lends, and where."""
+"""Reports the fleet's spare capacity: held, needed, and by pool and zone."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FailureDomain(Enum):
-    """What may be lost at once without the fleet running short."""
+    """Failure domain whose loss the spare capacity has to cover."""
 
     RACK = "rack"
     ZONE = "zone"
@@ -27,29 +27,30 @@
 
 @dataclass(slots=True)
 class SpareReport:
-    """Spare in VMs, pooled over pools and partners."""
+    """Spare capacity in VMs, summed over all pools and partners."""
 
     held: int
-    """VMs that serve above all pools' budgets."""
+    """Available VMs above the budgets of their pools."""
     needed: int
     largest_domain: str
     domain_vms: int
     preemptible_use: int
-    """Of the held, lent to work that can be throttled or checkpointed."""
+    """Part of ``held`` that is used by work that can be throttled or checkpointed."""
     held_by_pool: dict[PoolId, int]
     held_by_zone: dict[ZoneId, int]
 
     @property
     def short(self) -> int:
-        """VMs lacking; waves stay narrow until it is 0."""
+        """Number of VMs by which the spare falls short of the need."""
         return max(0, self.needed - self.held)
 
 
 def count_needed(vms: int, largest_domain: int, spare_percent: float) -> int:
-    """Return the spare for one loss of the largest domain, or the operators' part.
+    """Return the spare VMs needed: the largest domain or ``spare_percent``.
 
-    One domain is lost at a time, whichever pool or partner it serves, so the
-    need is one maximum and not a sum over pools.
+    The larger of the two applies. Only one domain is assumed to be lost at a
+    time, whichever pools or partners it serves, so the need is not a sum over
+    pools.
     """
     return max(largest_domain, math.ceil(vms * spare_percent / 100))
 
@@ -61,7 +62,7 @@
     domain: FailureDomain = FailureDomain.RACK,
     preemptible_use: int = 0,
 ) -> SpareReport:
-    """Count the spare as it stands."""
+    """Return the current spare capacity of the fleet."""
     available = [
         record
         for record in tables.vms_by_id.values()
@@ -98,7 +99,7 @@
 def _count_spare_by_zone(
     available: list[VMRecord], held_by_pool: Mapping[PoolId, int]
 ) -> dict[ZoneId, int]:
-    """Return each pool's spare by zone: it lies where most of its VMs are."""
+    """Return the spare by zone; a pool's spare counts where most of its VMs are."""
     zones_by_pool: dict[PoolId, Counter[ZoneId]] = {}
     for record in available:
         zones_by_pool.setdefault(record.pool_id, Counter())[record.zone_id] += 1
--- a/packages/systems/src/medlarspring_systems/vm_actions.py
+++ b/packages/systems/src/medlarspring_systems/vm_actions.py
@@ -1,4 +1,4 @@
-"""What the platform has to be asked so that a VM's record comes true."""
+"""Chooses the platform action that brings a VM to its recorded state."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Action(Enum):
-    """What the platform is asked to do with a VM."""
+    """Action on a VM that is requested from the platform."""
 
     DRAIN = "drain"
     REBOOT = "reboot"
@@ -23,10 +23,10 @@
 
 
 def choose_action(tables: FleetTables, record: VMRecord) -> Action | None:
-    """Return what the platform has to be asked so that the record comes true.
+    """Return the action to request for a record; None if there is nothing to do.
 
-    Each revision of a record carries one kind of action only, so an action
-    that arrives late can never undo a later step of the same intent.
+    Each revision of a record corresponds to one kind of action only, so an action
+    that arrives late cannot undo a later step of the same intent.
     """
     observation = tables.observations_by_id.get(record.id)
     if observation is None or has_accepted(tables, record, observation):
@@ -48,7 +48,7 @@
 def has_accepted(
     tables: FleetTables, record: VMRecord, observation: VMObservation
 ) -> bool:
-    """Say whether the platform accepted the action of the record as it stands."""
+    """Return whether the platform accepted the action of the current revision."""
     return observation.revision >= tables.revision_of(key_of_vm(record.id))
 
 
--- a/packages/systems/src/medlarspring_systems/vm_progress.py
+++ b/packages/systems/src/medlarspring_systems/vm_progress.py
@@ -1,4 +1,4 @@
-"""Brings every VM that does not serve one step further, on evidence."""
+"""Advances every VM that does not serve by one step, based on observations."""
 
 from __future__ import annotations
 
@@ -41,20 +41,25 @@
 
 _REACHABLE = (VMCondition.SERVING, VMCondition.DRAINING, VMCondition.DRAINED)
 DRAIN_LIMIT_SECONDS = 600.0
-"""A drain that takes longer is taken back and reported."""
+"""A drain that takes longer is cancelled and recorded as timed out."""
 MOVE_SETTLE_SECONDS = 4.0
-"""A VM is drained at least this long before it changes its pool: the time in
-which an upstream that leaves stops getting new work, and a second."""
+"""Minimum time from the start of a drain to the VM's change of pool.
+
+It covers the time after which a leaving upstream gets no new work, plus one
+second.
+"""
 RETURN_LIMIT_SECONDS = 900.0
-"""A VM that is not back this long after its reboot is given up."""
+"""A VM that has not returned this long after its reboot is given up."""
 MIN_RETURN_LIMIT_SECONDS = 120.0
+"""Lower bound on the shorter limit that is derived from ``RETURN_LIMIT_RATIO``."""
 RETURN_LIMIT_RATIO = 2.5
-"""Given up earlier at this many times the median of those that returned."""
+"""A VM of a wave is given up after this multiple of the median return time."""
 MIN_RETURNED = 3
+"""Returned VMs of a wave needed before their median is used."""
 
 
 def plan_progress(draft: Draft, pool: PoolRow, now: float) -> None:
-    """Draft the next step of every VM of the pool that does not serve."""
+    """Draft the next step of each VM of the pool that does not serve."""
     busy = sorted(draft.tables.busy_vm_ids_by_pool.get(pool.id, ()))
     _restore_for_budget(draft, pool, busy, now)
     for vm_id in busy[:MAX_CHANGES]:
@@ -65,7 +70,7 @@
 def _restore_for_budget(
     draft: Draft, pool: PoolRow, busy: list[VMId], now: float
 ) -> None:
-    """Take drains back while unplanned failures hold the pool under its budget."""
+    """Cancel drains while unplanned failures keep the pool below its budget."""
     shortfall = -count_availability(draft, pool).room
     for vm_id in busy:
         if shortfall <= 0:
@@ -101,10 +106,10 @@
 def _is_lost_with_rack(
     tables: FleetTables, record: VMRecord, observation: VMObservation | None, now: float
 ) -> bool:
-    """Say whether a VM in the middle of its maintenance went with its rack.
+    """Return whether a VM under maintenance was lost together with its rack.
 
-    Waited for like a single VM, it would keep its pool from being refilled
-    long after the others of the rack have been replaced.
+    If it were waited for like a single VM, its replacement would be delayed long
+    after the other VMs of the rack have been replaced.
     """
     is_down = observation is None or observation.condition is VMCondition.DOWN
     is_waited_for = record.state in (
@@ -125,17 +130,17 @@
         return
     if observation is not None and has_accepted(draft.tables, record, observation):
         if observation.condition is VMCondition.SERVING:
-            # A holder cut off from the store put the VM back, or it failed and
-            # came back by itself. A drain of this intent that is still on its
-            # way would take it out again unlisted, so the intent is closed
-            # before the VM counts.
+            # A holder that could not reach the store restored the VM, or the VM
+            # failed and rebooted by itself. A delayed drain of this revision
+            # would take it out of service without an entry in the disruptions,
+            # so a newer revision has to be accepted before the VM counts.
             restore(draft, record, "serves-again", now)
             return
         if observation.condition is VMCondition.DRAINED:
             _plan_drained(draft, record, observation, now)
             return
-    # Only now the time is looked at: after an outage of the store the drain is
-    # old, but the VM was put back or is drained, and nothing timed out.
+    # The time limit is checked last: after an outage of the store a drain is old
+    # although the VM has been restored or drained meanwhile.
     if not is_joining and now - record.since > DRAIN_LIMIT_SECONDS:
         record_wave_outcome(draft, record, Outcome.DRAIN_TIMED_OUT, now)
         restore(draft, draft.vm(record.id), "drain-timed-out", now)
@@ -145,10 +150,10 @@
     draft: Draft, record: VMRecord, observation: VMObservation, now: float
 ) -> None:
     if record.target_pool_id is not None:
-        # Entry VMs that have not heard of the drain send work of the old pool
-        # on slots they hold. Assigned at once, the VM would run it in its new
-        # pool. While it is drained it refuses such work as not run, and after
-        # this time no entry VM has a slot left.
+        # Entry VMs that do not know of the drain yet still send work of the old
+        # pool on slots that they hold. If the VM were assigned at once, it would
+        # run that work in its new pool. While drained it refuses it as not run,
+        # and after this time no entry VM holds a slot any more.
         if now - record.since >= MOVE_SETTLE_SECONDS:
             join(draft, record, record.target_pool_id, now)
         return
@@ -172,11 +177,11 @@
 
 
 def find_return_limit(tables: FleetTables, record: VMRecord) -> float:
-    """Return how long a rebooting VM is waited for.
+    """Return the seconds after which a rebooting VM is given up.
 
-    Once others of its wave have returned, theirs is the measure: a VM that
-    takes several times as long is lost, and each minute it is waited for keeps
-    the room that it takes from the rest of its pool.
+    Once enough VMs of its wave have returned, the limit follows their median: a
+    VM that takes several times as long is considered lost, and while it is
+    waited for, its disruption counts against the budget of its pool.
     """
     if record.cause is None or record.cause.kind is not CauseKind.WAVE:
         return RETURN_LIMIT_SECONDS
@@ -200,14 +205,14 @@
         record_wave_outcome(draft, record, Outcome.BACK, now)
         serve(draft, draft.vm(record.id), "returned", now)
     elif is_rebooted:
-        # It failed and came back before the reboot was asked. A reboot that is
-        # still on its way must not reach it once it serves.
+        # The VM failed and rebooted by itself before the platform accepted the
+        # reboot. A delayed reboot must not reach it once it serves.
         record_wave_outcome(draft, record, Outcome.BACK, now)
         restore(draft, draft.vm(record.id), "rebooted-by-itself", now)
     else:
-        # A holder cut off from the store put it back. Rebooting it now would
-        # cut requests, and a second drain under this revision could reach it
-        # after its return; so it is drained under an intent of its own.
+        # A holder that could not reach the store restored the VM. A reboot now
+        # would interrupt requests, and a second drain under this revision could
+        # arrive after the VM's return, so it is drained under a new revision.
         drain_again(draft, record, record.target_pool_id, now)
 
 
@@ -247,13 +252,13 @@
 ) -> None:
     if observation is None or observation.condition not in _REACHABLE:
         return
-    # The VM was given up with an action perhaps still on its way to it; the
-    # restoration makes the platform refuse that one from now on.
+    # An action sent before the VM was given up may still arrive. Restoring the
+    # VM under a newer revision makes the platform refuse it.
     restore(draft, record, "returned-late", now)
 
 
 def plan_give_up(draft: Draft, pool: PoolRow, now: float) -> None:
-    """Give up VMs that failed on their own long ago, so that they are replaced."""
+    """Give up VMs that have long failed without a disruption, to replace them."""
     tables = draft.tables
     for vm_id in sorted(tables.vm_ids_by_pool.get(pool.id, ())):
         since = tables.failing_since_by_id.get(vm_id)
--- a/packages/systems/src/medlarspring_systems/vm_steps.py
+++ b/packages/systems/src/medlarspring_systems/vm_steps.py
@@ -1,4 +1,4 @@
-"""Single steps of a VM's record, each with what it drags along."""
+"""State changes of a VM's record, with the changes of related records."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def join(draft: Draft, record: VMRecord, pool_id: PoolId, now: float) -> None:
-    """Move a drained VM: the one write that changes its pool."""
+    """Draft the change of a drained VM's pool; no other write changes it."""
     draft.unlist_in_pool(record)
     joined = msgspec.structs.replace(
         record,
@@ -41,7 +41,7 @@
 def drain_again(
     draft: Draft, record: VMRecord, target_pool_id: PoolId | None, now: float
 ) -> None:
-    """Drain a VM that serves although its record intends otherwise."""
+    """Draft the drain of a VM that serves although its record says otherwise."""
     again = {
         "state": VMState.DRAINING,
         "since": now,
@@ -52,7 +52,7 @@
 
 
 def restore(draft: Draft, record: VMRecord, rule: str, now: float) -> None:
-    """Take a drain back, and close its intent to late actions."""
+    """Draft a return to service under a revision that invalidates late actions."""
     state = {"state": VMState.RESTORING, "since": now, "target_pool_id": None}
     draft.put(msgspec.structs.replace(record, **state))
     if record.state is VMState.DRAINING:
@@ -61,7 +61,7 @@
 
 
 def serve(draft: Draft, record: VMRecord, rule: str, now: float) -> None:
-    """Count the VM again and take it off both lists."""
+    """Draft that the VM serves, and remove it from both lists of disruptions."""
     draft.unlist_in_pool(record)
     draft.unlist_in_zone(record)
     draft.put(
@@ -77,7 +77,7 @@
 
 
 def give_up(draft: Draft, record: VMRecord, rule: str, now: float) -> None:
-    """Count the VM no more, so that it is replaced."""
+    """Draft that the VM is out, so that its pool gets a replacement."""
     draft.unlist_in_pool(record)
     draft.unlist_in_zone(record)
     state = {"state": VMState.OUT, "since": now, "target_pool_id": None}
@@ -88,7 +88,7 @@
 def record_wave_outcome(
     draft: Draft, record: VMRecord, outcome: Outcome, now: float
 ) -> None:
-    """Note how the VM's part in its wave ended."""
+    """Record the outcome of the VM's wave; does nothing without a wave."""
     if record.cause is None or record.cause.kind is not CauseKind.WAVE:
         return
     is_back = outcome is Outcome.BACK
@@ -111,7 +111,7 @@
 
 
 def set_move(draft: Draft, record: VMRecord, state: MoveState, now: float) -> None:
-    """Bring the VM's move, if there is one, to a state."""
+    """Set the state of the VM's move if it has one that is open."""
     if record.cause is None or record.cause.kind is not CauseKind.MOVE:
         return
     move = draft.move(MoveId(record.cause.id))
@@ -122,7 +122,10 @@
 
 
 def is_move_recorded(record: VMRecord) -> bool:
-    """Say whether the VM belongs to its new pool before the platform knows."""
+    """Return whether the record already names the new pool of a VM being drained.
+
+    The platform does not show the VM in that pool yet.
+    """
     return record.target_pool_id == record.pool_id
 
 
--- a/packages/systems/src/medlarspring_systems/wave_control.py
+++ b/packages/systems/src/medlarspring_systems/wave_control.py
@@ -24,13 +24,15 @@
 
 DAY_SECONDS = 86_400.0
 PERIOD_SECONDS = 42 * DAY_SECONDS
-"""Every VM is maintained once in this time."""
+"""Period in which every VM is maintained once."""
 PERIODIC_WAVE_LEAD_SECONDS = 7 * DAY_SECONDS
-"""The standing wave takes a VM this long before its time is up."""
+"""A VM is due for the periodic wave this long before the end of its period."""
 MAX_FAILURES_IN_A_ROW = 3
+"""Consecutive failures that pause a wave."""
 MAX_RECENT_FAILURES = 5
+"""Failures among the last ``OUTCOME_WINDOW`` VMs that pause a wave."""
 FIRST_PAUSE_SECONDS = 600.0
-"""First wait of a wave paused by evidence; doubles with each pause."""
+"""Length of a wave's first pause because of failures; doubles with each pause."""
 MAX_PAUSE_SECONDS = 4 * 3_600.0
 
 
@@ -46,7 +48,7 @@
         self.remedy = remedy
 
     def message(self) -> str:
-        """Say why and what to do."""
+        """Return why the command was refused and what to do."""
         return f"Wave {self.wave_id}: {self.reason}. {self.remedy}"
 
 
@@ -58,7 +60,7 @@
     created_by: str,
     now: float,
 ) -> Result[WaveRecord, WaveRefused]:
-    """Return a new wave over VMs, whole pools, or all VMs if none is named."""
+    """Return a new wave over the given VMs and pools, or all VMs if none is given."""
     scope = set(vm_ids)
     for pool_id in pool_ids:
         members = tables.vm_ids_by_pool.get(pool_id, set())
@@ -88,7 +90,7 @@
 def pause_wave(
     wave: WaveRecord, reason: str, now: float
 ) -> Result[WaveRecord, WaveRefused]:
-    """Return the wave paused by an operator, until his word."""
+    """Return the wave paused by an operator, until it is resumed by one."""
     if wave.state is not WaveState.RUNNING:
         return Failure(_refuse_state(wave, "Only a running wave can be paused."))
     paused = {"state": WaveState.PAUSED, "reason": reason, "resumes_at": 0.0}
@@ -96,7 +98,7 @@
 
 
 def resume_wave(wave: WaveRecord, now: float) -> Result[WaveRecord, WaveRefused]:
-    """Return the wave running again; evidence from before does not count."""
+    """Return the wave resumed; earlier outcomes no longer count."""
     if wave.state is not WaveState.PAUSED:
         return Failure(_refuse_state(wave, "Only a paused wave can be resumed."))
     return Success(_resume(wave, now, pauses=0))
@@ -105,7 +107,7 @@
 def abort_wave(
     wave: WaveRecord, reason: str, now: float
 ) -> Result[WaveRecord, WaveRefused]:
-    """Return the wave ended: drains are put back, reboots under way finish."""
+    """Return the wave aborted; its drains are cancelled, its reboots complete."""
     if not wave.is_open:
         return Failure(_refuse_state(wave, "It has ended; start another one."))
     aborted = {"state": WaveState.ABORTED, "reason": reason, "ended_at": now}
@@ -128,7 +130,7 @@
 
 
 def plan_wave_control(draft: Draft, wave: WaveRecord, now: float) -> None:
-    """Draft what evidence demands: a pause, a resumption or the end."""
+    """Draft the pause, resumption or end of a wave that its outcomes call for."""
     changed = _evaluate_wave(draft.tables, wave, now)
     if changed is None:
         return
@@ -174,9 +176,9 @@
 def find_pause_reason(outcomes: list[FinishedVM], wave: WaveRecord) -> str:
     """Return why the failures of a wave look correlated, or an empty string.
 
-    One VM in fifty fails a reboot by itself; then three in a row come about
-    once in 125,000 VMs, and five of twenty as seldom. A wave on probation
-    has to show one return before its failures count singly again.
+    One VM in fifty fails a reboot by chance. Three such failures in a row occur
+    about once in 125,000 VMs, and five among twenty are equally rare. After a
+    pause, any failure pauses the wave again until one VM has returned.
     """
     failed = [
         finish.vm_id for finish in outcomes if finish.outcome is Outcome.NOT_RETURNED
@@ -213,7 +215,7 @@
 
 
 def plan_periodic_wave(draft: Draft, now: float) -> None:
-    """Draft the next standing wave once any VM's time is nearly up."""
+    """Draft the next periodic wave once any VM is due for maintenance."""
     tables = draft.tables
     if any(
         wave.created_by == PERIODIC_WAVE_CREATOR
@@ -244,13 +246,14 @@
 
 
 def plan_forget_waves(draft: Draft, now: float) -> None:
-    """Draft the deletion of waves that ended a whole period ago."""
+    """Draft the deletion of waves that ended more than a period ago."""
     for wave in list(draft.tables.waves_by_id.values()):
         if not wave.is_open and now - wave.ended_at > PERIOD_SECONDS:
             draft.delete(key_of_wave(wave.id))
 
 
 PERIODIC_WAVE_CREATOR = "standing order"
+"""Value of ``created_by`` that marks periodic waves."""
 
 __all__ = [
     "PERIODIC_WAVE_CREATOR",
--- a/packages/systems/src/medlarspring_systems/wave_limits.py
+++ b/packages/systems/src/medlarspring_systems/wave_limits.py
@@ -1,4 +1,4 @@
-"""How wide a maintenance wave goes beyond the budgets of pools and zones."""
+"""Limits of maintenance waves beyond the budgets of pools and zones."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
     from medlarspring_tables.waves import WaveRecord
 
 OUTCOME_WINDOW = 20
-"""Ends of VMs that a wave is judged by."""
+"""Number of most recent VM outcomes by which a wave is evaluated."""
 
 
 class WaveLimit(Protocol):
-    """Limits a wave beyond the budgets of pools and zones."""
+    """Limits how many VMs a wave drains beyond the budgets of pools and zones."""
 
     def allows(
         self, draft: Draft, wave: WaveRecord, vm: VMRecord, pool: PoolRow
     ) -> bool:
-        """Say whether one more VM may be taken now."""
+        """Return whether one more VM may be drained now."""
         ...
 
 
 class BudgetOnlyLimit:
-    """As wide as the budgets alone allow."""
+    """Adds no limit to the budgets."""
 
     def allows(
         self, draft: Draft, wave: WaveRecord, vm: VMRecord, pool: PoolRow
@@ -41,16 +41,16 @@
 
 
 class CanaryLimit:
-    """One VM a zone until one has returned, then as wide as the budgets allow.
+    """Allows one VM per zone until a VM has returned, then adds no limit.
 
-    A reboot that no VM survives costs one VM a zone, not all that the budgets
-    would have let go.
+    If no VM survives its reboot, one VM per zone is lost instead of as many as
+    the budgets allow.
     """
 
     def allows(
         self, draft: Draft, wave: WaveRecord, vm: VMRecord, pool: PoolRow
     ) -> bool:
-        """Allow every VM after a proof, else the first of its zone."""
+        """Allow every VM once one has returned, before that the first per zone."""
         if has_returned_vm(draft.tables, wave):
             return True
         cause = Cause(CauseKind.WAVE, wave.id)
@@ -59,11 +59,11 @@
 
 
 class RackReserveLimit:
-    """As the inner rule, but a pool stays able to lose any one rack.
+    """Adds to an inner limit that a pool can lose any one rack.
 
-    Drained to its budget, a pool falls under it with the next rack that is
-    lost, and VMs that reboot by then cannot be put back. A pool that could not
-    lose a rack even at its wanted size is drained to its budget all the same.
+    A pool drained to its budget falls below it when a rack is lost, and VMs that
+    are rebooting by then cannot be restored. A pool that could not lose a rack
+    even at its wanted size is still drained to its budget.
     """
 
     def __init__(self, inner: WaveLimit) -> None:
@@ -72,14 +72,17 @@
     def allows(
         self, draft: Draft, wave: WaveRecord, vm: VMRecord, pool: PoolRow
     ) -> bool:
-        """Allow what the inner rule allows and the reserve bears."""
+        """Allow what the inner limit allows if the rack reserve is kept."""
         if not self._inner.allows(draft, wave, vm, pool):
             return False
         return keeps_rack_reserve(draft, vm, pool)
 
 
 def keeps_rack_reserve(draft: Draft, vm: VMRecord, pool: PoolRow) -> bool:
-    """Say whether the pool without the VM can lose a rack and keep its budget."""
+    """Return whether the pool without the VM can lose a rack and keep its budget.
+
+    True as well for a pool that could not lose a rack even at its wanted size.
+    """
     members_by_rack: Counter[RackId] = Counter()
     available_by_rack: Counter[RackId] = Counter()
     for vm_id in draft.tables.vm_ids_by_pool.get(pool.id, ()):
@@ -98,7 +101,7 @@
 
 
 def has_returned_vm(tables: FleetTables, wave: WaveRecord) -> bool:
-    """Say whether a VM has returned since the wave was last resumed."""
+    """Return whether a VM that began after the last resumption has returned."""
     for finish in reversed(tables.finished_by_wave.get(wave.id, [])):
         if finish.began_at < wave.resumed_at:
             return False
@@ -108,10 +111,10 @@
 
 
 def find_recent_outcomes(tables: FleetTables, wave: WaveRecord) -> list[FinishedVM]:
-    """Return the last failure and the ends before it, in order of beginning.
+    """Return the last failure and the outcomes before it, in order of start time.
 
-    What began after it is left out: of those only the successes are known yet.
-    So is what began before the wave was last resumed.
+    VMs that began after that failure are excluded, because only successes among
+    them are known yet. VMs that began before the last resumption are excluded too.
     """
     failed = tables.failed_by_wave.get(wave.id)
     if not failed:
--- a/packages/systems/src/medlarspring_systems/wave_progress.py
+++ b/packages/systems/src/medlarspring_systems/wave_progress.py
@@ -1,4 +1,4 @@
-"""What an operator sees of a maintenance wave."""
+"""Reports the progress of a maintenance wave to operators."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Step(Enum):
-    """Where one VM stands in a wave, for people."""
+    """Progress of one VM in a wave, as shown to operators."""
 
     WANTED = "wanted"
     LISTED = "listed"
@@ -39,7 +39,7 @@
 
 
 def find_step(tables: FleetTables, wave: WaveRecord, vm_id: VMId) -> Step:
-    """Return where a VM stands in a wave."""
+    """Return the progress of a VM in a wave."""
     record = tables.vms_by_id.get(vm_id)
     if record is None:
         return Step.GONE
@@ -68,18 +68,18 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What an operator sees of a wave."""
+    """Progress of a wave, as shown to operators."""
 
     counts_by_step: dict[Step, int]
     expected_end: float | None
-    """Wall time; None while nothing can be said."""
+    """Wall time; None while it cannot be estimated."""
     not_returned: list[VMId] = field(default_factory=list)
     blocks_by_pool: dict[PoolId, str] = field(default_factory=dict)
-    """Why a pool with VMs left starts no further drain."""
+    """Reason why a pool with VMs left starts no further drain."""
 
     @property
     def left(self) -> int:
-        """VMs that are not at their end."""
+        """Number of VMs for which the wave has not ended."""
         ended = sum(self.counts_by_step.get(step, 0) for step in _ENDED)
         return sum(self.counts_by_step.values()) - ended
 
@@ -91,7 +91,7 @@
     fleet: FleetRow,
     now: float,
 ) -> Progress:
-    """Return a wave's counts, its expected end and what blocks it."""
+    """Return a wave's counts, its expected end and its blocked pools."""
     tables = draft.tables
     steps_by_vm = {
         vm_id: find_step(tables, wave, vm_id) for vm_id in sorted(wave.vm_ids)
