--- a/packages/systems/src/medlarspring_systems/adoption.py
+++ b/packages/systems/src/medlarspring_systems/adoption.py
@@ -43,14 +43,16 @@
         )
 
 
-def plan_forgetting(draft: Draft, pool: PoolRow, vm_list: VMList, now: float) -> None:
+def plan_record_removal(
+    draft: Draft, pool: PoolRow, vm_list: VMList, now: float
+) -> None:
     """Draft the deletion of records of VMs that left the fleet."""
     for vm_id in sorted(draft.tables.busy_vm_ids_by_pool.get(pool.id, ())):
         record = draft.vm(vm_id)
-        is_gone = vm_id not in vm_list.vms_by_id
+        is_unlisted = vm_id not in vm_list.vms_by_id
         if (
             record.state is VMState.OUT
-            and is_gone
+            and is_unlisted
             and vm_id not in draft.tables.observations_by_id
             and now - record.since > FORGET_AFTER_SECONDS
         ):
@@ -58,4 +60,4 @@
             draft.record_decision(DecisionKind.FORGET, "no-longer-listed", vm_id=vm_id)
 
 
-__all__ = ["FORGET_AFTER_SECONDS", "plan_adoption", "plan_forgetting"]
+__all__ = ["FORGET_AFTER_SECONDS", "plan_adoption", "plan_record_removal"]
--- a/packages/systems/src/medlarspring_systems/availability.py
+++ b/packages/systems/src/medlarspring_systems/availability.py
@@ -123,7 +123,7 @@
         for vm_id in tables.vm_ids_by_pool.get(record.pool_id, ())
         if vm_id != record.id and tables.vms_by_id[vm_id].rack_id == record.rack_id
     ]
-    undrained = [
+    undrained_peers = [
         vm_id
         for vm_id in rack_peers
         if tables.vms_by_id[vm_id].state is VMState.SERVING
@@ -132,9 +132,15 @@
             and tables.vms_by_id[vm_id].cause is None
         )
     ]
-    failing = [vm_id for vm_id in undrained if vm_id in tables.failing_since_by_id]
-    out = [vm_id for vm_id in undrained if tables.vms_by_id[vm_id].state is VMState.OUT]
-    return 2 * (len(failing) + len(out)) > len(undrained) > 0
+    failing = [
+        vm_id for vm_id in undrained_peers if vm_id in tables.failing_since_by_id
+    ]
+    out = [
+        vm_id
+        for vm_id in undrained_peers
+        if tables.vms_by_id[vm_id].state is VMState.OUT
+    ]
+    return 2 * (len(failing) + len(out)) > len(undrained_peers) > 0
 
 
 __all__ = [
--- a/packages/systems/src/medlarspring_systems/fleet_plan.py
+++ b/packages/systems/src/medlarspring_systems/fleet_plan.py
@@ -4,20 +4,20 @@
 
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.adoption import plan_adoption, plan_forgetting
+from medlarspring_systems.adoption import plan_adoption, plan_record_removal
 from medlarspring_systems.availability import record_failing_vms
 from medlarspring_systems.draft import Draft
 from medlarspring_systems.maintenance import plan_wave_drains
 from medlarspring_systems.moves import (
-    plan_forget_moves,
     plan_move_drains,
+    plan_move_removal,
     plan_needed_moves,
 )
 from medlarspring_systems.vm_progress import plan_give_up, plan_progress
 from medlarspring_systems.wave_control import (
-    plan_forget_waves,
     plan_periodic_wave,
     plan_wave_control,
+    plan_wave_removal,
 )
 from medlarspring_systems.wave_limits import CanaryLimit, RackReserveLimit
 
@@ -47,7 +47,7 @@
     record_failing_vms(tables, pool_id, now)
     if vm_list is not None:
         plan_adoption(draft, pool, vm_list, now)
-        plan_forgetting(draft, pool, vm_list, now)
+        plan_record_removal(draft, pool, vm_list, now)
     plan_progress(draft, pool, now)
     plan_give_up(draft, pool, now)
     plan_needed_moves(draft, pool, config.pools_by_id, now)
@@ -55,7 +55,7 @@
     plan_wave_drains(
         draft, pool, config.fleet, wave_limit or RackReserveLimit(CanaryLimit()), now
     )
-    plan_forget_moves(draft, pool, now)
+    plan_move_removal(draft, pool, now)
     return draft
 
 
@@ -73,7 +73,7 @@
         plan_wave_control(draft, wave, now)
     if pool_id == min(config.pools_by_id, default=None):
         plan_periodic_wave(draft, now)
-        plan_forget_waves(draft, now)
+        plan_wave_removal(draft, now)
     return draft
 
 
--- a/packages/systems/src/medlarspring_systems/job_lifecycle.py
+++ b/packages/systems/src/medlarspring_systems/job_lifecycle.py
@@ -127,18 +127,18 @@
 def _apply_end(tables: JobTables, job: Job, end: AttemptEnd, now: Seconds) -> Job:
     assert job.attempt is not None
     worker = tables.workers_by_id.get(job.attempt.vm_id)
-    free = replace(job, attempt=None)
+    without_attempt = replace(job, attempt=None)
     if end is AttemptEnd.SUCCEEDED:
         if worker is not None:
             record_success(worker)
-        return replace(free, state=JobState.DONE)
+        return replace(without_attempt, state=JobState.DONE)
     if _was_cancelled(job):
-        return replace(free, state=JobState.CANCELLED)
+        return replace(without_attempt, state=JobState.CANCELLED)
     if end is AttemptEnd.FAILED and worker is not None:
-        free = record_failure(tables, free, worker, now)
-    if free.state is JobState.FAILED:
-        return free
-    return replace(free, state=JobState.WAITING)
+        without_attempt = record_failure(tables, without_attempt, worker, now)
+    if without_attempt.state is JobState.FAILED:
+        return without_attempt
+    return replace(without_attempt, state=JobState.WAITING)
 
 
 def _was_cancelled(job: Job) -> bool:
--- a/packages/systems/src/medlarspring_systems/moves.py
+++ b/packages/systems/src/medlarspring_systems/moves.py
@@ -196,7 +196,7 @@
     draft.put(msgspec.structs.replace(move, **refused))
 
 
-def plan_forget_moves(draft: Draft, pool: PoolRow, now: float) -> None:
+def plan_move_removal(draft: Draft, pool: PoolRow, now: float) -> None:
     """Draft the deletion of moves to the pool after ``KEEP_ENDED_SECONDS``."""
     for move in list(draft.tables.moves_by_id.values()):
         is_old = not move.is_open and now - move.ended_at > KEEP_ENDED_SECONDS
@@ -208,7 +208,7 @@
     "KEEP_ENDED_SECONDS",
     "NEED_HOLD_SECONDS",
     "count_members",
-    "plan_forget_moves",
+    "plan_move_removal",
     "plan_move_drains",
     "plan_needed_moves",
 ]
--- a/packages/systems/src/medlarspring_systems/placement.py
+++ b/packages/systems/src/medlarspring_systems/placement.py
@@ -76,8 +76,8 @@
     """Return why a waiting job cannot start now; None if it can."""
     round_ = create_round(tables, now)
     size = believe_size(tables, job, round_.largest)
-    found = check_placement(tables, job, size, round_)
-    return found if isinstance(found, Blocked) else None
+    result = check_placement(tables, job, size, round_)
+    return result if isinstance(result, Blocked) else None
 
 
 def _place_from_queues(
@@ -119,24 +119,24 @@
     tables: JobTables, queue: list[QueueEntry], round_: PlacementRound
 ) -> StartAttempt | None:
     """Place the first job that fits among the first ``BACKFILL_DEPTH`` of a queue."""
-    passed: list[QueueEntry] = []
+    skipped: list[QueueEntry] = []
     start: StartAttempt | None = None
-    while queue and start is None and len(passed) < BACKFILL_DEPTH:
+    while queue and start is None and len(skipped) < BACKFILL_DEPTH:
         queue_entry = heapq.heappop(queue)
         job = tables.jobs_by_id.get(queue_entry[1])
         if job is None or job.state is not JobState.WAITING:
             continue
         size = believe_size(tables, job, round_.largest)
-        found = check_placement(tables, job, size, round_)
-        if not isinstance(found, Blocked):
-            start = _start(tables, job, size, found, round_.now)
+        result = check_placement(tables, job, size, round_)
+        if not isinstance(result, Blocked):
+            start = _start(tables, job, size, result, round_.now)
             continue
-        passed.append(queue_entry)
-        if found in (Blocked.NO_FREE_WORKER, Blocked.SPARE):
+        skipped.append(queue_entry)
+        if result in (Blocked.NO_FREE_WORKER, Blocked.SPARE):
             reserve_worker(tables, job, size, round_)
-        elif _blocks_backfill(job, found, round_.now):
+        elif _blocks_backfill(job, result, round_.now):
             break
-    for queue_entry in passed:
+    for queue_entry in skipped:
         heapq.heappush(queue, queue_entry)
     return start
 
--- a/packages/systems/src/medlarspring_systems/preemption.py
+++ b/packages/systems/src/medlarspring_systems/preemption.py
@@ -148,11 +148,11 @@
     """Return the run time lost by a stop, reduced by the partner's weighted share."""
     assert job.attempt is not None
     partner = tables.partners_by_id.get(job.partner_id)
-    ran = max(now - job.attempt.started_at, 1.0)
+    run_seconds = max(now - job.attempt.started_at, 1.0)
     if partner is None or partner.weight <= 0:
-        return ran
+        return run_seconds
     weighted_share = dominant_share(partner.held, tables.capacity) / partner.weight
-    return ran / (1.0 + weighted_share)
+    return run_seconds / (1.0 + weighted_share)
 
 
 __all__ = [
--- a/packages/systems/src/medlarspring_systems/vm_steps.py
+++ b/packages/systems/src/medlarspring_systems/vm_steps.py
@@ -42,12 +42,12 @@
     draft: Draft, record: VMRecord, target_pool_id: PoolId | None, now: float
 ) -> None:
     """Draft the drain of a VM that serves although its record says otherwise."""
-    again = {
+    draining = {
         "state": VMState.DRAINING,
         "since": now,
         "target_pool_id": target_pool_id,
     }
-    draft.put(msgspec.structs.replace(record, **again))
+    draft.put(msgspec.structs.replace(record, **draining))
     draft.record_decision(DecisionKind.DRAIN, "put-back-seen", vm_id=record.id)
 
 
--- a/packages/systems/src/medlarspring_systems/wave_control.py
+++ b/packages/systems/src/medlarspring_systems/wave_control.py
@@ -183,19 +183,19 @@
     failed = [
         finish.vm_id for finish in outcomes if finish.outcome is Outcome.NOT_RETURNED
     ]
-    in_a_row = _count_in_a_row(outcomes)
-    lacks_returned_vm = wave.pauses > 0 and in_a_row == len(outcomes)
-    if lacks_returned_vm and in_a_row > 0:
+    consecutive_failures = _count_consecutive_failures(outcomes)
+    lacks_returned_vm = wave.pauses > 0 and consecutive_failures == len(outcomes)
+    if lacks_returned_vm and consecutive_failures > 0:
         return f"the trial VM {failed[-1]} did not return"
-    if in_a_row >= MAX_FAILURES_IN_A_ROW:
-        names = ", ".join(failed[-in_a_row:])
-        return f"{in_a_row} VMs in a row did not return ({names})"
+    if consecutive_failures >= MAX_FAILURES_IN_A_ROW:
+        names = ", ".join(failed[-consecutive_failures:])
+        return f"{consecutive_failures} VMs in a row did not return ({names})"
     if len(failed) >= MAX_RECENT_FAILURES:
         return f"{len(failed)} of the last {OUTCOME_WINDOW} VMs did not return"
     return ""
 
 
-def _count_in_a_row(outcomes: list[FinishedVM]) -> int:
+def _count_consecutive_failures(outcomes: list[FinishedVM]) -> int:
     count = 0
     for finish in reversed(outcomes):
         if finish.outcome is not Outcome.NOT_RETURNED:
@@ -245,7 +245,7 @@
     )
 
 
-def plan_forget_waves(draft: Draft, now: float) -> None:
+def plan_wave_removal(draft: Draft, now: float) -> None:
     """Draft the deletion of waves that ended more than a period ago."""
     for wave in list(draft.tables.waves_by_id.values()):
         if not wave.is_open and now - wave.ended_at > PERIOD_SECONDS:
@@ -262,7 +262,7 @@
     "create_wave",
     "find_pause_reason",
     "pause_wave",
-    "plan_forget_waves",
+    "plan_wave_removal",
     "plan_periodic_wave",
     "plan_wave_control",
     "resume_wave",
--- a/packages/systems/tests/test_holders.py
+++ b/packages/systems/tests/test_holders.py
@@ -66,9 +66,9 @@
     assert plan_holders(holdings, POOLS, others, 0.0).release == ()
     assert plan_holders(holdings, POOLS, [], 5.0).release == ()
     assert plan_holders(holdings, POOLS, others, HANDOVER_DELAY_SECONDS).release == ()
-    late = 2 * HANDOVER_DELAY_SECONDS
-    assert plan_holders(holdings, POOLS, others, late).release == (pool_id,)
-    assert plan_holders(holdings, [], [], late).release == (pool_id,)
+    after_delay = 2 * HANDOVER_DELAY_SECONDS
+    assert plan_holders(holdings, POOLS, others, after_delay).release == (pool_id,)
+    assert plan_holders(holdings, [], [], after_delay).release == (pool_id,)
 
 
 def test_holder_stops_before_its_lease_expires_in_the_store():
--- a/packages/systems/tests/test_placement.py
+++ b/packages/systems/tests/test_placement.py
@@ -212,16 +212,16 @@
 
 def test_worker_that_fails_everything_is_quarantined_on_different_jobs():
     tables = make_tables(workers=4)
-    bad = tables.workers_by_id[VMId("vm-0")]
+    faulty = tables.workers_by_id[VMId("vm-0")]
     for number in range(12):
         put_job(tables, make_job(f"j{number:02}"))
     for _ in range(6):
         for start in place_jobs(tables, 10.0, 100):
             end = AttemptEnd.SUCCEEDED
-            if start.job.attempt.vm_id == bad.id:
+            if start.job.attempt.vm_id == faulty.id:
                 end = AttemptEnd.FAILED
             end_attempt(tables, start.job.id, start.job.attempt.number, end, 10.0)
-    assert bad.quarantined_until > 10.0
+    assert faulty.quarantined_until > 10.0
     assert all(job.state is JobState.DONE for job in tables.jobs_by_id.values())
 
 
