--- a/packages/systems/src/medlarspring_systems/disruptions.py
+++ b/packages/systems/src/medlarspring_systems/disruptions.py
@@ -55,7 +55,7 @@
         return Failure(_refuse_for_budget(vm_id, availability))
     zone = draft.zone_disruptions(record.zone_id)
     if len(zone.causes_by_vm) >= fleet.max_drains_per_zone:
-        reason = f"zone {zone.zone_id} has {len(zone.causes_by_vm)} VMs out already"
+        reason = f"zone {zone.zone_id} has {len(zone.causes_by_vm)} VMs out of service"
         remedy = "Wait for one, or raise max_drains_per_zone in the fleet row."
         return Failure(DisruptionRefused(vm_id, reason, remedy))
     draft.list_vm(record, cause)
@@ -75,11 +75,11 @@
 def _refuse_for_budget(vm_id: VMId, availability: Availability) -> DisruptionRefused:
     reason = (
         f"pool {availability.pool_id} has {availability.available} VMs available"
-        f" of at least {availability.min_available}"
+        f" of at least {availability.min_available} required"
         f" ({availability.disrupted} disrupted, {availability.failed} failed,"
         f" {availability.unseen} unseen, {availability.out} out)"
     )
-    remedy = "Mend the failed VMs, move VMs in, or lower min_available."
+    remedy = "Repair the failed VMs, add VMs to the pool, or lower min_available."
     return DisruptionRefused(vm_id, reason, remedy)
 
 
--- a/packages/systems/tests/conftest.py
+++ b/packages/systems/tests/conftest.py
@@ -27,7 +27,7 @@
 
 @dataclass
 class Fleet:
-    """Fleet tables with a hand on the clock and on what the platform shows."""
+    """Fleet tables with a controllable clock and controllable VM observations."""
 
     config: ConfigTable
     tables: FleetTables = field(default_factory=FleetTables)
@@ -35,7 +35,7 @@
     now: float = 10_000.0
 
     def commit(self, draft: Draft) -> Draft:
-        """Write a draft as the store would."""
+        """Apply a draft to the tables as the store would."""
         self.revision += 1
         for key, record in draft.records_by_key.items():
             if record is None:
@@ -78,7 +78,7 @@
         self.commit(draft)
 
     def observe(self, vm: str, condition: VMCondition, **changes: object) -> None:
-        """Let the platform show a VM, after it accepted the record's action."""
+        """Set a VM's observation, with the action of its record accepted."""
         vm_id = VMId(vm)
         revision = self.tables.revision_of(key_of(self.tables.vms_by_id[vm_id]))
         seen = self.tables.observations_by_id[vm_id]
@@ -109,7 +109,7 @@
         )
 
     def reboot(self, vm: str, pool: str = "a", returns: bool = True) -> None:
-        """Carry one VM from its drain to its return, or to its loss."""
+        """Take a draining VM through its reboot, until it returns or is down."""
         self.observe(vm, VMCondition.DRAINED)
         self.tick(pool)
         if returns:
--- a/packages/systems/tests/test_disruptions.py
+++ b/packages/systems/tests/test_disruptions.py
@@ -92,9 +92,9 @@
 
 def test_drains_are_cancelled_when_failures_take_the_pool_below_its_budget(fleet):
     """
-    Two VMs are being drained when two others fail on their own. The pool is
-    then under its budget by failures, and the drains are taken back at once:
-    they have not rebooted yet, so they can serve within a second.
+    Two VMs are draining when two others fail, so the pool is below its budget.
+    Both drains are cancelled at once, since VMs that have not rebooted yet can
+    serve again within a second.
     """
     fleet.start_wave()
     fleet.tick()
@@ -129,10 +129,10 @@
 
 def test_vm_restored_by_a_partitioned_holder_is_drained_again_before_its_reboot(fleet):
     """
-    The holder saw the VM drained and wrote the intent to reboot it. Meanwhile a
-    former holder, cut off from the store, had put the VM back, and requests run
-    on it. A reboot now would cut them, so the VM is drained once more, under a
-    revision of its own.
+    The holder saw the VM drained and wrote the intent to reboot it. A former
+    holder that could not reach the store has restored the VM meanwhile, and it
+    serves requests. A reboot would interrupt them, so the VM is drained again
+    under a new revision.
     """
     fleet.start_wave()
     fleet.tick()
@@ -148,10 +148,10 @@
 @pytest.mark.parametrize("state", [VMState.DRAINING, VMState.REBOOTING, VMState.OUT])
 def test_vm_that_rebooted_by_itself_is_restored_before_it_counts(fleet, state):
     """
-    A VM fails in the middle of its maintenance and boots by itself. A drain or
-    reboot sent by a frozen holder may still arrive; were the VM counted at
-    once, it would then be taken out unlisted. It counts only after the platform
-    has accepted a newer revision.
+    A VM fails during its maintenance and reboots by itself. A drain or reboot
+    sent by a suspended holder may still arrive. If the VM counted as available
+    at once, that action would take it out of service without an entry in the
+    disruptions, so the platform has to accept a newer revision first.
     """
     fleet.start_wave()
     fleet.tick()
--- a/packages/systems/tests/test_holders.py
+++ b/packages/systems/tests/test_holders.py
@@ -73,9 +73,10 @@
 
 def test_holder_stops_before_its_lease_expires_in_the_store():
     """
-    The holder is paused, or the store stops answering. Its lease lapses in the
-    store LEASE_SECONDS after the last renewal arrived; it was sent before, and
-    the holder stops a margin earlier still, so that no two act.
+    The holder is suspended, or the store stops answering. The lease expires in
+    the store LEASE_SECONDS after the last renewal arrived. The holder counts from
+    when it sent the renewal and stops LEASE_MARGIN_SECONDS earlier still, so that
+    two holders never act at the same time.
     """
     pool_id = POOLS[0]
     holdings = Holdings(IDS[0])
--- a/packages/systems/tests/test_maintenance.py
+++ b/packages/systems/tests/test_maintenance.py
@@ -59,9 +59,9 @@
 
 def test_failures_in_a_row_pause_the_wave_and_a_failed_canary_doubles_the_pause(fleet):
     """
-    A bad image: no VM survives its reboot. Operators see the wave pause with
-    the names before the pool is under its budget; after the probation one VM
-    a zone is tried, fails, and the next wait is twice as long.
+    With a faulty image no VM survives its reboot. The wave pauses and names the
+    failed VMs before the pool is below its budget. After the pause one VM per
+    zone is drained, fails too, and the next pause is twice as long.
     """
     fleet.add_pool("b", vms=8, wanted=8, min_available=1)
     fleet.config = msgspec.structs.replace(
@@ -106,9 +106,9 @@
     fleet, failed, is_paused
 ):
     """
-    Twenty VMs reboot one after another. Those that return are known within
-    minutes, those that do not all at the same late moment; by the ends they
-    would stand in a row, although others between them came back.
+    Twenty VMs reboot one after another. Returns are known within minutes, but all
+    failures only at the same later time. In order of end they would look
+    consecutive although VMs between them returned.
     """
     fleet.add_pool("b", vms=20, wanted=20, min_available=20)
     fleet.start_wave()
@@ -160,9 +160,9 @@
 @pytest.mark.parametrize(("min_available", "drained"), [(6, 2), (4, 4), (3, 2), (2, 4)])
 def test_wave_leaves_a_pool_able_to_lose_a_rack(fleet, min_available, drained):
     """
-    Eight VMs stand in two racks of four. With a budget of 3 the pool can lose
-    a rack and have one VM out of each; with 4 or 6 it never could, and the
-    budget alone limits the wave.
+    The pool has eight VMs in two racks of four. With a min_available of 3 it can
+    lose a rack while one VM of each rack is drained. With 4 or 6 it cannot, so
+    only the budget limits the wave.
     """
     fleet.add_pool("b", vms=8, wanted=8, min_available=min_available)
     draft = Draft(fleet.tables)
--- a/packages/systems/tests/test_moves.py
+++ b/packages/systems/tests/test_moves.py
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def two_pools(fleet):
-    """Return the fleet with a second pool that has three VMs too many."""
+    """Return the fleet with a second pool of three VMs above its wanted size."""
     fleet.add_pool("b", vms=8, wanted=5, min_available=4)
     return fleet
 
@@ -53,9 +53,9 @@
 
 def test_drained_vm_is_moved_only_after_the_settle_time(two_pools):
     """
-    An idle VM is drained within a tick of the order. Entry VMs that have not
-    heard of it still hold slots of its old pool; moved at once, it would run
-    their requests as a VM of the new pool.
+    An idle VM is drained within one tick. Entry VMs that do not know of the drain
+    yet still hold slots of its old pool. If the VM moved at once, it would run
+    their requests as a member of the new pool.
     """
     fleet = two_pools
     fleet.put(*request_moves(1))
@@ -82,8 +82,8 @@
 
 def test_source_pool_keeps_its_budget(two_pools):
     """
-    An operator wishes two VMs away from a pool whose others have failed. The
-    pool stands at its budget, so the moves wait; the VMs go on serving.
+    An operator requests two moves from a pool in which four VMs have failed. The
+    pool has no VM above its budget, so the moves wait and the VMs keep serving.
     """
     fleet = two_pools
     for number in range(4):
--- a/packages/systems/tests/test_placement.py
+++ b/packages/systems/tests/test_placement.py
@@ -142,9 +142,9 @@
 
 def test_urgent_job_on_a_full_pool_preempts_one_attempt():
     """
-    The pool is full of checkpointable work when an urgent job comes.
-    One attempt is stopped, the worker is held for the urgent job, and a job of
-    a rival that asks in between does not take the room that was made.
+    The pool is full of preemptible work when an urgent job is submitted. One
+    attempt is stopped and its worker is reserved for the urgent job, so another
+    job submitted meanwhile does not get the freed capacity.
     """
     tables = make_tables(workers=2)
     for number in range(8):
@@ -165,9 +165,9 @@
 
 def test_bulk_job_starts_although_newer_jobs_keep_coming():
     """
-    Newer normal jobs arrive faster than one worker runs them.
-    Without a bound on overtaking the reconciliation would wait for ever; with
-    it, it starts ahead of everything submitted ten minutes later.
+    Normal jobs arrive faster than one worker runs them. Without a bound on
+    overtaking, the bulk job would wait forever. With it, the bulk job starts
+    before all jobs submitted more than ten minutes later.
     """
     tables = make_tables(workers=1)
     tables.spare_percent = 0.0
@@ -189,8 +189,8 @@
 @pytest.mark.parametrize("spare_percent", [0.0, 10.0, 40.0])
 def test_large_job_gets_a_worker_though_small_ones_keep_coming(spare_percent):
     """
-    Small jobs refill every gap, so a job as large as a worker never fits.
-    After two minutes one worker is reserved and drains towards it.
+    Small jobs use all capacity that becomes free, so a job as large as a worker
+    never fits. After two minutes one worker is reserved for it and empties.
     """
     tables = make_tables(workers=2)
     tables.spare_percent = spare_percent
@@ -227,8 +227,8 @@
 
 def test_job_that_fails_everywhere_is_failed_without_quarantining_workers():
     """
-    One job crashes on every worker. After three workers it is given up with
-    the reason, and the evidence against those workers is withdrawn.
+    One job fails on every worker. After three workers the job itself is failed
+    with that reason, and its failures no longer count against the workers.
     """
     tables = make_tables(workers=6)
     put_job(tables, make_job("poison"))
@@ -241,8 +241,8 @@
 
 def test_late_report_of_an_earlier_attempt_is_ignored():
     """
-    An attempt is lost, the job runs elsewhere, and then the first worker
-    reports its end. Taking the report would free the second worker.
+    An attempt is lost, the job runs on another worker, and then the first worker
+    reports its end. Applying that report would release the second worker.
     """
     tables = make_tables()
     put_job(tables, make_job("j"))
@@ -297,8 +297,8 @@
 
 def test_large_job_gets_its_quota_although_its_partner_submits_small_ones():
     """
-    The quota holds four small jobs or one large one, and small ones come on.
-    Once the large job has waited two minutes, none of them passes it.
+    The quota fits four small jobs or one large one, and small jobs keep coming.
+    Once the large job has waited two minutes, none of them may overtake it.
     """
     tables = make_tables()
     tables.partners_by_id[PartnerId("north")].quota = Size(32.0, 64.0, 0)
@@ -323,8 +323,9 @@
 )
 def test_partner_over_its_share_preempts_only_its_own_work(partner_of_soft, stops):
     """
-    South holds three of four workers with firm work and asks for urgent room.
-    It may stop its own work, but stopping north's would take north's share.
+    South holds three of four workers with work that is not preemptible and
+    submits an urgent job. It may preempt its own work, but preempting north's
+    would use north's share.
     """
     tables = make_tables(workers=4)
     tables.spare_percent = 0.0
@@ -340,8 +341,8 @@
 
 def test_job_that_ran_out_of_memory_gets_more_at_its_next_attempt():
     """
-    The declaration is a tenth of the need. Placed again at the same size the
-    job would be ended again and again, on every worker it starts on.
+    The job declares far less memory than it needs. Placed again at the same size
+    it would run out of memory on every worker.
     """
     tables = make_tables()
     put_job(tables, make_job("j", declared=Size(1, 4)))
@@ -359,8 +360,8 @@
 
 def test_work_that_can_only_be_throttled_stays_out_of_the_spare():
     """
-    Nothing throttles running work yet, so the spare it held could not be had
-    back when urgent work comes.
+    Nothing throttles running work yet, so spare capacity that it held could not
+    be reclaimed when urgent work arrives.
     """
     tables = make_tables(workers=4)
     tables.spare_percent = 25.0
