--- a/packages/systems/tests/test_placement.py
+++ b/packages/systems/tests/test_placement.py
@@ -341,8 +341,8 @@
 
 def test_job_that_ran_out_of_memory_gets_more_at_its_next_attempt():
     """
-    The job declares far less memory than it needs. Placed again at the same size
-    it would run out of memory on every worker.
+    The job declares a tenth of the memory that it needs. Placed again at the same
+    size, it would run out of memory on every worker it starts on.
     """
     tables = make_tables()
     put_job(tables, make_job("j", declared=Size(1, 4)))
