--- a/packages/systems/src/medlarspring_systems/placement.py
+++ b/packages/systems/src/medlarspring_systems/placement.py
@@ -34,9 +34,9 @@
     )
 
 BACKFILL_DEPTH = 8
-"""Number of jobs tried per queue when those in front do not fit."""
+"""Number of jobs of a partner that are tried when those in front do not fit."""
 RECHECK_SECONDS = 5.0
-"""Interval of rounds without changes.
+"""Time after which a round is repeated although nothing has changed.
 
 Time alone can let a job start, when a quarantine ends or a job has waited long
 enough for a reserved worker.
@@ -55,8 +55,9 @@
     """Place up to ``limit`` waiting jobs and update records and totals at once.
 
     ``now`` is wall time. Urgent jobs of partners within their share go first,
-    then the jobs of all partners, lowest weighted share first. A round is skipped
-    if nothing has changed since one that placed all it could.
+    then the jobs of all partners, lowest weighted share first. After a round that
+    placed all it could, further rounds are skipped for ``RECHECK_SECONDS`` unless
+    something has changed.
     """
     is_settled = tables.settled_at_change == tables.changes
     if is_settled and now - tables.settled_at < RECHECK_SECONDS:
--- a/packages/systems/src/medlarspring_systems/quarantine.py
+++ b/packages/systems/src/medlarspring_systems/quarantine.py
@@ -1,4 +1,4 @@
-"""Tells faulty workers from faulty jobs and quarantines the workers."""
+"""Distinguishes faulty workers from faulty jobs and quarantines the workers."""
 
 from __future__ import annotations
 
--- a/packages/systems/src/medlarspring_systems/wave_limits.py
+++ b/packages/systems/src/medlarspring_systems/wave_limits.py
@@ -1,4 +1,4 @@
-"""Limits of maintenance waves beyond the budgets of pools and zones."""
+"""Limits on maintenance waves in addition to the budgets of pools and zones."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class WaveLimit(Protocol):
-    """Limits how many VMs a wave drains beyond the budgets of pools and zones."""
+    """Limits the drains of a wave in addition to the budgets of pools and zones."""
 
     def allows(
         self, draft: Draft, wave: WaveRecord, vm: VMRecord, pool: PoolRow
