--- a/packages/systems/src/medlarspring_systems/availability.py
+++ b/packages/systems/src/medlarspring_systems/availability.py
@@ -1,4 +1,4 @@
-"""Counts what a pool can serve with, against its availability budget."""
+"""Counts the available VMs of a pool against its availability budget."""
 
 from __future__ import annotations
 
@@ -12,16 +12,19 @@
     from medlarspring_systems.draft import Draft
     from medlarspring_tables import PoolId, PoolRow
     from medlarspring_tables.fleet_tables import FleetTables
-    from medlarspring_tables.vms import VMRecord, VMSighting
+    from medlarspring_tables.vms import VMObservation, VMRecord
 
 REPLACE_AFTER_SECONDS = 300.0
-"""A VM that failed on its own for this long is replaced in its pool's count."""
+"""A VM that fails without a disruption for this long no longer counts as a member.
+
+Its pool is then short of a VM and gets a replacement.
+"""
 REPLACE_RACK_AFTER_SECONDS = 120.0
-"""The same for a VM of a lost rack, which no restart of single VMs brings back."""
+"""The same limit for a VM of a lost rack, which does not recover by VM restarts."""
 
 
 class Health(Enum):
-    """Whether a VM counts towards its pool's budget, and why not."""
+    """Whether a VM counts as available for its pool's budget, or why it does not."""
 
     AVAILABLE = "available"
     DISRUPTED = "disrupted"
@@ -33,7 +36,7 @@
 
 @dataclass(slots=True)
 class Availability:
-    """One pool's VMs by health."""
+    """Number of VMs of one pool by health."""
 
     pool_id: PoolId
     min_available: int
@@ -45,62 +48,64 @@
 
     @property
     def room(self) -> int:
-        """VMs that may be disrupted now; below 0 the budget is broken."""
+        """Number of VMs that may be disrupted now; negative if the budget is broken."""
         return self.available - self.min_available
 
     @property
     def members(self) -> int:
-        """VMs that belong to the pool and are not given up."""
+        """Number of VMs in the pool that have not been given up."""
         return self.available + self.disrupted + self.failed + self.unseen
 
 
-def judge_vm(record: VMRecord, sighting: VMSighting | None) -> Health:
-    """Return a VM's health; without a fresh sighting nothing good is assumed.
+def judge_vm(record: VMRecord, observation: VMObservation | None) -> Health:
+    """Return a VM's health; without a current observation it counts as unseen.
 
-    A VM that the platform still shows in another pool does not serve its own.
+    A VM that the platform still shows in another pool counts as failed, since it
+    does not serve its own pool yet.
     """
     if record.state is VMState.OUT:
         return Health.OUT
     if record.state is not VMState.SERVING:
         return Health.DISRUPTED
-    if sighting is None:
+    if observation is None:
         return Health.UNSEEN
-    if sighting.condition is not VMCondition.SERVING:
+    if observation.condition is not VMCondition.SERVING:
         return Health.FAILED
-    if sighting.pool_id != record.pool_id:
+    if observation.pool_id != record.pool_id:
         return Health.FAILED
     return Health.AVAILABLE
 
 
 def count_availability(draft: Draft, row: PoolRow) -> Availability:
-    """Count a pool as it would stand after the draft."""
-    counted = Availability(row.id, row.min_available)
-    # A successor's records of single VMs may lag behind the list, which it has
-    # read under the revision it writes. A VM on the list is out in any case.
+    """Count a pool's VMs as they will be after the draft is written."""
+    availability = Availability(row.id, row.min_available)
+    # After a takeover, this process's VM records may lag behind the pool's list
+    # of disruptions, which it read at the revision under which it writes.
+    # A VM on that list is out of service in any case.
     listed = draft.pool_disruptions(row.id).causes_by_vm
     for vm_id in draft.tables.vm_ids_by_pool.get(row.id, ()):
         record = draft.vm(vm_id)
         if record.pool_id != row.id:
             continue
-        health = judge_vm(record, draft.tables.sightings_by_id.get(vm_id))
+        health = judge_vm(record, draft.tables.observations_by_id.get(vm_id))
         match Health.DISRUPTED if vm_id in listed else health:
             case Health.AVAILABLE:
-                counted.available += 1
+                availability.available += 1
             case Health.DISRUPTED:
-                counted.disrupted += 1
+                availability.disrupted += 1
             case Health.FAILED:
-                counted.failed += 1
+                availability.failed += 1
             case Health.UNSEEN:
-                counted.unseen += 1
+                availability.unseen += 1
             case Health.OUT:
-                counted.out += 1
-    return counted
+                availability.out += 1
+    return availability
 
 
-def note_failing(tables: FleetTables, pool_id: PoolId, now: float) -> None:
-    """Remember since when each serving VM of a pool has been down or unseen."""
+def record_failing_vms(tables: FleetTables, pool_id: PoolId, now: float) -> None:
+    """Record since when each VM of a pool that should serve is down or unseen."""
     for vm_id in tables.vm_ids_by_pool.get(pool_id, ()):
-        health = judge_vm(tables.vms_by_id[vm_id], tables.sightings_by_id.get(vm_id))
+        health = judge_vm(tables.vms_by_id[vm_id], tables.observations_by_id.get(vm_id))
         if health in (Health.FAILED, Health.UNSEEN):
             tables.failing_since_by_id.setdefault(vm_id, now)
         else:
@@ -108,28 +113,34 @@
 
 
 def is_rack_lost(tables: FleetTables, record: VMRecord) -> bool:
-    """Say whether most of a VM's rack-mates in its pool fail without any drain.
+    """Return whether most other VMs of a VM's rack and pool fail undrained.
 
-    A rack that is lost takes VMs of the wave along with others; VMs that the
-    wave itself broke leave their rack-mates serving.
+    Losing a rack also takes down VMs that no wave has drained. If only the wave
+    broke its VMs, the other VMs of the rack still serve.
     """
-    mates = [
+    rack_peers = [
         vm_id
         for vm_id in tables.vm_ids_by_pool.get(record.pool_id, ())
         if vm_id != record.id and tables.vms_by_id[vm_id].rack_id == record.rack_id
     ]
-    undrained = [
+    undrained_peers = [
         vm_id
-        for vm_id in mates
+        for vm_id in rack_peers
         if tables.vms_by_id[vm_id].state is VMState.SERVING
         or (
             tables.vms_by_id[vm_id].state is VMState.OUT
             and tables.vms_by_id[vm_id].cause is None
         )
     ]
-    failing = [vm_id for vm_id in undrained if vm_id in tables.failing_since_by_id]
-    out = [vm_id for vm_id in undrained if tables.vms_by_id[vm_id].state is VMState.OUT]
-    return 2 * (len(failing) + len(out)) > len(undrained) > 0
+    failing = [
+        vm_id for vm_id in undrained_peers if vm_id in tables.failing_since_by_id
+    ]
+    out = [
+        vm_id
+        for vm_id in undrained_peers
+        if tables.vms_by_id[vm_id].state is VMState.OUT
+    ]
+    return 2 * (len(failing) + len(out)) > len(undrained_peers) > 0
 
 
 __all__ = [
@@ -140,5 +151,5 @@
     "count_availability",
     "is_rack_lost",
     "judge_vm",
-    "note_failing",
+    "record_failing_vms",
 ]
--- a/packages/systems/src/medlarspring_systems/job_lifecycle.py
+++ b/packages/systems/src/medlarspring_systems/job_lifecycle.py
@@ -1,4 +1,4 @@
-"""What becomes of a job when a worker, a partner or a lease says something."""
+"""State changes of jobs on worker reports, cancellations and expired leases."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from medlarspring_systems.job_records import put_job
 from medlarspring_systems.preemption import StopAttempt, mark_stopping
-from medlarspring_systems.quarantine import note_failure, note_success
+from medlarspring_systems.quarantine import record_failure, record_success
 from medlarspring_systems.size_beliefs import learn_use, raise_least
 from medlarspring_tables import AttemptState, JobState
 
@@ -25,13 +25,16 @@
     CHECKPOINTED = "checkpointed"
     STOPPED = "stopped"
     OUT_OF_MEMORY = "out-of-memory"
-    """The worker ended it because it used more memory than there was."""
+    """The worker ended it because it ran out of memory."""
     LOST = "lost"
-    """The worker is gone and the task's lease has certainly run out."""
+    """The worker is gone and the lease of the task has surely expired."""
 
 
 def confirm_running(tables: JobTables, job_id: JobId, number: int) -> Job | None:
-    """Note that the worker runs the attempt; None when it is not the current one."""
+    """Record that the worker runs an attempt, and return the updated job.
+
+    None if the attempt is not the current one or its start is already recorded.
+    """
     job = _find_current(tables, job_id, number)
     if job is None or job.attempt is None:
         return None
@@ -52,16 +55,16 @@
     peak: Size | None = None,
     checkpoint: str = "",
 ) -> Job | None:
-    """Take an attempt's end into the record; None when it is not the current one.
+    """Record the end of an attempt; None if it is not the current one.
 
-    A late word about an earlier attempt would free a worker that runs the
-    next one, and the job would run twice; the attempt's number tells them
-    apart.
+    A late report of an earlier attempt, if applied, would release the worker
+    that runs the next attempt, and the job would run twice. The attempt number
+    tells them apart.
     """
     job = _find_current(tables, job_id, number)
     if job is None or job.attempt is None:
         return None
-    if peak is not None and end in TELLING_ENDS:
+    if peak is not None and end in REPRESENTATIVE_ENDS:
         learn_use(tables, job, peak)
     ended = _apply_end(tables, job, end, now)
     if peak is not None and end is AttemptEnd.OUT_OF_MEMORY:
@@ -77,8 +80,8 @@
 def cancel_job(job: Job, reason: str, now: Seconds) -> Job | None:
     """Return the record of a cancelled job; a running attempt is stopped first.
 
-    None when there is nothing left to cancel. A waiting job costs no search:
-    its queue entry is dropped when it comes up.
+    None if the job has already ended. The queue is not searched for a waiting
+    job: its entry is dropped when it reaches the front.
     """
     if job.state in FINAL_STATES:
         return None
@@ -88,11 +91,11 @@
     return replace(job, attempt=attempt, reason=reason)
 
 
-def list_stranded(tables: JobTables) -> list[StopAttempt]:
-    """Return attempts to stop because their worker takes no more work.
+def plan_drain_stops(tables: JobTables) -> list[StopAttempt]:
+    """Return the attempts to stop because their worker accepts no more work.
 
-    A drain waits for work that cannot yield; work that can is checkpointed at
-    once and goes on elsewhere.
+    Attempts that can be checkpointed are stopped at once and continue on another
+    worker. A drain waits for all others to end.
     """
     stops: list[StopAttempt] = []
     for worker in tables.workers_by_id.values():
@@ -106,7 +109,7 @@
 
 
 def release_stale_reservations(tables: JobTables) -> None:
-    """Give back workers reserved for jobs that no longer wait."""
+    """Release workers that are reserved for jobs that no longer wait."""
     for worker in tables.workers_by_id.values():
         if worker.reserved_for is None:
             continue
@@ -115,8 +118,8 @@
             worker.reserved_for = None
 
 
-TELLING_ENDS = frozenset({AttemptEnd.SUCCEEDED, AttemptEnd.OUT_OF_MEMORY})
-"""Ends after which the peak of use tells of the job's true size."""
+REPRESENTATIVE_ENDS = frozenset({AttemptEnd.SUCCEEDED, AttemptEnd.OUT_OF_MEMORY})
+"""Ends after which the peak use is representative of the job's real size."""
 
 FINAL_STATES = frozenset({JobState.DONE, JobState.FAILED, JobState.CANCELLED})
 
@@ -124,18 +127,18 @@
 def _apply_end(tables: JobTables, job: Job, end: AttemptEnd, now: Seconds) -> Job:
     assert job.attempt is not None
     worker = tables.workers_by_id.get(job.attempt.vm_id)
-    free = replace(job, attempt=None)
+    without_attempt = replace(job, attempt=None)
     if end is AttemptEnd.SUCCEEDED:
         if worker is not None:
-            note_success(worker)
-        return replace(free, state=JobState.DONE)
+            record_success(worker)
+        return replace(without_attempt, state=JobState.DONE)
     if _was_cancelled(job):
-        return replace(free, state=JobState.CANCELLED)
+        return replace(without_attempt, state=JobState.CANCELLED)
     if end is AttemptEnd.FAILED and worker is not None:
-        free = note_failure(tables, free, worker, now)
-    if free.state is JobState.FAILED:
-        return free
-    return replace(free, state=JobState.WAITING)
+        without_attempt = record_failure(tables, without_attempt, worker, now)
+    if without_attempt.state is JobState.FAILED:
+        return without_attempt
+    return replace(without_attempt, state=JobState.WAITING)
 
 
 def _was_cancelled(job: Job) -> bool:
@@ -160,6 +163,6 @@
     "cancel_job",
     "confirm_running",
     "end_attempt",
-    "list_stranded",
+    "plan_drain_stops",
     "release_stale_reservations",
 ]
--- a/packages/systems/src/medlarspring_systems/maintenance.py
+++ b/packages/systems/src/medlarspring_systems/maintenance.py
@@ -1,4 +1,4 @@
-"""Drains the VMs of maintenance waves, as many at a time as is safe."""
+"""Drains the VMs of maintenance waves within budgets and wave limits."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 if TYPE_CHECKING:
     from medlarspring_systems.draft import Draft
-    from medlarspring_systems.wave_width import WidthRule
+    from medlarspring_systems.wave_limits import WaveLimit
     from medlarspring_tables import FleetRow, PoolId, PoolRow
     from medlarspring_tables.vms import VMRecord
     from medlarspring_tables.waves import WaveRecord
 
 
 def has_ended(wave: WaveRecord, record: VMRecord) -> bool:
-    """Say whether a VM's part in a wave is over.
+    """Return whether a wave is finished for a VM.
 
-    A VM that another wave rebooted after this one had started counts too:
-    overlapping waves would otherwise reboot it once each, in turns.
+    A VM that another wave has rebooted since this wave started counts as
+    finished too. Otherwise each of several overlapping waves would reboot it.
     """
     return record.finished_at >= wave.started_at
 
 
-def find_wanted(draft: Draft, wave: WaveRecord, pool_id: PoolId) -> list[VMRecord]:
-    """Return the pool's VMs that the wave still wants, in order of choice."""
+def find_pending_vms(draft: Draft, wave: WaveRecord, pool_id: PoolId) -> list[VMRecord]:
+    """Return the pool's VMs that still have to be drained, in order of preference."""
     tables = draft.tables
     wanted = [
         record
@@ -42,8 +42,8 @@
         tables.vms_by_id[vm_id].rack_id
         for vm_id in tables.busy_vm_ids_by_pool.get(pool_id, ())
     )
-    # Taking the racks one after another keeps the VMs out of service in one
-    # failure domain, so that its loss costs the pool the least.
+    # Racks are drained one after another. The VMs out of service are then in the
+    # same failure domain, so the loss of a rack costs the pool the fewest VMs.
     wanted.sort(
         key=lambda record: (
             -out_by_rack[record.rack_id],
@@ -56,19 +56,22 @@
 
 
 def plan_wave_drains(
-    draft: Draft, pool: PoolRow, fleet: FleetRow, width: WidthRule, now: float
+    draft: Draft, pool: PoolRow, fleet: FleetRow, wave_limit: WaveLimit, now: float
 ) -> None:
-    """Draft all drains of the pool that running waves want and budgets allow."""
-    # A VM given up in this very draft may be the one that pauses the wave;
-    # the next tick decides with it among the evidence.
-    if any(note.rule == Outcome.NOT_RETURNED.value for note in draft.notes):
+    """Draft all drains of running waves that limits and budgets allow in a pool."""
+    # A VM given up in this draft may cause the wave to pause, so no drains are
+    # planned until the next tick has evaluated the wave with that failure.
+    if any(
+        planned_decision.rule == Outcome.NOT_RETURNED.value
+        for planned_decision in draft.planned_decisions
+    ):
         return
     waves = sorted(
         draft.tables.open_waves_by_id.values(), key=lambda wave: wave.started_at
     )
     for wave in waves:
         if wave.state is WaveState.RUNNING:
-            _plan_wave(draft, wave, pool, fleet, width, now)
+            _plan_wave(draft, wave, pool, fleet, wave_limit, now)
 
 
 def _plan_wave(
@@ -76,18 +79,18 @@
     wave: WaveRecord,
     pool: PoolRow,
     fleet: FleetRow,
-    width: WidthRule,
+    wave_limit: WaveLimit,
     now: float,
 ) -> None:
     cause = Cause(CauseKind.WAVE, wave.id)
-    for record in find_wanted(draft, wave, pool.id):
+    for record in find_pending_vms(draft, wave, pool.id):
         if len(draft.records_by_key) >= MAX_CHANGES:
             return
-        sighting = draft.tables.sightings_by_id.get(record.id)
-        if judge_vm(record, sighting) is not Health.AVAILABLE:
+        observation = draft.tables.observations_by_id.get(record.id)
+        if judge_vm(record, observation) is not Health.AVAILABLE:
             continue
-        if width.allows(draft, wave, record, pool):
+        if wave_limit.allows(draft, wave, record, pool):
             disrupt_vm(draft, record.id, cause, pool, fleet, now)
 
 
-__all__ = ["find_wanted", "has_ended", "plan_wave_drains"]
+__all__ = ["find_pending_vms", "has_ended", "plan_wave_drains"]
--- a/packages/systems/src/medlarspring_systems/placement.py
+++ b/packages/systems/src/medlarspring_systems/placement.py
@@ -1,4 +1,4 @@
-"""Where waiting jobs start: fair between partners, best fit on workers."""
+"""Places waiting jobs: weighted fairness between partners, best fit on workers."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     RESERVE_AFTER_SECONDS,
     Blocked,
     PlacementRound,
+    check_placement,
     create_round,
-    dominant_part,
-    find_block,
+    dominant_share,
     is_within_share,
     reserve_worker,
 )
@@ -27,72 +27,77 @@
         Job,
         JobTables,
         PartnerId,
-        Ranked,
+        QueueEntry,
         Seconds,
         Size,
         Worker,
     )
 
 BACKFILL_DEPTH = 8
-"""Jobs looked at behind one that does not fit, per partner and round."""
+"""Number of jobs of a partner that are tried when those in front do not fit."""
 RECHECK_SECONDS = 5.0
-"""Time alone lets a job start: a quarantine ends, a job has waited long."""
+"""Time after which a round is repeated although nothing has changed.
+
+Time alone can let a job start, when a quarantine ends or a job has waited long
+enough for a reserved worker.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start a job on a worker; the record already holds the attempt."""
+    """Order to start a job on a worker; the record already holds the attempt."""
 
     job: Job
     reason: str
 
 
-def place_jobs(tables: JobTables, now: Seconds, most: int) -> list[StartAttempt]:
-    """Place up to ``most`` waiting jobs; records and sums are changed at once.
+def place_jobs(tables: JobTables, now: Seconds, limit: int) -> list[StartAttempt]:
+    """Place up to ``limit`` waiting jobs and update records and totals at once.
 
     ``now`` is wall time. Urgent jobs of partners within their share go first,
-    then all partners by the part of the pool they hold for their weight.
-    A round after which nothing changed has nothing to find and costs nothing.
+    then the jobs of all partners, lowest weighted share first. After a round that
+    placed all it could, further rounds are skipped for ``RECHECK_SECONDS`` unless
+    something has changed.
     """
     is_settled = tables.settled_at_change == tables.changes
     if is_settled and now - tables.settled_at < RECHECK_SECONDS:
         return []
     round_ = create_round(tables, now)
     urgent, others = tables.urgent_by_partner, tables.waiting_by_partner
-    starts = _place_from(tables, urgent, round_, most, only_within_share=True)
-    starts += _place_from(tables, others, round_, most - len(starts))
-    starts += _place_from(tables, urgent, round_, most - len(starts))
-    if len(starts) < most:
+    starts = _place_from_queues(tables, urgent, round_, limit, only_within_share=True)
+    starts += _place_from_queues(tables, others, round_, limit - len(starts))
+    starts += _place_from_queues(tables, urgent, round_, limit - len(starts))
+    if len(starts) < limit:
         tables.settled_at_change = tables.changes
         tables.settled_at = now
     return starts
 
 
 def explain_waiting(tables: JobTables, job: Job, now: Seconds) -> Blocked | None:
-    """Return why a waiting job does not start now; None if it could."""
+    """Return why a waiting job cannot start now; None if it can."""
     round_ = create_round(tables, now)
     size = believe_size(tables, job, round_.largest)
-    found = find_block(tables, job, size, round_)
-    return found if isinstance(found, Blocked) else None
+    result = check_placement(tables, job, size, round_)
+    return result if isinstance(result, Blocked) else None
 
 
-def _place_from(
+def _place_from_queues(
     tables: JobTables,
-    queues: dict[PartnerId, list[Ranked]],
+    queues: dict[PartnerId, list[QueueEntry]],
     round_: PlacementRound,
-    most: int,
+    limit: int,
     *,
     only_within_share: bool = False,
 ) -> list[StartAttempt]:
-    """Serve the partner with the smallest weighted part, again and again."""
+    """Place jobs one by one, each time from the lowest weighted share's queue."""
     starts: list[StartAttempt] = []
     order = [
-        (_weighted_part(tables, partner_id), partner_id)
+        (_weighted_share(tables, partner_id), partner_id)
         for partner_id, queue in queues.items()
         if queue
     ]
     heapq.heapify(order)
-    while order and len(starts) < most:
+    while order and len(starts) < limit:
         _, partner_id = heapq.heappop(order)
         partner = tables.partners_by_id.get(partner_id)
         if partner is None:
@@ -105,43 +110,43 @@
         if start is None:
             continue
         starts.append(start)
-        heapq.heappush(order, (_weighted_part(tables, partner_id), partner_id))
+        heapq.heappush(order, (_weighted_share(tables, partner_id), partner_id))
     for partner_id in [key for key, queue in queues.items() if not queue]:
         del queues[partner_id]
     return starts
 
 
 def _place_next(
-    tables: JobTables, queue: list[Ranked], round_: PlacementRound
+    tables: JobTables, queue: list[QueueEntry], round_: PlacementRound
 ) -> StartAttempt | None:
-    """Place the first job of a queue that fits, looking a few places behind."""
-    passed: list[Ranked] = []
+    """Place the first job that fits among the first ``BACKFILL_DEPTH`` of a queue."""
+    skipped: list[QueueEntry] = []
     start: StartAttempt | None = None
-    while queue and start is None and len(passed) < BACKFILL_DEPTH:
-        ranked = heapq.heappop(queue)
-        job = tables.jobs_by_id.get(ranked[1])
+    while queue and start is None and len(skipped) < BACKFILL_DEPTH:
+        queue_entry = heapq.heappop(queue)
+        job = tables.jobs_by_id.get(queue_entry[1])
         if job is None or job.state is not JobState.WAITING:
             continue
         size = believe_size(tables, job, round_.largest)
-        found = find_block(tables, job, size, round_)
-        if not isinstance(found, Blocked):
-            start = _start(tables, job, size, found, round_.now)
+        result = check_placement(tables, job, size, round_)
+        if not isinstance(result, Blocked):
+            start = _start(tables, job, size, result, round_.now)
             continue
-        passed.append(ranked)
-        if found in (Blocked.NO_ROOM, Blocked.SPARE):
+        skipped.append(queue_entry)
+        if result in (Blocked.NO_FREE_WORKER, Blocked.SPARE):
             reserve_worker(tables, job, size, round_)
-        elif _may_not_be_passed(job, found, round_.now):
+        elif _blocks_backfill(job, result, round_.now):
             break
-    for ranked in passed:
-        heapq.heappush(queue, ranked)
+    for queue_entry in skipped:
+        heapq.heappush(queue, queue_entry)
     return start
 
 
-def _may_not_be_passed(job: Job, block: Blocked, now: Seconds) -> bool:
-    """Tell whether a job has waited too long for its partner's own quota.
+def _blocks_backfill(job: Job, block: Blocked, now: Seconds) -> bool:
+    """Return whether a job has waited too long for its partner's quota.
 
-    Smaller jobs of the same partner would refill the quota whenever a part of
-    it comes free, and the large job would never start.
+    Otherwise smaller jobs of the same partner would use the quota whenever a
+    part of it becomes free, and the large job would never start.
     """
     has_waited = now - job.submitted_at >= RESERVE_AFTER_SECONDS
     return block is Blocked.QUOTA and has_waited
@@ -169,11 +174,11 @@
     return StartAttempt(placed, f"best fit for {size.cpus:g} cpus")
 
 
-def _weighted_part(tables: JobTables, partner_id: PartnerId) -> float:
+def _weighted_share(tables: JobTables, partner_id: PartnerId) -> float:
     partner = tables.partners_by_id.get(partner_id)
     if partner is None or partner.weight <= 0:
         return float("inf")
-    return dominant_part(partner.held, tables.capacity) / partner.weight
+    return dominant_share(partner.held, tables.capacity) / partner.weight
 
 
 __all__ = ["BACKFILL_DEPTH", "StartAttempt", "explain_waiting", "place_jobs"]
--- a/packages/systems/src/medlarspring_systems/preemption.py
+++ b/packages/systems/src/medlarspring_systems/preemption.py
@@ -1,4 +1,4 @@
-"""Making room for urgent work by checkpointing what can yield."""
+"""Frees workers for urgent jobs by checkpointing preemptible attempts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from medlarspring_systems.job_records import put_job
-from medlarspring_systems.placement_rules import dominant_part, is_within_share
+from medlarspring_systems.placement_rules import dominant_share, is_within_share
 from medlarspring_systems.size_beliefs import believe_size
 from medlarspring_tables import AttemptState, JobState, JobUrgency
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopAttempt:
-    """Tell the worker to checkpoint and stop an attempt."""
+    """Order to checkpoint and stop an attempt on its worker."""
 
     job: Job
     reason: str
@@ -29,16 +29,16 @@
 def plan_preemptions(tables: JobTables, now: Seconds) -> list[StopAttempt]:
     """Return the attempts to stop so that waiting urgent jobs can start.
 
-    Runs after placement: what still waits in the urgent queues found no room.
-    Each urgent job gets one worker reserved, so that the room made for it is
-    not taken by others, and no second worker is emptied for the same job.
+    Runs after placement, so jobs still in the urgent queues could not be placed.
+    One worker is reserved for each urgent job, so that other jobs do not use the
+    capacity freed for it and no second worker is preempted for the same job.
     """
     stops: list[StopAttempt] = []
     for job in _list_urgent(tables):
         if len(stops) >= MAX_PREEMPTIONS_PER_TICK:
             break
         if not _has_reserved_worker(tables, job):
-            stops += _make_room(tables, job, now)
+            stops += _preempt_for(tables, job, now)
     return stops
 
 
@@ -56,13 +56,13 @@
     return waiting
 
 
-def _may_stop(tables: JobTables, urgent: Job, victim: Job) -> bool:
-    """Tell whether an urgent job may end another job's attempt.
+def _may_preempt(tables: JobTables, urgent: Job, victim: Job) -> bool:
+    """Return whether an urgent job may preempt another job's attempt.
 
-    A partner over its share, or at its quota, may stop only work of its own;
-    else marking all work urgent would take the rivals' capacity.
+    A partner over its share or at its quota may preempt only its own work.
+    Otherwise it could take other partners' capacity by marking all work urgent.
     """
-    if not can_yield(victim):
+    if not is_preemptible_now(victim):
         return False
     if victim.partner_id == urgent.partner_id:
         return True
@@ -78,16 +78,16 @@
     )
 
 
-def _make_room(tables: JobTables, job: Job, now: Seconds) -> list[StopAttempt]:
+def _preempt_for(tables: JobTables, job: Job, now: Seconds) -> list[StopAttempt]:
     best: tuple[float, str, Worker, list[Job]] | None = None
     for worker in tables.workers_by_id.values():
         size = believe_size(tables, job, worker.capacity)
-        if not _may_empty(worker, now) or not size.fits_in(worker.capacity):
+        if not _is_preemption_target(worker, now) or not size.fits_in(worker.capacity):
             continue
         victims = _choose_victims(tables, job, worker, size)
         if victims is None:
             continue
-        cost = sum(_cost(tables, victim, now) for victim in victims)
+        cost = sum(_preemption_cost(tables, victim, now) for victim in victims)
         if best is None or (cost, worker.id) < best[:2]:
             best = (cost, worker.id, worker, victims)
     if best is None:
@@ -99,7 +99,7 @@
 
 
 def mark_stopping(tables: JobTables, job: Job, reason: str) -> StopAttempt:
-    """Note in the record that the attempt is being stopped."""
+    """Record that the attempt is being stopped, and return the order to stop it."""
     assert job.attempt is not None
     attempt = replace(job.attempt, state=AttemptState.STOPPING)
     stopping = replace(job, attempt=attempt)
@@ -107,22 +107,22 @@
     return StopAttempt(stopping, reason)
 
 
-def _may_empty(worker: Worker, now: Seconds) -> bool:
+def _is_preemption_target(worker: Worker, now: Seconds) -> bool:
     usable = worker.accepts_work and worker.quarantined_until <= now
-    return usable and worker.reserved_for is None and not worker.quarantines
+    return usable and worker.reserved_for is None and not worker.quarantine_count
 
 
 def _choose_victims(
     tables: JobTables, urgent: Job, worker: Worker, size: Size
 ) -> list[Job] | None:
-    """Return the fewest attempts whose end makes the job fit, or None."""
-    free = worker.capacity.minus(worker.set_aside)
+    """Return attempts to stop, largest first, until the job fits; None if it cannot."""
+    free = worker.capacity.minus(worker.allocated)
     candidates = [
         job
         for job_id in sorted(worker.job_ids)
-        if _may_stop(tables, urgent, job := tables.jobs_by_id[job_id])
+        if _may_preempt(tables, urgent, job := tables.jobs_by_id[job_id])
     ]
-    candidates.sort(key=lambda job: -_room_of(job))
+    candidates.sort(key=lambda job: -_cpus_of(job))
     victims: list[Job] = []
     for job in candidates:
         if size.fits_in(free):
@@ -133,31 +133,31 @@
     return victims if size.fits_in(free) else None
 
 
-def can_yield(job: Job) -> bool:
-    """Tell whether an attempt may be checkpointed for urgent work."""
+def is_preemptible_now(job: Job) -> bool:
+    """Return whether a job has a running attempt that may be checkpointed."""
     if job.urgency is JobUrgency.URGENT or not job.can_checkpoint:
         return False
     return job.attempt is not None and job.attempt.state is AttemptState.RUNNING
 
 
-def _room_of(job: Job) -> float:
+def _cpus_of(job: Job) -> float:
     return job.attempt.size.cpus if job.attempt else 0.0
 
 
-def _cost(tables: JobTables, job: Job, now: Seconds) -> float:
-    """Weigh a stop: lost time, and less if the partner holds over its share."""
+def _preemption_cost(tables: JobTables, job: Job, now: Seconds) -> float:
+    """Return the run time lost by a stop, reduced by the partner's weighted share."""
     assert job.attempt is not None
     partner = tables.partners_by_id.get(job.partner_id)
-    ran = max(now - job.attempt.started_at, 1.0)
+    run_seconds = max(now - job.attempt.started_at, 1.0)
     if partner is None or partner.weight <= 0:
-        return ran
-    part = dominant_part(partner.held, tables.capacity) / partner.weight
-    return ran / (1.0 + part)
+        return run_seconds
+    weighted_share = dominant_share(partner.held, tables.capacity) / partner.weight
+    return run_seconds / (1.0 + weighted_share)
 
 
 __all__ = [
     "StopAttempt",
-    "can_yield",
+    "is_preemptible_now",
     "mark_stopping",
     "plan_preemptions",
 ]
--- a/packages/systems/src/medlarspring_systems/spare.py
+++ b/packages/systems/src/medlarspring_systems/spare.py
@@ -1,4 +1,4 @@
-"""How much spare the fleet holds, needs and lends, and where."""
+"""Reports the fleet's spare capacity: held, needed, and by pool and zone."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FailureDomain(Enum):
-    """What may be lost at once without the fleet running short."""
+    """Failure domain whose loss the spare capacity has to cover."""
 
     RACK = "rack"
     ZONE = "zone"
@@ -27,29 +27,30 @@
 
 @dataclass(slots=True)
 class SpareReport:
-    """Spare in VMs, pooled over pools and partners."""
+    """Spare capacity in VMs, summed over all pools and partners."""
 
     held: int
-    """VMs that serve above all pools' budgets."""
+    """Available VMs above the budgets of their pools."""
     needed: int
     largest_domain: str
     domain_vms: int
-    lent: int
-    """Of the held, lent to work that can be throttled or checkpointed."""
+    preemptible_use: int
+    """Part of ``held`` that is used by work that can be throttled or checkpointed."""
     held_by_pool: dict[PoolId, int]
     held_by_zone: dict[ZoneId, int]
 
     @property
     def short(self) -> int:
-        """VMs lacking; waves stay narrow until it is 0."""
+        """Number of VMs by which the spare falls short of the need."""
         return max(0, self.needed - self.held)
 
 
 def count_needed(vms: int, largest_domain: int, spare_percent: float) -> int:
-    """Return the spare for one loss of the largest domain, or the operators' part.
+    """Return the spare VMs needed: the largest domain or ``spare_percent``.
 
-    One domain is lost at a time, whichever pool or partner it serves, so the
-    need is one maximum and not a sum over pools.
+    The larger of the two applies. Only one domain is assumed to be lost at a
+    time, whichever pools or partners it serves, so the need is not a sum over
+    pools.
     """
     return max(largest_domain, math.ceil(vms * spare_percent / 100))
 
@@ -59,13 +60,14 @@
     pools_by_id: Mapping[PoolId, PoolRow],
     fleet: FleetRow,
     domain: FailureDomain = FailureDomain.RACK,
-    lent: int = 0,
+    preemptible_use: int = 0,
 ) -> SpareReport:
-    """Count the spare as it stands."""
+    """Return the current spare capacity of the fleet."""
     available = [
         record
         for record in tables.vms_by_id.values()
-        if judge_vm(record, tables.sightings_by_id.get(record.id)) is Health.AVAILABLE
+        if judge_vm(record, tables.observations_by_id.get(record.id))
+        is Health.AVAILABLE
     ]
     by_pool = Counter(record.pool_id for record in available)
     by_domain = Counter(_domain_of(record, domain) for record in available)
@@ -82,9 +84,9 @@
         needed=count_needed(len(available), domain_vms, fleet.spare_percent),
         largest_domain=largest_domain,
         domain_vms=domain_vms,
-        lent=min(lent, held),
+        preemptible_use=min(preemptible_use, held),
         held_by_pool=held_by_pool,
-        held_by_zone=_spread(available, held_by_pool),
+        held_by_zone=_count_spare_by_zone(available, held_by_pool),
     )
 
 
@@ -94,10 +96,10 @@
     return f"zone {record.zone_id}"
 
 
-def _spread(
+def _count_spare_by_zone(
     available: list[VMRecord], held_by_pool: Mapping[PoolId, int]
 ) -> dict[ZoneId, int]:
-    """Return each pool's spare by zone: it lies where most of its VMs are."""
+    """Return the spare by zone; a pool's spare counts where most of its VMs are."""
     zones_by_pool: dict[PoolId, Counter[ZoneId]] = {}
     for record in available:
         zones_by_pool.setdefault(record.pool_id, Counter())[record.zone_id] += 1
--- a/packages/systems/src/medlarspring_systems/vm_steps.py
+++ b/packages/systems/src/medlarspring_systems/vm_steps.py
@@ -1,4 +1,4 @@
-"""Single steps of a VM's record, each with what it drags along."""
+"""State changes of a VM's record, with the changes of related records."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from medlarspring_systems.draft import Decided
+from medlarspring_systems.draft import DecisionKind
 from medlarspring_tables import WaveId
 from medlarspring_tables.moves import MoveId, MoveState
 from medlarspring_tables.vms import CauseKind, Outcome, VMState
@@ -18,7 +18,7 @@
 
 
 def join(draft: Draft, record: VMRecord, pool_id: PoolId, now: float) -> None:
-    """Move a drained VM: the one write that changes its pool."""
+    """Draft the change of a drained VM's pool; no other write changes it."""
     draft.unlist_in_pool(record)
     joined = msgspec.structs.replace(
         record,
@@ -29,8 +29,8 @@
     )
     draft.put(joined)
     set_move(draft, record, MoveState.JOINING, now)
-    draft.note(
-        Decided.MOVE,
+    draft.record_decision(
+        DecisionKind.MOVE,
         "drained",
         vm_id=record.id,
         from_pool=record.pool_id,
@@ -41,27 +41,27 @@
 def drain_again(
     draft: Draft, record: VMRecord, target_pool_id: PoolId | None, now: float
 ) -> None:
-    """Drain a VM that serves although its record intends otherwise."""
-    again = {
+    """Draft the drain of a VM that serves although its record says otherwise."""
+    draining = {
         "state": VMState.DRAINING,
         "since": now,
         "target_pool_id": target_pool_id,
     }
-    draft.put(msgspec.structs.replace(record, **again))
-    draft.note(Decided.DRAIN, "put-back-seen", vm_id=record.id)
+    draft.put(msgspec.structs.replace(record, **draining))
+    draft.record_decision(DecisionKind.DRAIN, "put-back-seen", vm_id=record.id)
 
 
 def restore(draft: Draft, record: VMRecord, rule: str, now: float) -> None:
-    """Take a drain back, and close its intent to late actions."""
+    """Draft a return to service under a revision that invalidates late actions."""
     state = {"state": VMState.RESTORING, "since": now, "target_pool_id": None}
     draft.put(msgspec.structs.replace(record, **state))
     if record.state is VMState.DRAINING:
         set_move(draft, record, MoveState.WANTED, now)
-    draft.note(Decided.PUT_BACK, rule, vm_id=record.id)
+    draft.record_decision(DecisionKind.PUT_BACK, rule, vm_id=record.id)
 
 
 def serve(draft: Draft, record: VMRecord, rule: str, now: float) -> None:
-    """Count the VM again and take it off both lists."""
+    """Draft that the VM serves, and remove it from both lists of disruptions."""
     draft.unlist_in_pool(record)
     draft.unlist_in_zone(record)
     draft.put(
@@ -73,20 +73,22 @@
             target_pool_id=None,
         )
     )
-    draft.note(Decided.SERVE, rule, vm_id=record.id)
+    draft.record_decision(DecisionKind.SERVE, rule, vm_id=record.id)
 
 
 def give_up(draft: Draft, record: VMRecord, rule: str, now: float) -> None:
-    """Count the VM no more, so that it is replaced."""
+    """Draft that the VM is out, so that its pool gets a replacement."""
     draft.unlist_in_pool(record)
     draft.unlist_in_zone(record)
     state = {"state": VMState.OUT, "since": now, "target_pool_id": None}
     draft.put(msgspec.structs.replace(record, **state))
-    draft.note(Decided.GIVE_UP, rule, vm_id=record.id)
+    draft.record_decision(DecisionKind.GIVE_UP, rule, vm_id=record.id)
 
 
-def finish_wave(draft: Draft, record: VMRecord, outcome: Outcome, now: float) -> None:
-    """Note how the VM's part in its wave ended."""
+def record_wave_outcome(
+    draft: Draft, record: VMRecord, outcome: Outcome, now: float
+) -> None:
+    """Record the outcome of the VM's wave; does nothing without a wave."""
     if record.cause is None or record.cause.kind is not CauseKind.WAVE:
         return
     is_back = outcome is Outcome.BACK
@@ -100,8 +102,8 @@
             began_at=record.since,
         )
     )
-    draft.note(
-        Decided.VM_ENDED,
+    draft.record_decision(
+        DecisionKind.VM_ENDED,
         outcome.value,
         vm_id=record.id,
         wave_id=WaveId(record.cause.id),
@@ -109,7 +111,7 @@
 
 
 def set_move(draft: Draft, record: VMRecord, state: MoveState, now: float) -> None:
-    """Bring the VM's move, if there is one, to a state."""
+    """Set the state of the VM's move if it has one that is open."""
     if record.cause is None or record.cause.kind is not CauseKind.MOVE:
         return
     move = draft.move(MoveId(record.cause.id))
@@ -119,16 +121,19 @@
     draft.put(msgspec.structs.replace(move, state=state, ended_at=ended_at))
 
 
-def is_late_move(record: VMRecord) -> bool:
-    """Say whether the VM belongs to its new pool before the platform knows."""
+def is_move_recorded(record: VMRecord) -> bool:
+    """Return whether the record already names the new pool of a VM being drained.
+
+    The platform does not show the VM in that pool yet.
+    """
     return record.target_pool_id == record.pool_id
 
 
 __all__ = [
     "drain_again",
-    "finish_wave",
+    "record_wave_outcome",
     "give_up",
-    "is_late_move",
+    "is_move_recorded",
     "join",
     "restore",
     "serve",
--- a/packages/systems/src/medlarspring_systems/wave_control.py
+++ b/packages/systems/src/medlarspring_systems/wave_control.py
@@ -7,9 +7,9 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from medlarspring_systems.draft import Decided
+from medlarspring_systems.draft import DecisionKind
 from medlarspring_systems.maintenance import has_ended
-from medlarspring_systems.wave_width import EVIDENCE_DEPTH, find_evidence
+from medlarspring_systems.wave_limits import OUTCOME_WINDOW, find_recent_outcomes
 from medlarspring_tables import MedlarspringError, WaveId
 from medlarspring_tables.fleet_tables import key_of_wave
 from medlarspring_tables.vms import Outcome, VMState
@@ -24,14 +24,16 @@
 
 DAY_SECONDS = 86_400.0
 PERIOD_SECONDS = 42 * DAY_SECONDS
-"""Every VM is maintained once in this time."""
-LEAD_SECONDS = 7 * DAY_SECONDS
-"""The standing wave takes a VM this long before its time is up."""
+"""Period in which every VM is maintained once."""
+PERIODIC_WAVE_LEAD_SECONDS = 7 * DAY_SECONDS
+"""A VM is due for the periodic wave this long before the end of its period."""
 MAX_FAILURES_IN_A_ROW = 3
+"""Consecutive failures that pause a wave."""
 MAX_RECENT_FAILURES = 5
-PROBATION_SECONDS = 600.0
-"""First wait of a wave paused by evidence; doubles with each pause."""
-MAX_PROBATION_SECONDS = 4 * 3_600.0
+"""Failures among the last ``OUTCOME_WINDOW`` VMs that pause a wave."""
+FIRST_PAUSE_SECONDS = 600.0
+"""Length of a wave's first pause because of failures; doubles with each pause."""
+MAX_PAUSE_SECONDS = 4 * 3_600.0
 
 
 class WaveRefused(MedlarspringError):
@@ -46,7 +48,7 @@
         self.remedy = remedy
 
     def message(self) -> str:
-        """Say why and what to do."""
+        """Return why the command was refused and what to do."""
         return f"Wave {self.wave_id}: {self.reason}. {self.remedy}"
 
 
@@ -58,7 +60,7 @@
     created_by: str,
     now: float,
 ) -> Result[WaveRecord, WaveRefused]:
-    """Return a new wave over VMs, whole pools, or all VMs if none is named."""
+    """Return a new wave over the given VMs and pools, or all VMs if none is given."""
     scope = set(vm_ids)
     for pool_id in pool_ids:
         members = tables.vm_ids_by_pool.get(pool_id, set())
@@ -88,7 +90,7 @@
 def pause_wave(
     wave: WaveRecord, reason: str, now: float
 ) -> Result[WaveRecord, WaveRefused]:
-    """Return the wave paused by an operator, until his word."""
+    """Return the wave paused by an operator, until it is resumed by one."""
     if wave.state is not WaveState.RUNNING:
         return Failure(_refuse_state(wave, "Only a running wave can be paused."))
     paused = {"state": WaveState.PAUSED, "reason": reason, "resumes_at": 0.0}
@@ -96,7 +98,7 @@
 
 
 def resume_wave(wave: WaveRecord, now: float) -> Result[WaveRecord, WaveRefused]:
-    """Return the wave running again; evidence from before does not count."""
+    """Return the wave resumed; earlier outcomes no longer count."""
     if wave.state is not WaveState.PAUSED:
         return Failure(_refuse_state(wave, "Only a paused wave can be resumed."))
     return Success(_resume(wave, now, pauses=0))
@@ -105,7 +107,7 @@
 def abort_wave(
     wave: WaveRecord, reason: str, now: float
 ) -> Result[WaveRecord, WaveRefused]:
-    """Return the wave ended: drains are put back, reboots under way finish."""
+    """Return the wave aborted; its drains are cancelled, its reboots complete."""
     if not wave.is_open:
         return Failure(_refuse_state(wave, "It has ended; start another one."))
     aborted = {"state": WaveState.ABORTED, "reason": reason, "ended_at": now}
@@ -128,34 +130,36 @@
 
 
 def plan_wave_control(draft: Draft, wave: WaveRecord, now: float) -> None:
-    """Draft what evidence demands: a pause, a resumption or the end."""
-    changed = _judge_wave(draft.tables, wave, now)
+    """Draft the pause, resumption or end of a wave that its outcomes call for."""
+    changed = _evaluate_wave(draft.tables, wave, now)
     if changed is None:
         return
     draft.put(changed)
-    draft.note(
-        _DECIDED_BY_STATE[changed.state],
+    draft.record_decision(
+        _DECISIONS_BY_STATE[changed.state],
         changed.reason or "evidence",
         wave_id=wave.id,
         pauses=changed.pauses,
     )
 
 
-_DECIDED_BY_STATE = {
-    WaveState.RUNNING: Decided.RESUME,
-    WaveState.PAUSED: Decided.PAUSE,
-    WaveState.DONE: Decided.FINISH,
+_DECISIONS_BY_STATE = {
+    WaveState.RUNNING: DecisionKind.RESUME,
+    WaveState.PAUSED: DecisionKind.PAUSE,
+    WaveState.DONE: DecisionKind.FINISH,
 }
 
 
-def _judge_wave(tables: FleetTables, wave: WaveRecord, now: float) -> WaveRecord | None:
+def _evaluate_wave(
+    tables: FleetTables, wave: WaveRecord, now: float
+) -> WaveRecord | None:
     if wave.state is WaveState.PAUSED:
         if 0.0 < wave.resumes_at <= now:
             return _resume(wave, now, wave.pauses)
         return None
-    reason = find_pause_reason(find_evidence(tables, wave), wave)
+    reason = find_pause_reason(find_recent_outcomes(tables, wave), wave)
     if reason:
-        wait = min(PROBATION_SECONDS * 2**wave.pauses, MAX_PROBATION_SECONDS)
+        wait = min(FIRST_PAUSE_SECONDS * 2**wave.pauses, MAX_PAUSE_SECONDS)
         return msgspec.structs.replace(
             wave,
             state=WaveState.PAUSED,
@@ -169,31 +173,31 @@
     return None
 
 
-def find_pause_reason(evidence: list[FinishedVM], wave: WaveRecord) -> str:
+def find_pause_reason(outcomes: list[FinishedVM], wave: WaveRecord) -> str:
     """Return why the failures of a wave look correlated, or an empty string.
 
-    One VM in fifty fails a reboot by itself; then three in a row come about
-    once in 125,000 VMs, and five of twenty as seldom. A wave on probation
-    has to show one return before its failures count singly again.
+    One VM in fifty fails a reboot by chance. Three such failures in a row occur
+    about once in 125,000 VMs, and five among twenty are equally rare. After a
+    pause, any failure pauses the wave again until one VM has returned.
     """
     failed = [
-        finish.vm_id for finish in evidence if finish.outcome is Outcome.NOT_RETURNED
+        finish.vm_id for finish in outcomes if finish.outcome is Outcome.NOT_RETURNED
     ]
-    in_a_row = _count_in_a_row(evidence)
-    is_on_probation = wave.pauses > 0 and in_a_row == len(evidence)
-    if is_on_probation and in_a_row > 0:
+    consecutive_failures = _count_consecutive_failures(outcomes)
+    lacks_returned_vm = wave.pauses > 0 and consecutive_failures == len(outcomes)
+    if lacks_returned_vm and consecutive_failures > 0:
         return f"the trial VM {failed[-1]} did not return"
-    if in_a_row >= MAX_FAILURES_IN_A_ROW:
-        names = ", ".join(failed[-in_a_row:])
-        return f"{in_a_row} VMs in a row did not return ({names})"
+    if consecutive_failures >= MAX_FAILURES_IN_A_ROW:
+        names = ", ".join(failed[-consecutive_failures:])
+        return f"{consecutive_failures} VMs in a row did not return ({names})"
     if len(failed) >= MAX_RECENT_FAILURES:
-        return f"{len(failed)} of the last {EVIDENCE_DEPTH} VMs did not return"
+        return f"{len(failed)} of the last {OUTCOME_WINDOW} VMs did not return"
     return ""
 
 
-def _count_in_a_row(evidence: list[FinishedVM]) -> int:
+def _count_consecutive_failures(outcomes: list[FinishedVM]) -> int:
     count = 0
-    for finish in reversed(evidence):
+    for finish in reversed(outcomes):
         if finish.outcome is not Outcome.NOT_RETURNED:
             break
         count += 1
@@ -210,12 +214,15 @@
     return True
 
 
-def plan_standing_wave(draft: Draft, now: float) -> None:
-    """Draft the next standing wave once any VM's time is nearly up."""
+def plan_periodic_wave(draft: Draft, now: float) -> None:
+    """Draft the next periodic wave once any VM is due for maintenance."""
     tables = draft.tables
-    if any(wave.created_by == STANDING for wave in tables.open_waves_by_id.values()):
+    if any(
+        wave.created_by == PERIODIC_WAVE_CREATOR
+        for wave in tables.open_waves_by_id.values()
+    ):
         return
-    due_before = now - (PERIOD_SECONDS - LEAD_SECONDS)
+    due_before = now - (PERIOD_SECONDS - PERIODIC_WAVE_LEAD_SECONDS)
     due = [
         record.id
         for record in tables.vms_by_id.values()
@@ -228,32 +235,35 @@
         WaveRecord(
             id=wave_id,
             vm_ids=frozenset(due),
-            created_by=STANDING,
+            created_by=PERIODIC_WAVE_CREATOR,
             started_at=now,
             resumed_at=now,
         )
     )
-    draft.note(Decided.START, "once-in-six-weeks", wave_id=wave_id, vms=len(due))
+    draft.record_decision(
+        DecisionKind.START, "once-in-six-weeks", wave_id=wave_id, vms=len(due)
+    )
 
 
-def plan_forget_waves(draft: Draft, now: float) -> None:
-    """Draft the deletion of waves that ended a whole period ago."""
+def plan_wave_removal(draft: Draft, now: float) -> None:
+    """Draft the deletion of waves that ended more than a period ago."""
     for wave in list(draft.tables.waves_by_id.values()):
         if not wave.is_open and now - wave.ended_at > PERIOD_SECONDS:
             draft.delete(key_of_wave(wave.id))
 
 
-STANDING = "standing order"
+PERIODIC_WAVE_CREATOR = "standing order"
+"""Value of ``created_by`` that marks periodic waves."""
 
 __all__ = [
-    "STANDING",
+    "PERIODIC_WAVE_CREATOR",
     "WaveRefused",
     "abort_wave",
     "create_wave",
     "find_pause_reason",
     "pause_wave",
-    "plan_forget_waves",
-    "plan_standing_wave",
+    "plan_wave_removal",
+    "plan_periodic_wave",
     "plan_wave_control",
     "resume_wave",
 ]
--- a/packages/systems/src/medlarspring_systems/wave_width.py
+++ b/packages/systems/src/medlarspring_systems/wave_limits.py
@@ -1,4 +1,4 @@
-"""How wide a maintenance wave goes beyond the budgets of pools and zones."""
+"""Limits on maintenance waves in addition to the budgets of pools and zones."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
     from medlarspring_tables.vms import VMRecord
     from medlarspring_tables.waves import WaveRecord
 
-EVIDENCE_DEPTH = 20
-"""Ends of VMs that a wave is judged by."""
+OUTCOME_WINDOW = 20
+"""Number of most recent VM outcomes by which a wave is evaluated."""
 
 
-class WidthRule(Protocol):
-    """Limits a wave beyond the budgets of pools and zones."""
+class WaveLimit(Protocol):
+    """Limits the drains of a wave in addition to the budgets of pools and zones."""
 
     def allows(
         self, draft: Draft, wave: WaveRecord, vm: VMRecord, pool: PoolRow
     ) -> bool:
-        """Say whether one more VM may be taken now."""
+        """Return whether one more VM may be drained now."""
         ...
 
 
-class BudgetWidth:
-    """As wide as the budgets alone allow."""
+class BudgetOnlyLimit:
+    """Adds no limit to the budgets."""
 
     def allows(
         self, draft: Draft, wave: WaveRecord, vm: VMRecord, pool: PoolRow
@@ -40,46 +40,49 @@
         return True
 
 
-class CanaryWidth:
-    """One VM a zone until one has returned, then as wide as the budgets allow.
+class CanaryLimit:
+    """Allows one VM per zone until a VM has returned, then adds no limit.
 
-    A reboot that no VM survives costs one VM a zone, not all that the budgets
-    would have let go.
+    If no VM survives its reboot, one VM per zone is lost instead of as many as
+    the budgets allow.
     """
 
     def allows(
         self, draft: Draft, wave: WaveRecord, vm: VMRecord, pool: PoolRow
     ) -> bool:
-        """Allow every VM after a proof, else the first of its zone."""
-        if has_proof(draft.tables, wave):
+        """Allow every VM once one has returned, before that the first per zone."""
+        if has_returned_vm(draft.tables, wave):
             return True
         cause = Cause(CauseKind.WAVE, wave.id)
         out = draft.zone_disruptions(vm.zone_id).causes_by_vm.values()
         return cause not in out
 
 
-class RackReserveWidth:
-    """As the inner rule, but a pool stays able to lose any one rack.
+class RackReserveLimit:
+    """Adds to an inner limit that a pool can lose any one rack.
 
-    Drained to its budget, a pool falls under it with the next rack that is
-    lost, and VMs that reboot by then cannot be put back. A pool that could not
-    lose a rack even at its wanted size is drained to its budget all the same.
+    A pool drained to its budget falls below it when a rack is lost, and VMs that
+    are rebooting by then cannot be restored. A pool that could not lose a rack
+    even at its wanted size is still drained to its budget.
     """
 
-    def __init__(self, inner: WidthRule) -> None:
+    def __init__(self, inner: WaveLimit) -> None:
         self._inner = inner
 
     def allows(
         self, draft: Draft, wave: WaveRecord, vm: VMRecord, pool: PoolRow
     ) -> bool:
-        """Allow what the inner rule allows and the reserve bears."""
+        """Allow what the inner limit allows if the rack reserve is kept."""
         if not self._inner.allows(draft, wave, vm, pool):
             return False
         return keeps_rack_reserve(draft, vm, pool)
 
 
 def keeps_rack_reserve(draft: Draft, vm: VMRecord, pool: PoolRow) -> bool:
-    """Say whether the pool without the VM can lose a rack and keep its budget."""
+    """Return whether the pool without the VM can lose a rack and keep its budget.
+
+    True as well for a pool that could not lose a rack even at its wanted size.
+    """
     members_by_rack: Counter[RackId] = Counter()
     available_by_rack: Counter[RackId] = Counter()
     for vm_id in draft.tables.vm_ids_by_pool.get(pool.id, ()):
@@ -87,8 +90,8 @@
         if record.state is VMState.OUT:
             continue
         members_by_rack[record.rack_id] += 1
-        sighting = draft.tables.sightings_by_id.get(vm_id)
-        is_available = judge_vm(record, sighting) is Health.AVAILABLE
+        observation = draft.tables.observations_by_id.get(vm_id)
+        is_available = judge_vm(record, observation) is Health.AVAILABLE
         available_by_rack[record.rack_id] += is_available and vm_id != vm.id
     left = sum(available_by_rack.values()) - max(available_by_rack.values(), default=0)
     if left >= pool.min_available:
@@ -97,8 +100,8 @@
     return pool.wanted_vms - 1 - largest < pool.min_available
 
 
-def has_proof(tables: FleetTables, wave: WaveRecord) -> bool:
-    """Say whether a VM has returned since the wave was last resumed."""
+def has_returned_vm(tables: FleetTables, wave: WaveRecord) -> bool:
+    """Return whether a VM that began after the last resumption has returned."""
     for finish in reversed(tables.finished_by_wave.get(wave.id, [])):
         if finish.began_at < wave.resumed_at:
             return False
@@ -107,11 +110,11 @@
     return False
 
 
-def find_evidence(tables: FleetTables, wave: WaveRecord) -> list[FinishedVM]:
-    """Return the last failure and the ends before it, in order of beginning.
+def find_recent_outcomes(tables: FleetTables, wave: WaveRecord) -> list[FinishedVM]:
+    """Return the last failure and the outcomes before it, in order of start time.
 
-    What began after it is left out: of those only the successes are known yet.
-    So is what began before the wave was last resumed.
+    VMs that began after that failure are excluded, because only successes among
+    them are known yet. VMs that began before the last resumption are excluded too.
     """
     failed = tables.failed_by_wave.get(wave.id)
     if not failed:
@@ -120,18 +123,18 @@
     end = bisect_right(finished, failed[-1])
     return [
         finish
-        for finish in finished[max(0, end - EVIDENCE_DEPTH) : end]
+        for finish in finished[max(0, end - OUTCOME_WINDOW) : end]
         if finish.began_at >= wave.resumed_at
     ]
 
 
 __all__ = [
-    "EVIDENCE_DEPTH",
-    "BudgetWidth",
-    "CanaryWidth",
-    "RackReserveWidth",
-    "WidthRule",
-    "find_evidence",
-    "has_proof",
+    "OUTCOME_WINDOW",
+    "BudgetOnlyLimit",
+    "CanaryLimit",
+    "RackReserveLimit",
+    "WaveLimit",
+    "find_recent_outcomes",
+    "has_returned_vm",
     "keeps_rack_reserve",
 ]
--- a/packages/tables/src/medlarspring_tables/__init__.py
+++ b/packages/tables/src/medlarspring_tables/__init__.py
@@ -1,4 +1,4 @@
-"""Typed rows, ids, states and errors; no input or output."""
+"""Typed rows, ids, states and errors; performs no input or output."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
     JobTables,
     JobUrgency,
     PartnerUse,
-    Ranked,
+    QueueEntry,
     Size,
-    SizeBelief,
+    SizeEstimate,
     Worker,
 )
 from medlarspring_tables.members import Member, MemberState, MemberTable
@@ -57,9 +57,9 @@
     "JobTables",
     "JobUrgency",
     "PartnerUse",
-    "Ranked",
+    "QueueEntry",
     "Size",
-    "SizeBelief",
+    "SizeEstimate",
     "Worker",
     "ROW_TYPES_BY_KIND",
     "AcceptedEdit",
