--- a/packages/systems/src/medlarspring_systems/scheduling/availability.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/availability.py
@@ -20,7 +20,7 @@
 """
 
 
-def is_confirmed_running(task: Task, now: Seconds) -> bool:
+def is_confirmed_serving(task: Task, now: Seconds) -> bool:
     """Return whether a responsive worker is known to run a long-running task."""
     return any(
         is_at_work(run)
@@ -45,7 +45,7 @@
     others_away = sum(
         1
         for task in step.tasks
-        if task is not run.task and not is_confirmed_running(task, now)
+        if task is not run.task and not is_confirmed_serving(task, now)
     )
     if others_away >= max(step.spec.max_unavailable, 1):
         return False
@@ -59,4 +59,4 @@
     )
 
 
-__all__ = ["is_confirmed_running", "may_stop_long_run"]
+__all__ = ["is_confirmed_serving", "may_stop_long_run"]
--- a/packages/systems/src/medlarspring_systems/scheduling/lease_plan.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/lease_plan.py
@@ -25,7 +25,7 @@
 The lease would allow 2,000 ms, but detecting stalled tasks requires their progress
 about twice a second.
 """
-UNSETTLED_WAIT_MS = 50
+UNRESOLVED_WAIT_MS = 50
 """Same as ``HOLD_WAIT_MS``, while the outcome of a stop or an unanswered order is open.
 """
 
@@ -42,7 +42,7 @@
     if any(
         run.stopping or run.state is RunState.UNKNOWN for run in worker.runs.values()
     ):
-        return UNSETTLED_WAIT_MS
+        return UNRESOLVED_WAIT_MS
     return HOLD_WAIT_MS
 
 
--- a/packages/systems/src/medlarspring_systems/scheduling/listings.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/listings.py
@@ -168,14 +168,14 @@
     for key, run in list(worker.runs.items()):
         if key in listed or run.state in (RunState.INTENDED, RunState.ORDERED):
             continue
-        settled_at = run.confirmed_at
+        resolved_at = run.confirmed_at
         if run.state is RunState.UNKNOWN:
-            settled_at = run.stop_confirmed_at
-            if not settled_at:
+            resolved_at = run.stop_confirmed_at
+            if not resolved_at:
                 if run.ordered_at < asked_at:
                     outcome.absent.append(run)
                 continue
-        if settled_at < asked_at:
+        if resolved_at < asked_at:
             if run.state is RunState.RUNNING or _is_from_other_incarnation(run):
                 note_vanished(run)
             detach_run(tables, run, now)
--- a/packages/systems/tests/scheduling/test_lease_plan.py
+++ b/packages/systems/tests/scheduling/test_lease_plan.py
@@ -45,7 +45,7 @@
     worker.unanswered_since = NOW
 
 
-def mark_unsettled(worker: Worker, run: Run) -> None:
+def mark_unreconciled(worker: Worker, run: Run) -> None:
     worker.settled = False
 
 
@@ -57,7 +57,7 @@
         (stop, False, 50),
         (lose_answer, False, 50),
         (stop_answering, False, 0),
-        (mark_unsettled, False, 0),
+        (mark_unreconciled, False, 0),
     ],
 )
 def test_hold_wait_by_worker_state(
