--- a/packages/systems/src/medlarspring_systems/scheduling/lease_plan.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/lease_plan.py
@@ -51,7 +51,7 @@
 
     No extension is requested from an unresponsive worker. It might receive the
     extension although its answer is lost, and this controller could then never tell
-    that the worker's runs have lapsed.
+    that the worker's runs have expired.
     """
     if not worker.clock_at or worker.unanswered_since:
         return 0
