--- a/packages/systems/src/medlarspring_systems/scheduling/availability.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/availability.py
@@ -21,7 +21,7 @@
 
 
 def is_confirmed_serving(task: Task, now: Seconds) -> bool:
-    """Return whether a responsive worker is known to serve a long-running task."""
+    """Return whether a long-running task is known to serve on a responsive worker."""
     return any(
         is_at_work(run)
         and now - run.confirmed_at >= MIN_OBSERVED_SECONDS
