--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
@@ -1,8 +1,8 @@
 """Calls to one worker: start, stop and pace orders, and hold calls.
 
 A hold call extends the worker's lease and returns its runs and the ends that are not
-acknowledged yet. Unless told otherwise the worker delays its answer until a run ends
-or the call's wait time has passed.
+acknowledged yet. The worker delays its answer until a run ends or the call's wait
+time, which may be 0, has passed.
 """
 
 from __future__ import annotations
