--- a/packages/daemon/src/medlarspring_daemon/scheduling/operator_records.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/operator_records.py
@@ -87,7 +87,7 @@
     def _apply_config(self, entry: Entry) -> None:
         decoded = self._node.codec.decode_config(entry.key, entry.value)
         if not is_successful(decoded):
-            self._node.unreadable.note(entry.key, decoded.failure().message())
+            self._node.unreadable.report(entry.key, decoded.failure().message())
             return
         self._node.unreadable.forget(entry.key)
         config = decoded.unwrap()
@@ -109,7 +109,7 @@
     def _apply_wave(self, entry: Entry) -> None:
         decoded = self._node.codec.decode_wave(entry.key, entry.value)
         if not is_successful(decoded):
-            self._node.unreadable.note(entry.key, decoded.failure().message())
+            self._node.unreadable.report(entry.key, decoded.failure().message())
             return
         self._node.unreadable.forget(entry.key)
         order = decoded.unwrap()
