--- a/packages/systems/tests/scheduling/test_worker_ranking.py
+++ b/packages/systems/tests/scheduling/test_worker_ranking.py
@@ -30,11 +30,11 @@
 def add_varied_workers(scene: Scene, rng: random.Random) -> None:
     """Add workers with different free resources, racks, zones and speeds."""
     for number in range(12):
-        worker = scene.add_worker(number, rack=rng.ranking(RACKS))
+        worker = scene.add_worker(number, rack=rng.choice(RACKS))
         worker.cpu_free = rng.randrange(0, 16_000, 500)
-        worker.long_runs = rng.ranking((0, 0, 1))
-        worker.slowness = rng.ranking((1.0, 1.0, 2.0))
-        worker.zone_id = rng.ranking(ZONES)
+        worker.long_runs = rng.choice((0, 0, 1))
+        worker.slowness = rng.choice((1.0, 1.0, 2.0))
+        worker.zone_id = rng.choice(ZONES)
 
 
 @pytest.mark.parametrize("rules", RULES, ids=str)
@@ -53,12 +53,12 @@
     job = scene.add_job("j", spec)
     step = job.occurrences_by_index[0][0]
     workers = list(scene.tables.workers_by_id.values())
-    ranking = WorkerRanking(step, workers, NOW)
+    choice = WorkerRanking(step, workers, NOW)
     for task in list(step.waiting):
         if rng.random() < 0.2:
-            task.failed_on.add(rng.ranking(workers).vm_id)
+            task.failed_on.add(rng.choice(workers).vm_id)
         expected = choose_worker(step, task, workers, NOW)
-        chosen = ranking.choose(task)
+        chosen = choice.choose(task)
         assert chosen is expected
         if chosen is None:
             break
