--- a/packages/systems/src/medlarspring_systems/scheduling/repair.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/repair.py
@@ -129,7 +129,7 @@
             if not step.spec.long_running or run.stopping:
                 continue
             if choose_worker(step, run.task, others, now) is not None:
-                repairs.stops.append((run, "worker is draining"))
+                repairs.stops.append((run, "its worker leaves"))
 
 
 def _copy_from_unresponsive(tables: WorkTables, now: Seconds, repairs: Repairs) -> None:
@@ -165,7 +165,7 @@
                 continue
             workers = list(tables.workers_by_pool.get(pool_id, {}).values())
             for run in find_preemptible(step, workers, now):
-                repairs.stops.append((run, "preempted by a long-running task"))
+                repairs.stops.append((run, "room for a long-running task"))
             break
 
 
