--- a/packages/bench/src/medlarspring_bench/measure/configuration_control.py
+++ b/packages/bench/src/medlarspring_bench/measure/configuration_control.py
@@ -54,7 +54,7 @@
                 running=3,
             )
 
-    def take_report(self, report: peer_pb2.Report) -> None:
+    def apply_report(self, report: peer_pb2.Report) -> None:
         """Learn nothing."""
 
 
@@ -76,7 +76,7 @@
         for number in range(daemons)
     ]
     for node in nodes:
-        node.node.report_parts.append(UsagePart(shares))
+        node.node.report_contributors.append(UsagePart(shares))
         await node.start()
     list_nodes(nodes)
     await asyncio.sleep(SETTLE_SECONDS)
--- a/packages/bench/src/medlarspring_bench/measure/requests_entry_vm.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_entry_vm.py
@@ -78,7 +78,7 @@
             self.fleet.note_refused(request)
             return
         fair_queue.enqueue(pool, request)
-        self.exchange.want(POOL)
+        self.exchange.request_slots_soon(POOL)
         left = request.deadline - now - admission.expect_service(pool)
         self.fleet.at(max(0.0, left), lambda: self._expire(request))
 
@@ -93,7 +93,7 @@
                 break
             self._begin(request, upstream, now)
         if pool.waiting:
-            self.exchange.want(POOL)
+            self.exchange.request_slots_soon(POOL)
 
     def _choose(self, now: float) -> Upstream | None:
         return choose_upstream(self.state.upstreams, POOL, self.zone_id, now)
--- a/packages/bench/src/medlarspring_bench/measure/requests_fleet.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_fleet.py
@@ -48,7 +48,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from medlarspring_daemon.callers.slot_exchange import Asking
+    from medlarspring_daemon.callers.slot_exchange import PendingSlotRequest
 
 
 class Fleet:
@@ -189,7 +189,9 @@
             self._carry(entry_vm, home, asking)
         self.at(TICK_SECONDS, lambda: self._tick(entry_vm))
 
-    def _carry(self, entry_vm: EntryVM, home: EntryVM, asking: Asking) -> None:
+    def _carry(
+        self, entry_vm: EntryVM, home: EntryVM, asking: PendingSlotRequest
+    ) -> None:
         delay = 0.0 if home is entry_vm else ONE_WAY_SECONDS
 
         def answer() -> None:
@@ -197,7 +199,7 @@
             self.at(delay, lambda: take(reply))
 
         def take(reply: peer_pb2.SlotReply) -> None:
-            entry_vm.exchange.take_reply(asking, reply)
+            entry_vm.exchange.apply_reply(asking, reply)
             entry_vm.pump()
 
         self.at(delay, answer)
@@ -209,7 +211,7 @@
         def send() -> None:
             report = peer_pb2.Report(sender=entry_vm.id, incarnation=1)
             entry_vm.reports.fill_report(report)
-            self.at(ONE_WAY_SECONDS, lambda: other.reports.take_report(report))
+            self.at(ONE_WAY_SECONDS, lambda: other.reports.apply_report(report))
             self.at(interval, send)
 
         self.at(self.rng.uniform(0, interval), send)
--- a/packages/daemon/src/medlarspring_daemon/tasks.py
+++ b/packages/daemon/src/medlarspring_daemon/background_tasks.py
@@ -16,7 +16,7 @@
 RESTART_SECONDS = 1.0
 
 
-class Tasks:
+class BackgroundTasks:
     """Keeps tasks from being collected, and cancels them together."""
 
     def __init__(self, log: EventLog) -> None:
@@ -25,12 +25,12 @@
 
     def start(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """Run ``work`` until it ends or the service stops; a failure is logged."""
-        task = asyncio.ensure_future(self._guard(work))
+        task = asyncio.ensure_future(self._run_logged(work))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    def keep(self, run: Callable[[], Awaitable[None]]) -> asyncio.Task[Any]:
+    def run_with_restart(self, run: Callable[[], Awaitable[None]]) -> asyncio.Task[Any]:
         """Run ``run`` until the service stops, again after a failure.
 
         A loop that ended by a defect would leave a daemon that answers callers
@@ -48,14 +48,14 @@
 
     async def _repeat(self, run: Callable[[], Awaitable[None]]) -> None:
         while True:
-            await self._guard(run())
+            await self._run_logged(run())
             await asyncio.sleep(RESTART_SECONDS)
 
-    async def _guard(self, work: Awaitable[Any]) -> None:
+    async def _run_logged(self, work: Awaitable[Any]) -> None:
         try:
             await work
         except Exception:
             self._log.error(Event.TASK_FAILED, trace=traceback.format_exc())
 
 
-__all__ = ["Tasks"]
+__all__ = ["BackgroundTasks"]
--- a/packages/daemon/src/medlarspring_daemon/callers/claims.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/claims.py
@@ -34,21 +34,21 @@
     from medlarspring_tables import Seconds
     from medlarspring_tables.requests import CallerRequest
 
-WRITES_PER_SECOND_OF_FLEET = 200.0
+FLEET_WRITES_PER_SECOND = 200.0
 """Calls that all entry VMs together spend on claims under load."""
-RECORD_WAIT_SECONDS = 0.25
+RECORD_TIMEOUT_SECONDS = 0.25
 """An answer waits so long for its record; then it goes out, and the record
 follows in the background."""
-FIRST_PAUSE_SECONDS = 0.1
-MAX_PAUSE_SECONDS = 5.0
-CLAIM_PAUSES = (0.05, 0.2, 0.5, 0.5)
+MIN_RETRY_DELAY_SECONDS = 0.1
+MAX_RETRY_DELAY_SECONDS = 5.0
+CLAIM_RETRY_DELAYS = (0.05, 0.2, 0.5, 0.5)
 """Waits after the writes of one claim; after the last it is given up."""
-MAX_OPEN_RECORDS = 2000
+MAX_PENDING_RECORDS = 2000
 """Records that wait for the store; beyond them no key is claimed."""
 
 
 @dataclass(slots=True, frozen=True)
-class Ticket:
+class ClaimedRun:
     """The right to one run, held by this process."""
 
     key: str
@@ -56,7 +56,7 @@
     revision: Revision
 
 
-class ClaimBook:
+class ClaimManager:
     """Claims and completes keys; one instance per process."""
 
     def __init__(self, node: Node) -> None:
@@ -78,12 +78,12 @@
 
     async def claim(
         self, request: CallerRequest
-    ) -> Result[Ticket | ClaimedAnswer, Refusal]:
+    ) -> Result[ClaimedRun | ClaimedAnswer, Refusal]:
         """Return the right to run, or the recorded answer, or why neither."""
         assert request.key is not None
         key = claims.get_claim_key(request.partner_id, request.key)
         digest = claims.digest_request(request)
-        if len(self._records) >= MAX_OPEN_RECORDS:
+        if len(self._records) >= MAX_PENDING_RECORDS:
             return self._refuse(request, f"{len(self._records)} records wait for it")
         running = self._digest_by_key.get(key)
         if running is not None:
@@ -94,24 +94,28 @@
         claimed = False
         try:
             answer = await self._claim(request, key, digest)
-            claimed = is_successful(answer) and isinstance(answer.unwrap(), Ticket)
+            claimed = is_successful(answer) and isinstance(answer.unwrap(), ClaimedRun)
             return answer
         finally:
             if not claimed:
                 self._digest_by_key.pop(key, None)
 
-    async def complete(self, ticket: Ticket, answer: ClaimedAnswer | None) -> None:
+    async def complete(
+        self, claimed_run: ClaimedRun, answer: ClaimedAnswer | None
+    ) -> None:
         """Record that the run ended; None if its outcome is not known."""
         state = ClaimState.UNKNOWN if answer is None else ClaimState.DONE
-        await self._record(ticket, _end(ticket.claim, state, answer))
+        await self._record(claimed_run, _end(claimed_run.claim, state, answer))
 
-    async def abandon(self, ticket: Ticket) -> None:
+    async def abandon(self, claimed_run: ClaimedRun) -> None:
         """Record that the request was certainly not run."""
-        await self._record(ticket, _end(ticket.claim, ClaimState.ABANDONED, None))
+        await self._record(
+            claimed_run, _end(claimed_run.claim, ClaimState.ABANDONED, None)
+        )
 
     async def _claim(
         self, request: CallerRequest, key: str, digest: str
-    ) -> Result[Ticket | ClaimedAnswer, Refusal]:
+    ) -> Result[ClaimedRun | ClaimedAnswer, Refusal]:
         lease = await self._get_lease()
         if not is_successful(lease):
             return self._refuse(request, lease.failure().message())
@@ -123,11 +127,11 @@
             incarnation=self._node.incarnation,
             deadline_wall=clock.wall() + request.deadline - clock.now(),
         )
-        return await self._write_until_known(request, key, claim, lease.unwrap())
+        return await self._write_until_confirmed(request, key, claim, lease.unwrap())
 
-    async def _write_until_known(
+    async def _write_until_confirmed(
         self, request: CallerRequest, key: str, claim: Claim, lease_id: LeaseId
-    ) -> Result[Ticket | ClaimedAnswer, Refusal]:
+    ) -> Result[ClaimedRun | ClaimedAnswer, Refusal]:
         """Write the claim until the store says what stands under the key.
 
         A write whose reply was lost is written again under the same attempt
@@ -137,12 +141,12 @@
         expected = Revision(0)
         perhaps_written = False
         fault = ""
-        for pause in CLAIM_PAUSES:
+        for pause in CLAIM_RETRY_DELAYS:
             written = await self._write(key, claim, expected, lease_id)
             if is_successful(written):
                 committed = written.unwrap()
                 if committed.succeeded:
-                    return Success(Ticket(key, claim, committed.revision))
+                    return Success(ClaimedRun(key, claim, committed.revision))
                 found = committed.read_by_key.get(key)
                 judged = None if found is None else self._judge(found, claim)
                 if judged is not None:
@@ -158,12 +162,12 @@
                 break
             await asyncio.sleep(pause)
         if perhaps_written:
-            self._abandon_later(Ticket(key, claim, expected))
+            self._schedule_abandon(ClaimedRun(key, claim, expected))
         return self._refuse(request, fault, perhaps_written=perhaps_written)
 
     def _refuse(
         self, request: CallerRequest, fault: str, *, perhaps_written: bool = False
-    ) -> Result[Ticket | ClaimedAnswer, Refusal]:
+    ) -> Result[ClaimedRun | ClaimedAnswer, Refusal]:
         """Log why a key is not claimed, and refuse its request."""
         waited = self._node.clock.now() - request.arrived_at
         self._node.log.warning(
@@ -174,25 +178,25 @@
             waited_ms=round(waited * 1_000),
             perhaps_written=perhaps_written,
         )
-        return Failure(_STORE_UNREACHABLE)
+        return Failure(_STORE_UNREACHABLE_REFUSAL)
 
     def _judge(
         self, found: Entry, claim: Claim
-    ) -> Result[Ticket | ClaimedAnswer, Refusal] | None:
+    ) -> Result[ClaimedRun | ClaimedAnswer, Refusal] | None:
         """Judge the claim that stands; None if it may be taken over."""
-        standing = msgspec.json.decode(found.value, type=Claim)
+        existing = msgspec.json.decode(found.value, type=Claim)
         digest = claim.request_digest
-        verdict = claims.judge_claim(standing, claim.attempt_id, digest)
+        verdict = claims.judge_claim(existing, claim.attempt_id, digest)
         match verdict:
             case claims.Verdict.OURS:
-                return Success(Ticket(found.key, claim, found.mod_revision))
+                return Success(ClaimedRun(found.key, claim, found.mod_revision))
             case claims.Verdict.REPLAY:
-                assert standing.answer is not None
-                return Success(standing.answer)
+                assert existing.answer is not None
+                return Success(existing.answer)
             case claims.Verdict.TAKE_OVER:
                 return None
         wall = self._node.clock.wall()
-        return Failure(claims.refuse_claimed(standing, digest, wall))
+        return Failure(claims.refuse_claimed(existing, digest, wall))
 
     async def _write(
         self, key: str, claim: Claim, expected: Revision, lease_id: LeaseId | None
@@ -205,54 +209,56 @@
             )
         )
 
-    async def _record(self, ticket: Ticket, ended: Claim) -> None:
+    async def _record(self, claimed_run: ClaimedRun, ended: Claim) -> None:
         """Write the end of a claim, waiting for it only a short while."""
-        record = self._start(self._write_end(ticket, ended))
-        await asyncio.wait({record}, timeout=RECORD_WAIT_SECONDS)
+        record = self._start_record(self._write_end(claimed_run, ended))
+        await asyncio.wait({record}, timeout=RECORD_TIMEOUT_SECONDS)
 
-    def _abandon_later(self, ticket: Ticket) -> None:
+    def _schedule_abandon(self, claimed_run: ClaimedRun) -> None:
         """Give back a claim that may or may not have reached the store."""
-        digest = ticket.claim.request_digest
-        ended = _end(ticket.claim, ClaimState.ABANDONED, None)
-        record = self._start(self._write_end(ticket, ended))
+        digest = claimed_run.claim.request_digest
+        ended = _end(claimed_run.claim, ClaimState.ABANDONED, None)
+        record = self._start_record(self._write_end(claimed_run, ended))
         # The key stays this process's until the record is written.
         asyncio.get_running_loop().call_soon(
-            self._digest_by_key.setdefault, ticket.key, digest
+            self._digest_by_key.setdefault, claimed_run.key, digest
+        )
+        record.add_done_callback(
+            lambda _: self._digest_by_key.pop(claimed_run.key, None)
         )
-        record.add_done_callback(lambda _: self._digest_by_key.pop(ticket.key, None))
 
-    def _start(self, record: Coroutine[None, None, bool]) -> asyncio.Task[bool]:
+    def _start_record(self, record: Coroutine[None, None, bool]) -> asyncio.Task[bool]:
         task = asyncio.create_task(record)
         self._records.add(task)
         task.add_done_callback(self._records.discard)
         return task
 
-    async def _write_end(self, ticket: Ticket, ended: Claim) -> bool:
+    async def _write_end(self, claimed_run: ClaimedRun, ended: Claim) -> bool:
         """Repeat until the store says what stands; True if the end does."""
-        expected = ticket.revision
-        pause = FIRST_PAUSE_SECONDS
+        expected = claimed_run.revision
+        pause = MIN_RETRY_DELAY_SECONDS
         lease_id = self._lease_id
         try:
             while True:
-                written = await self._write(ticket.key, ended, expected, lease_id)
+                written = await self._write(claimed_run.key, ended, expected, lease_id)
                 if not is_successful(written):
                     await asyncio.sleep(pause)
-                    pause = min(2 * pause, MAX_PAUSE_SECONDS)
+                    pause = min(2 * pause, MAX_RETRY_DELAY_SECONDS)
                     continue
                 committed = written.unwrap()
                 if committed.succeeded:
                     return True
-                found = committed.read_by_key.get(ticket.key)
+                found = committed.read_by_key.get(claimed_run.key)
                 if found is None:
                     return False
-                standing = msgspec.json.decode(found.value, type=Claim)
-                if standing.attempt_id != ticket.claim.attempt_id:
+                existing = msgspec.json.decode(found.value, type=Claim)
+                if existing.attempt_id != claimed_run.claim.attempt_id:
                     return False
-                if standing.state is not ClaimState.CLAIMED:
-                    return standing == ended
+                if existing.state is not ClaimState.CLAIMED:
+                    return existing == ended
                 expected = found.mod_revision
         finally:
-            self._digest_by_key.pop(ticket.key, None)
+            self._digest_by_key.pop(claimed_run.key, None)
 
     async def _get_lease(self) -> Result[LeaseId, StoreError]:
         """Return the lease of this period; it is never renewed."""
@@ -270,14 +276,14 @@
         """Return the time between calls that keeps the fleet in its budget."""
         vm_list = self._node.vm_list
         entry_vms = 1 if vm_list is None else max(1, len(vm_list.entry_vms_by_id))
-        return entry_vms / WRITES_PER_SECOND_OF_FLEET
+        return entry_vms / FLEET_WRITES_PER_SECOND
 
 
 def _end(claim: Claim, state: ClaimState, answer: ClaimedAnswer | None) -> Claim:
     return msgspec.structs.replace(claim, state=state, answer=answer)
 
 
-_STORE_UNREACHABLE = Refusal(
+_STORE_UNREACHABLE_REFUSAL = Refusal(
     RefusalKind.STORE_UNREACHABLE,
     Outcome.UNKNOWN,
     "The store does not answer, so it is not known whether the key has run; send it"
@@ -285,4 +291,4 @@
     retry_after=2.0,
 )
 
-__all__ = ["ClaimBook", "Ticket"]
+__all__ = ["ClaimManager", "ClaimedRun"]
--- a/packages/daemon/src/medlarspring_daemon/callers/connections.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/connections.py
@@ -14,7 +14,7 @@
     create_problem_response,
     encode_raw_problem,
 )
-from medlarspring_daemon.callers.reading import (
+from medlarspring_daemon.callers.request_reader import (
     HEADERS_TOO_LARGE,
     create_request_id,
 )
@@ -24,7 +24,7 @@
     from collections.abc import Awaitable, Callable
 
 SWEEP_SECONDS = 1.0
-STALL_SECONDS = 10.0
+READ_STALL_TIMEOUT_SECONDS = 10.0
 """A caller that reads nothing of its answer for so long is cut off."""
 
 
@@ -59,7 +59,7 @@
         super().__init__(server, **options)
         self._callers = server
         self.head_since: float | None = None
-        self.silent = True
+        self.awaits_first_byte = True
         """Whether the caller has sent nothing yet."""
         self.unread: tuple[int, float] = (0, 0.0)
         """Bytes of answers that lie unread, and since when so many do."""
@@ -73,7 +73,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Note when the head of a request begins, and that it is complete."""
-        self.silent = False
+        self.awaits_first_byte = False
         super().data_received(data)
         if self._messages or self._current_request is not None:
             self.head_since = None
@@ -151,21 +151,21 @@
             now = self._loop.time()
             for connection in self.connections:
                 assert isinstance(connection, CallerConnection)
-                self._check_head(connection, now)
-                _check_reading(connection, now)
+                self._check_head_timeout(connection, now)
+                _abort_stalled_reader(connection, now)
 
-    def _check_head(self, connection: CallerConnection, now: float) -> None:
+    def _check_head_timeout(self, connection: CallerConnection, now: float) -> None:
         since = connection.head_since
         if since is None:
             return
-        if connection.silent:
+        if connection.awaits_first_byte:
             if now - since > self._settings.idle_seconds:
                 connection.force_close()
         elif now - since > self._settings.body_seconds:
             connection.refuse(_HEAD_TOO_SLOW)
 
 
-def _check_reading(connection: CallerConnection, now: float) -> None:
+def _abort_stalled_reader(connection: CallerConnection, now: float) -> None:
     transport = connection.transport
     if transport is None:
         return
@@ -173,7 +173,7 @@
     before, since = connection.unread
     if not size or size < before or not before:
         connection.unread = (size, now)
-    elif now - since > STALL_SECONDS:
+    elif now - since > READ_STALL_TIMEOUT_SECONDS:
         transport.abort()
 
 
--- a/packages/daemon/src/medlarspring_daemon/callers/dispatch.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/dispatch.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Turn:
+class AcquiredSlot:
     """A slot of one upstream VM, held until ``Dispatcher.release``."""
 
     request: CallerRequest
@@ -43,7 +43,7 @@
 class Waiter:
     """A request that waits for its turn."""
 
-    answer: asyncio.Future[Result[Turn, Refusal]]
+    answer: asyncio.Future[Result[AcquiredSlot, Refusal]]
     excluded: Collection[VMId]
     timer: asyncio.TimerHandle
     since: Seconds
@@ -58,11 +58,11 @@
         self._max_waiting = state.node.settings.caller.max_waiting
         self._waiters: dict[CallerRequest, Waiter] = {}
         self._waiting_by_partner: Counter[PartnerId] = Counter()
-        self.slots = SlotService(state.node, state, self.pump)
+        self.slots = SlotService(state.node, state, self.dispatch_waiting)
 
     async def acquire(
         self, request: CallerRequest, excluded: Collection[VMId] = ()
-    ) -> Result[Turn, Refusal]:
+    ) -> Result[AcquiredSlot, Refusal]:
         """Return the request's turn, at once if a slot is free."""
         self._state.refresh()
         now = self._clock.now()
@@ -70,14 +70,18 @@
         if not pool.waiting and self._is_within_limit(pool, request, now):
             upstream = self._choose(request, excluded, now)
             if upstream is not None:
-                return Success(self._begin(request, upstream, pool, now))
-        refusal = self._check(pool, request, now)
+                return Success(self._occupy_slot(request, upstream, pool, now))
+        refusal = self._check_admission(pool, request, now)
         if refusal is not None:
             return Failure(refusal)
         return await self._wait(pool, request, excluded, now)
 
     def release(
-        self, turn: Turn, linger: Seconds = 0.0, *, answered: bool = True
+        self,
+        acquired_slot: AcquiredSlot,
+        linger: Seconds = 0.0,
+        *,
+        answered: bool = True,
     ) -> None:
         """Give a slot back, after ``linger`` if its work may still run there."""
         if linger > 0.0:
@@ -86,17 +90,23 @@
             # slot is counted as used until that is likely over; otherwise it
             # would be sent more than it has slots for.
             loop = asyncio.get_running_loop()
-            loop.call_later(linger, partial(self.release, turn, answered=False))
+            loop.call_later(
+                linger, partial(self.release, acquired_slot, answered=False)
+            )
             return
-        turn.upstream.in_use -= 1
+        acquired_slot.upstream.in_use -= 1
         now = self._clock.now()
         fair_queue.finish(
-            turn.pool, turn.request.partner_id, turn.began_at, now, answered=answered
+            acquired_slot.pool,
+            acquired_slot.request.partner_id,
+            acquired_slot.began_at,
+            now,
+            answered=answered,
         )
-        if turn.pool.waiting:
-            self.pump(turn.pool.pool_id)
+        if acquired_slot.pool.waiting:
+            self.dispatch_waiting(acquired_slot.pool.pool_id)
 
-    def pump(self, pool_id: PoolId) -> None:
+    def dispatch_waiting(self, pool_id: PoolId) -> None:
         """Give free slots to the requests that go next."""
         pool = self._state.get_pool(pool_id)
         now = self._clock.now()
@@ -112,17 +122,15 @@
             if upstream is None:
                 upstream = self._choose(request, (), now)
             if upstream is None:
-                self._put_back(pool, request, waiter)
+                self._requeue(pool, request, waiter)
                 break
-            turn = self._begin(request, upstream, pool, now)
-            turn.waited = now - waiter.since
-            waiter.answer.set_result(Success(turn))
+            acquired_slot = self._occupy_slot(request, upstream, pool, now)
+            acquired_slot.waited = now - waiter.since
+            waiter.answer.set_result(Success(acquired_slot))
         if pool.waiting:
-            self.slots.want(pool_id)
+            self.slots.request_slots_soon(pool_id)
 
-    def _put_back(
-        self, pool: PoolQueue, request: CallerRequest, waiter: Waiter
-    ) -> None:
+    def _requeue(self, pool: PoolQueue, request: CallerRequest, waiter: Waiter) -> None:
         """Only a probe slot was free, and this request may not be a probe."""
         fair_queue.enqueue(pool, request, first=True)
         waiter.timer = self._start_timer(pool, request, self._clock.now())
@@ -155,31 +163,31 @@
         fleet_slots = self._state.count_fleet_slots(pool.pool_id)
         return queue.running < fair_queue.count_allowed(pool, queue, fleet_slots, now)
 
-    def _begin(
+    def _occupy_slot(
         self,
         request: CallerRequest,
         upstream: Upstream,
         pool: PoolQueue,
         now: Seconds,
-    ) -> Turn:
+    ) -> AcquiredSlot:
         upstream.in_use += 1
         upstream_health.begin_work(upstream)
         fair_queue.begin(pool, request.partner_id, now)
-        return Turn(request, upstream, pool, now)
+        return AcquiredSlot(request, upstream, pool, now)
 
-    def _check(
+    def _check_admission(
         self, pool: PoolQueue, request: CallerRequest, now: Seconds
     ) -> Refusal | None:
         upstreams = self._state.list_upstreams(request.pool_id)
         if not any(takes_new_work(upstream, now) for upstream in upstreams):
             return _NO_UPSTREAM
         usable = self._state.count_usable_slots(request.pool_id, now)
-        room = admission.WaitingRoom(
+        waiting_room = admission.WaitingRoom(
             self._max_waiting,
             len(self._waiters),
             self._waiting_by_partner[request.partner_id],
         )
-        return admission.check_admission(pool, request, usable, room, now)
+        return admission.check_admission(pool, request, usable, waiting_room, now)
 
     async def _wait(
         self,
@@ -187,14 +195,14 @@
         request: CallerRequest,
         excluded: Collection[VMId],
         now: Seconds,
-    ) -> Result[Turn, Refusal]:
-        answer: asyncio.Future[Result[Turn, Refusal]] = (
+    ) -> Result[AcquiredSlot, Refusal]:
+        answer: asyncio.Future[Result[AcquiredSlot, Refusal]] = (
             asyncio.get_running_loop().create_future()
         )
         timer = self._start_timer(pool, request, now)
         self._add_waiter(request, Waiter(answer, excluded, timer, now))
         fair_queue.enqueue(pool, request)
-        self.slots.want(pool.pool_id)
+        self.slots.request_slots_soon(pool.pool_id)
         try:
             return await answer
         except asyncio.CancelledError:
@@ -205,16 +213,16 @@
         self,
         pool: PoolQueue,
         request: CallerRequest,
-        answer: asyncio.Future[Result[Turn, Refusal]],
+        answer: asyncio.Future[Result[AcquiredSlot, Refusal]],
     ) -> None:
         """Undo a wait whose caller left; its turn may just have come."""
         if self._remove_waiter(request) is not None:
             fair_queue.remove(pool, request)
         elif answer.done() and not answer.cancelled():
-            turn = answer.result().value_or(None)
-            if turn is not None:
-                upstream_health.note_no_verdict(turn.upstream)
-                self.release(turn)
+            acquired_slot = answer.result().value_or(None)
+            if acquired_slot is not None:
+                upstream_health.note_no_verdict(acquired_slot.upstream)
+                self.release(acquired_slot)
 
     def _add_waiter(self, request: CallerRequest, waiter: Waiter) -> None:
         self._waiters[request] = waiter
@@ -257,4 +265,4 @@
     retry_after=NO_UPSTREAM_RETRY_SECONDS,
 )
 
-__all__ = ["Dispatcher", "Turn"]
+__all__ = ["Dispatcher", "AcquiredSlot"]
--- a/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
@@ -18,12 +18,12 @@
     UpstreamClient,
     UpstreamFault,
 )
-from medlarspring_daemon.callers.answer import (
-    HELD_ANSWER_BYTES,
-    MAX_KEYED_ANSWER_BYTES,
+from medlarspring_daemon.callers.upstream_response import (
+    BUFFERED_RESPONSE_BYTES,
+    MAX_KEYED_RESPONSE_BYTES,
+    buffer_response,
     create_response,
-    hold_answer,
-    stream_answer,
+    stream_response,
 )
 from medlarspring_systems import retry, upstream_health
 from medlarspring_tables.requests import Outcome, Refusal, RefusalKind
@@ -33,13 +33,13 @@
     from aiohttp import web
     from multidict import CIMultiDict
 
-    from medlarspring_daemon.callers.dispatch import Dispatcher, Turn
+    from medlarspring_daemon.callers.dispatch import AcquiredSlot, Dispatcher
     from medlarspring_daemon.callers.reports import CallerReports
     from medlarspring_daemon.callers.state import CallerState
     from medlarspring_tables import PoolId, Seconds, VMId
     from medlarspring_tables.requests import CallerRequest
 
-REFUSES = 503
+REFUSAL_STATUS = 503
 RETRIED_STATUSES = frozenset({500, 502, 503, 504})
 
 
@@ -47,7 +47,7 @@
 class Exchange:
     """One caller's request on its way, over all attempts."""
 
-    row: CallerRequest
+    caller_request: CallerRequest
     headers: CIMultiDict[str]
     """As upstream VMs get them."""
     request: web.BaseRequest | None
@@ -94,114 +94,130 @@
 
     async def forward(self, exchange: Exchange) -> Result[web.StreamResponse, Refusal]:
         """Answer one request from an upstream VM, or say why not."""
-        row = exchange.row
-        budget = self._budget_by_pool.setdefault(row.pool_id, retry.RetryBudget())
+        caller_request = exchange.caller_request
+        budget = self._budget_by_pool.setdefault(
+            caller_request.pool_id, retry.RetryBudget()
+        )
         while True:
-            turn = await self._dispatcher.acquire(row, exchange.excluded)
-            if not is_successful(turn):
-                return Failure(_after_attempts(turn.failure(), exchange))
-            held = turn.unwrap()
+            acquired_slot = await self._dispatcher.acquire(
+                caller_request, exchange.excluded
+            )
+            if not is_successful(acquired_slot):
+                return Failure(
+                    _include_earlier_attempts(acquired_slot.failure(), exchange)
+                )
+            held = acquired_slot.unwrap()
             exchange.upstream_id = held.upstream.id
             exchange.waited += held.waited
-            tried = await self._try(exchange, held, budget)
+            attempted = await self._attempt(exchange, held, budget)
             exchange.attempts += 1
-            if is_successful(tried):
-                return Success(tried.unwrap())
-            failure = tried.failure()
+            if is_successful(attempted):
+                return Success(attempted.unwrap())
+            failure = attempted.failure()
             exchange.excluded.add(held.upstream.id)
             exchange.perhaps_run |= not failure.not_run
-            again = retry.may_retry(
+            will_retry = retry.may_retry(
                 budget,
-                row,
+                caller_request,
                 exchange.attempts,
                 held.pool.service_seconds,
                 self._node.clock.now(),
                 certainly_not_run=not exchange.perhaps_run,
             )
-            self._record_failure(exchange, held, failure, again=again)
-            if again:
+            self._record_failure(exchange, held, failure, will_retry=will_retry)
+            if will_retry:
                 continue
             if failure.answer is not None:
                 return Success(failure.answer)
-            return Failure(_after_attempts(failure.refusal, exchange))
+            return Failure(_include_earlier_attempts(failure.refusal, exchange))
 
-    async def _try(
-        self, exchange: Exchange, turn: Turn, budget: retry.RetryBudget
+    async def _attempt(
+        self, exchange: Exchange, acquired_slot: AcquiredSlot, budget: retry.RetryBudget
     ) -> Result[web.StreamResponse, AttemptFailure]:
         """Make one attempt; the slot is given back whatever happens."""
-        row = exchange.row
+        caller_request = exchange.caller_request
         now = self._node.clock.now()
-        upstream = turn.upstream
-        if now >= upstream.credit_until or now >= row.deadline:
+        upstream = acquired_slot.upstream
+        if now >= upstream.credit_until or now >= caller_request.deadline:
             # The process was frozen or held up since the slot was given. The
             # slot may be another's by now, so it must not be used.
             upstream_health.note_no_verdict(upstream)
-            self._dispatcher.release(turn)
-            return Failure(AttemptFailure(_SLOT_LAPSED, not_run=True))
-        linger = retry.choose_linger(turn.pool)
-        remaining = row.deadline - now
+            self._dispatcher.release(acquired_slot)
+            return Failure(AttemptFailure(_SLOT_EXPIRED, not_run=True))
+        linger = retry.choose_linger(acquired_slot.pool)
+        remaining = caller_request.deadline - now
         exchange.headers["Request-Timeout"] = f"{remaining:.3f}"
         try:
             sent = await self._client.send(
                 Sending(
                     address=upstream.address,
-                    method=row.method,
-                    target=row.target,
+                    method=caller_request.method,
+                    target=caller_request.target,
                     headers=exchange.headers,
-                    body=row.body,
+                    body=caller_request.body,
                     header_timeout=retry.choose_header_timeout(
-                        budget, row, turn.pool, exchange.attempts, now
+                        budget,
+                        caller_request,
+                        acquired_slot.pool,
+                        exchange.attempts,
+                        now,
                     ),
                 ),
-                fresh=not row.repeatable or exchange.attempts > 0,
+                fresh=not caller_request.repeatable or exchange.attempts > 0,
             )
             if not is_successful(sent):
                 fault = sent.failure()
                 if not fault.timed_out:
                     linger = 0.0
-                return Failure(self._judge_fault(turn, fault))
-            result = await self._take_answer(exchange, turn, sent.unwrap(), budget)
+                return Failure(self._handle_fault(acquired_slot, fault))
+            result = await self._handle_answer(
+                exchange, acquired_slot, sent.unwrap(), budget
+            )
             linger = 0.0
             return result
         except asyncio.CancelledError:
             upstream_health.note_no_verdict(upstream)
             raise
         finally:
-            self._dispatcher.release(turn, linger)
+            self._dispatcher.release(acquired_slot, linger)
 
-    async def _take_answer(
+    async def _handle_answer(
         self,
         exchange: Exchange,
-        turn: Turn,
+        acquired_slot: AcquiredSlot,
         answer: aiohttp.ClientResponse,
         budget: retry.RetryBudget,
     ) -> Result[web.StreamResponse, AttemptFailure]:
-        row = exchange.row
+        caller_request = exchange.caller_request
         now = self._node.clock.now()
-        latency = now - turn.began_at
+        latency = now - acquired_slot.began_at
         state = answer.headers.get(STATE_HEADER)
         if state == "leaving":
-            self._reports.note_leaving(turn.upstream.id, 0.0, "answer")
-        if answer.status == REFUSES and state is not None:
+            self._reports.note_leaving(acquired_slot.upstream.id, 0.0, "answer")
+        if answer.status == REFUSAL_STATUS and state is not None:
             answer.close()
-            upstream_health.note_no_verdict(turn.upstream)
+            upstream_health.note_no_verdict(acquired_slot.upstream)
             if state != "leaving":
-                turn.upstream.credit_until = min(turn.upstream.credit_until, now)
+                acquired_slot.upstream.credit_until = min(
+                    acquired_slot.upstream.credit_until, now
+                )
             return Failure(AttemptFailure(_UPSTREAM_REFUSED, not_run=True))
         streams = exchange.request is not None
-        held = await hold_answer(
+        held = await buffer_response(
             answer,
-            HELD_ANSWER_BYTES if streams else MAX_KEYED_ANSWER_BYTES,
-            row.deadline - now,
+            BUFFERED_RESPONSE_BYTES if streams else MAX_KEYED_RESPONSE_BYTES,
+            caller_request.deadline - now,
         )
         if not is_successful(held):
-            return Failure(self._judge_fault(turn, held.failure()))
+            return Failure(self._handle_fault(acquired_slot, held.failure()))
         body = held.unwrap()
         if not body.complete:
-            return await self._pass_large(exchange, turn, answer, body.body, latency)
-        passed = create_response(answer, body.body, row)
+            return await self._stream_large_answer(
+                exchange, acquired_slot, answer, body.body, latency
+            )
+        passed = create_response(answer, body.body, caller_request)
         ok = answer.status not in RETRIED_STATUSES
-        self._judge_answer(turn, ok=ok, latency=latency)
+        self._record_upstream_health(acquired_slot, ok=ok, latency=latency)
         if not ok:
             return Failure(
                 AttemptFailure(_UPSTREAM_FAILED, not_run=False, answer=passed)
@@ -211,10 +227,10 @@
             retry.earn(budget, config.fleet.retry_percent)
         return Success(passed)
 
-    async def _pass_large(
+    async def _stream_large_answer(
         self,
         exchange: Exchange,
-        turn: Turn,
+        acquired_slot: AcquiredSlot,
         answer: aiohttp.ClientResponse,
         begin: bytes,
         latency: float,
@@ -224,37 +240,45 @@
             fault = UpstreamFault(
                 Reached.PERHAPS, "its answer is too large", timed_out=False
             )
-            return Failure(self._judge_fault(turn, fault))
-        response, whole = await stream_answer(
+            return Failure(self._handle_fault(acquired_slot, fault))
+        response, whole = await stream_response(
             answer,
             begin,
             exchange.request,
-            exchange.row.id,
-            exchange.row.deadline - self._node.clock.now(),
+            exchange.caller_request.id,
+            exchange.caller_request.deadline - self._node.clock.now(),
         )
-        self._judge_answer(turn, ok=whole, latency=latency)
+        self._record_upstream_health(acquired_slot, ok=whole, latency=latency)
         return Success(response)
 
-    def _judge_answer(self, turn: Turn, *, ok: bool, latency: float) -> None:
-        upstreams = self._state.list_upstreams(turn.pool.pool_id)
+    def _record_upstream_health(
+        self, acquired_slot: AcquiredSlot, *, ok: bool, latency: float
+    ) -> None:
+        upstreams = self._state.list_upstreams(acquired_slot.pool.pool_id)
         now = self._node.clock.now()
         if ok:
-            aside = upstream_health.note_success(turn.upstream, upstreams, latency, now)
+            ejected = upstream_health.note_success(
+                acquired_slot.upstream, upstreams, latency, now
+            )
         else:
-            aside = upstream_health.note_failure(turn.upstream, upstreams, now)
-        if aside:
+            ejected = upstream_health.note_failure(
+                acquired_slot.upstream, upstreams, now
+            )
+        if ejected:
             self._node.log.warning(
                 Event.UPSTREAM_SET_ASIDE,
-                vm=turn.upstream.id,
-                failures=turn.upstream.failures,
-                latency_ms=round(turn.upstream.latency * 1000, 1),
+                vm=acquired_slot.upstream.id,
+                failures=acquired_slot.upstream.failures,
+                latency_ms=round(acquired_slot.upstream.latency * 1000, 1),
             )
 
-    def _judge_fault(self, turn: Turn, fault: UpstreamFault) -> AttemptFailure:
+    def _handle_fault(
+        self, acquired_slot: AcquiredSlot, fault: UpstreamFault
+    ) -> AttemptFailure:
         if fault.old_connection:
-            upstream_health.note_no_verdict(turn.upstream)
+            upstream_health.note_no_verdict(acquired_slot.upstream)
         else:
-            self._judge_answer(turn, ok=False, latency=0.0)
+            self._record_upstream_health(acquired_slot, ok=False, latency=0.0)
         not_run = fault.reached is Reached.NO
         kind = RefusalKind.TIMED_OUT if fault.timed_out else RefusalKind.UPSTREAM_FAILED
         outcome = Outcome.NOT_RUN if not_run else Outcome.UNKNOWN
@@ -262,27 +286,32 @@
         return AttemptFailure(refusal, not_run=not_run)
 
     def _record_failure(
-        self, exchange: Exchange, turn: Turn, failure: AttemptFailure, *, again: bool
+        self,
+        exchange: Exchange,
+        acquired_slot: AcquiredSlot,
+        failure: AttemptFailure,
+        *,
+        will_retry: bool,
     ) -> None:
         self._node.decisions.record(
             Subject.REQUEST,
-            exchange.row.id,
-            "send again" if again else "give up",
+            exchange.caller_request.id,
+            "send again" if will_retry else "give up",
             failure.refusal.kind.code,
-            upstream=turn.upstream.id,
+            upstream=acquired_slot.upstream.id,
             attempt=exchange.attempts,
             not_run=failure.not_run,
         )
 
 
-def _after_attempts(refusal: Refusal, exchange: Exchange) -> Refusal:
+def _include_earlier_attempts(refusal: Refusal, exchange: Exchange) -> Refusal:
     """Never say "not run" once an earlier attempt may have run."""
     if not exchange.perhaps_run or refusal.outcome is Outcome.UNKNOWN:
         return refusal
     return Refusal(refusal.kind, Outcome.UNKNOWN, refusal.detail, refusal.retry_after)
 
 
-_SLOT_LAPSED = Refusal(
+_SLOT_EXPIRED = Refusal(
     RefusalKind.OVERLOADED,
     Outcome.NOT_RUN,
     "The slot lapsed before the request was sent; send it again.",
--- a/packages/daemon/src/medlarspring_daemon/callers/keyed.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/idempotency.py
@@ -9,7 +9,7 @@
 from returns.pipeline import is_successful
 from returns.result import Failure, Result, Success
 
-from medlarspring_daemon.callers.claims import ClaimBook, Ticket
+from medlarspring_daemon.callers.claims import ClaimedRun, ClaimManager
 from medlarspring_systems.claims import keep_answer
 from medlarspring_tables.requests import Outcome
 
@@ -28,14 +28,14 @@
 
     def __init__(self, node: Node, forwarder: Forwarder) -> None:
         self._forwarder = forwarder
-        self._book = ClaimBook(node)
+        self._claim_manager = ClaimManager(node)
         self._runs: set[asyncio.Task[Result[web.StreamResponse, Refusal]]] = set()
 
     async def stop(self, timeout: Seconds) -> None:
         """Let runs and records finish."""
         if self._runs:
             await asyncio.wait(self._runs, timeout=timeout)
-        await self._book.stop(timeout)
+        await self._claim_manager.stop(timeout)
 
     async def run(self, exchange: Exchange) -> Result[web.StreamResponse, Refusal]:
         """Answer a keyed request.
@@ -50,38 +50,38 @@
         return await asyncio.shield(run)
 
     async def _run(self, exchange: Exchange) -> Result[web.StreamResponse, Refusal]:
-        claimed = await self._book.claim(exchange.row)
+        claimed = await self._claim_manager.claim(exchange.caller_request)
         if not is_successful(claimed):
             return Failure(claimed.failure())
         held = claimed.unwrap()
-        if not isinstance(held, Ticket):
+        if not isinstance(held, ClaimedRun):
             exchange.replayed = True
-            return Success(_replay(held, exchange.row))
+            return Success(_replay(held, exchange.caller_request))
         answer = await self._forwarder.forward(exchange)
         await self._record(held, answer)
         return answer
 
     async def _record(
-        self, ticket: Ticket, answer: Result[web.StreamResponse, Refusal]
+        self, claimed_run: ClaimedRun, answer: Result[web.StreamResponse, Refusal]
     ) -> None:
         if is_successful(answer):
             response = answer.unwrap()
             assert isinstance(response, web.Response)
             assert isinstance(response.body, bytes)
             kept = keep_answer(response.status, response.headers.items(), response.body)
-            await self._book.complete(ticket, kept)
+            await self._claim_manager.complete(claimed_run, kept)
         elif answer.failure().outcome is Outcome.NOT_RUN:
-            await self._book.abandon(ticket)
+            await self._claim_manager.abandon(claimed_run)
         else:
-            await self._book.complete(ticket, None)
+            await self._claim_manager.complete(claimed_run, None)
 
 
-def _replay(answer: ClaimedAnswer, row: CallerRequest) -> web.Response:
+def _replay(answer: ClaimedAnswer, caller_request: CallerRequest) -> web.Response:
     response = web.Response(status=answer.status, body=answer.body)
     response.headers.popall("Content-Type", None)
     for name, value in answer.headers:
         response.headers.add(name, value)
-    response.headers["Request-Id"] = row.id
+    response.headers["Request-Id"] = caller_request.id
     response.headers[REPLAY_HEADER] = "?1"
     return response
 
--- a/packages/daemon/src/medlarspring_daemon/callers/records.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/records.py
@@ -22,7 +22,7 @@
 MAX_ANSWERS = 10_000
 """Answered requests remembered; apart from the rarer decisions about VMs, jobs
 and waves, which their number would push out within a minute."""
-TIMED_PART = 8
+TIMING_SAMPLE_INTERVAL = 8
 """One answer of so many is sent as a timing."""
 
 
@@ -49,7 +49,7 @@
     def __init__(self, node: Node) -> None:
         self._node = node
         self._counts: Counter[Metric] = Counter()
-        self._timed = 0
+        self._answers_since_timing = 0
         self._answers_by_id: OrderedDict[str, AnsweredRequest] = OrderedDict()
         node.decisions.add_source(self.find_answer)
 
@@ -65,20 +65,22 @@
             self._node.metrics.count(metric, amount)
         self._counts.clear()
 
-    def note_answer(self, row: CallerRequest, status: int, exchange: Exchange) -> None:
+    def record_answer(
+        self, caller_request: CallerRequest, status: int, exchange: Exchange
+    ) -> None:
         """Remember an upstream's answer; it is put into words when asked for."""
-        took = self._node.clock.now() - row.arrived_at
+        took = self._node.clock.now() - caller_request.arrived_at
         self._counts[Metric.REQUESTS_ANSWERED] += 1
-        self._timed += 1
-        if self._timed == TIMED_PART:
-            self._timed = 0
+        self._answers_since_timing += 1
+        if self._answers_since_timing == TIMING_SAMPLE_INTERVAL:
+            self._answers_since_timing = 0
             self._node.metrics.timing(Metric.REQUEST_MS, took * 1000)
         if len(self._answers_by_id) >= MAX_ANSWERS:
             self._answers_by_id.popitem(last=False)
-        self._answers_by_id[row.id] = AnsweredRequest(
+        self._answers_by_id[caller_request.id] = AnsweredRequest(
             self._node.clock.wall(),
-            row.partner_id,
-            row.service_id,
+            caller_request.partner_id,
+            caller_request.service_id,
             exchange.upstream_id,
             exchange.attempts,
             exchange.waited,
@@ -112,20 +114,20 @@
         )
         return [decision]
 
-    def note_replay(self, row: CallerRequest, status: int) -> None:
+    def record_replay(self, caller_request: CallerRequest, status: int) -> None:
         """Remember that a recorded answer was given again."""
         self._counts[Metric.REQUESTS_REPLAYED] += 1
         self._node.decisions.record(
             Subject.REQUEST,
-            row.id,
+            caller_request.id,
             "replayed",
             "the Idempotency-Key has a recorded answer",
-            partner=row.partner_id,
-            service=row.service_id,
+            partner=caller_request.partner_id,
+            service=caller_request.service_id,
             status=status,
         )
 
-    def note_refusal(self, request_id: RequestId, refusal: Refusal) -> None:
+    def record_refusal(self, request_id: RequestId, refusal: Refusal) -> None:
         """Remember a refusal of our own."""
         unknown = refusal.outcome is not Outcome.NOT_RUN
         metric = Metric.REQUESTS_UNKNOWN if unknown else Metric.REQUESTS_REFUSED
--- a/packages/daemon/src/medlarspring_daemon/callers/reports.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/reports.py
@@ -50,7 +50,7 @@
                 vm=upstream.id, pool=upstream.pool_id, age_ms=int(age * 1000)
             )
 
-    def take_report(self, report: peer_pb2.Report) -> None:
+    def apply_report(self, report: peer_pb2.Report) -> None:
         """Charge partners for their use elsewhere; note VMs that leave or are back."""
         now = self._state.node.clock.now()
         peer = EntryVMId(report.sender)
--- a/packages/daemon/src/medlarspring_daemon/callers/reading.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/request_reader.py
@@ -167,7 +167,7 @@
     return RequestId(f"{random.getrandbits(ID_BITS):032x}")
 
 
-def names_key(request: web.BaseRequest) -> bool:
+def has_usable_key(request: web.BaseRequest) -> bool:
     """Tell whether a request has a key that may have run before."""
     return _is_key(request.headers.get(IDEMPOTENCY_KEY, ""))
 
@@ -264,5 +264,5 @@
     "Credentials",
     "RequestReader",
     "create_request_id",
-    "names_key",
+    "has_usable_key",
 ]
--- a/packages/daemon/src/medlarspring_daemon/callers/service.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/service.py
@@ -13,32 +13,32 @@
 from medlarspring_adapters.events import Event
 from medlarspring_adapters.problems import create_problem_response
 from medlarspring_adapters.upstream_http import UpstreamClient
-from medlarspring_daemon.callers.answer import create_upstream_headers
 from medlarspring_daemon.callers.connections import CallerServer
 from medlarspring_daemon.callers.dispatch import Dispatcher
 from medlarspring_daemon.callers.forwarding import Exchange, Forwarder
-from medlarspring_daemon.callers.keyed import KeyedRunner
-from medlarspring_daemon.callers.reading import (
+from medlarspring_daemon.callers.idempotency import KeyedRunner
+from medlarspring_daemon.callers.records import CallerRecords
+from medlarspring_daemon.callers.reports import CallerReports
+from medlarspring_daemon.callers.request_reader import (
     RequestReader,
     create_request_id,
-    names_key,
+    has_usable_key,
 )
-from medlarspring_daemon.callers.records import CallerRecords
-from medlarspring_daemon.callers.reports import CallerReports
 from medlarspring_daemon.callers.state import CallerState
+from medlarspring_daemon.callers.upstream_response import create_upstream_headers
 from medlarspring_systems.claims import promise_nothing
 from medlarspring_systems.routing import count_idle_connections
 
 if TYPE_CHECKING:
-    from medlarspring_daemon.node import Node, Part
+    from medlarspring_daemon.node import Component, Node
     from medlarspring_tables import RequestId, VMList
     from medlarspring_tables.requests import Refusal
 
 HEALTH_PATH = "/healthz"
 READINESS_PATH = "/readyz"
-COLLECTOR_THRESHOLDS = (20_000, 20, 20)
+GC_THRESHOLDS = (20_000, 20, 20)
 DRAIN_CHECK_SECONDS = 0.02
-FAREWELL_SECONDS = 1.5
+READINESS_NOTICE_SECONDS = 1.5
 """How long the port stays open on shutdown, for the balancer to notice."""
 
 
@@ -63,9 +63,9 @@
         """Open the port."""
         settings = self._node.settings.caller
         self._client = UpstreamClient(self._node.clock)
-        self._state.list_listeners.append(self._bound_connections)
+        self._state.list_listeners.append(self._update_idle_limits)
         reports = CallerReports(self._state)
-        self._node.report_parts.append(reports)
+        self._node.report_contributors.append(reports)
         self._node.note_leaving = partial(
             reports.note_leaving, age=0.0, source="order to drain"
         )
@@ -76,9 +76,9 @@
             self._state, self._dispatcher, self._client, reports
         )
         await self._dispatcher.slots.start()
-        _calm_collector()
+        _tune_garbage_collector()
         self._keyed = KeyedRunner(self._node, self._forwarder)
-        self._server = CallerServer(self._handle, settings, self._note_failure)
+        self._server = CallerServer(self._handle, settings, self._log_failure)
         self._tasks = [
             asyncio.create_task(self._server.sweep()),
             asyncio.create_task(self._records.run()),
@@ -102,10 +102,10 @@
             return
         loop = asyncio.get_running_loop()
         limit = loop.time() + self._node.settings.caller.drain_seconds
-        farewell = min(limit, loop.time() + FAREWELL_SECONDS)
+        open_until = min(limit, loop.time() + READINESS_NOTICE_SECONDS)
         if not self._node.stopping:
-            farewell = loop.time()
-        while loop.time() < farewell or (self._in_flight and loop.time() < limit):
+            open_until = loop.time()
+        while loop.time() < open_until or (self._in_flight and loop.time() < limit):
             await asyncio.sleep(DRAIN_CHECK_SECONDS)
         self._listener.close()
         await self._keyed.stop(max(0.1, limit - loop.time()))
@@ -139,12 +139,14 @@
         read = await self._reader.read(request, request_id)
         if not is_successful(read):
             refusal = read.failure()
-            if names_key(request):
+            if has_usable_key(request):
                 refusal = promise_nothing(refusal)
             return self._refuse(refusal, request_id)
-        row = read.unwrap()
-        exchange = Exchange(row, create_upstream_headers(request, row), request)
-        if row.key is not None:
+        caller_request = read.unwrap()
+        exchange = Exchange(
+            caller_request, create_upstream_headers(request, caller_request), request
+        )
+        if caller_request.key is not None:
             answer = await self._keyed.run(exchange)
         else:
             answer = await self._forwarder.forward(exchange)
@@ -152,24 +154,26 @@
             return self._refuse(answer.failure(), request_id)
         response = answer.unwrap()
         if exchange.replayed:
-            self._records.note_replay(row, response.status)
+            self._records.record_replay(caller_request, response.status)
         else:
-            self._records.note_answer(row, response.status, exchange)
+            self._records.record_answer(caller_request, response.status, exchange)
         return response
 
     def _refuse(self, refusal: Refusal, request_id: RequestId) -> web.Response:
-        self._records.note_refusal(request_id, refusal)
+        self._records.record_refusal(request_id, refusal)
         return create_problem_response(refusal, request_id)
 
-    def _bound_connections(self, vm_list: VMList) -> None:
+    def _update_idle_limits(self, vm_list: VMList) -> None:
         assert self._client is not None
         entry_vms = len(vm_list.entry_vms_by_id)
         self._client.connector.idle_by_address = {
-            _split(upstream.address): count_idle_connections(upstream, entry_vms)
+            _split_address(upstream.address): count_idle_connections(
+                upstream, entry_vms
+            )
             for upstream in self._state.upstreams.upstreams_by_id.values()
         }
 
-    def _note_failure(self, error: BaseException | None) -> None:
+    def _log_failure(self, error: BaseException | None) -> None:
         self._node.log.error(Event.REQUEST_FAILED, error=repr(error))
 
     def _answer_readiness(self) -> web.Response:
@@ -180,19 +184,19 @@
             return web.Response(status=503, text="configuration unknown\n")
         if node.vm_list is None:
             return web.Response(status=503, text="VM list unknown\n")
-        if not self._dispatcher.slots.is_settled():
+        if not self._dispatcher.slots.can_receive_grants():
             # Sent now, requests would wait for slots until the votes of a
             # former process have lapsed, and miss short deadlines.
             return web.Response(status=503, text="no slots yet\n")
         return web.Response(text="ready\n")
 
 
-def _split(address: str) -> tuple[str, int]:
+def _split_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
 
-def _calm_collector() -> None:
+def _tune_garbage_collector() -> None:
     """Let the garbage collector run rarely, and not over what stays anyway.
 
     With the default thresholds it runs every few requests, and each of its
@@ -200,10 +204,10 @@
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECTOR_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
-def create_caller_service(node: Node) -> Part:
+def create_caller_service(node: Node) -> Component:
     """Return the service of the caller port."""
     return CallerService(node)
 
--- a/packages/daemon/src/medlarspring_daemon/callers/slot_exchange.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/slot_exchange.py
@@ -26,15 +26,15 @@
     from medlarspring_tables import Member, Seconds
     from medlarspring_tables.upstreams import Upstream
 
-MIN_PAUSE_SECONDS = 0.05
+MIN_RENEWAL_INTERVAL_SECONDS = 0.05
 """A holder that is short of slots asks a home at most so often."""
-DEAD_SECONDS = 2.0
+REFUSAL_EVIDENCE_SECONDS = 2.0
 """A refused connection proves a dead process for so long only: a new process
 of the same entry VM waits longer than this before it grants."""
 
 
 @dataclass(slots=True, frozen=True)
-class Asking:
+class PendingSlotRequest:
     """One request for slots that is due."""
 
     home: EntryVMId
@@ -57,7 +57,7 @@
         self._home = SlotHome(node, state, self._policy)
         self._votes_by_vm: dict[VMId, Vote] = {}
         self._echo_by_home: dict[EntryVMId, int] = {}
-        self._renewed_all_at = self._renewed_at = self._hurried_at = float("-inf")
+        self._renewed_all_at = self._renewed_at = self._short_renewed_at = float("-inf")
         self._sequence = 0
         self._unanswered: set[EntryVMId] = set()
         self._short_pools: set[PoolId] = set()
@@ -65,12 +65,12 @@
         # Its votes and grants are waited out like those of a home that moved.
         self._blocked_until = node.clock.now() + self._policy.switch_seconds
 
-    def is_settled(self) -> bool:
+    def can_receive_grants(self) -> bool:
         """Whether this process may be granted slots like the others."""
         alone = len(self.list_views()) == 1
         return alone or self._node.clock.now() >= self._blocked_until
 
-    def want(self, pool_id: PoolId) -> None:
+    def request_slots_soon(self, pool_id: PoolId) -> None:
         """Ask soon, because work of this pool waits for a slot."""
         self._short_pools.add(pool_id)
 
@@ -79,40 +79,45 @@
         self._state.refresh()
         return self._home.answer(request, self.list_views(), self._votes_by_vm)
 
-    def list_due(self) -> list[Asking]:
+    def list_due(self) -> list[PendingSlotRequest]:
         """Return the requests to send now, the one to the own home included.
 
         All homes are asked at the renewal time; in between only those of pools
         that are short of slots, so that an idle entry VM does little.
         """
         now = self._node.clock.now()
-        upstreams = self._list_to_ask(now)
+        upstreams = self._list_due_upstreams(now)
         if not upstreams:
             return []
         self._short_pools.clear()
-        by_home = self._sort_by_home(upstreams, self.list_views(), now)
+        by_home = self._group_by_home(upstreams, self.list_views(), now)
         due = [
-            Asking(home, self._create_request(home, wished, now), now)
-            for home, wished in by_home.items()
+            PendingSlotRequest(
+                home, self._create_request(home, home_upstreams, now), now
+            )
+            for home, home_upstreams in by_home.items()
             if home not in self._unanswered
         ]
-        self._unanswered.update(asking.home for asking in due)
+        self._unanswered.update(pending.home for pending in due)
         return due
 
-    def _list_to_ask(self, now: Seconds) -> list[Upstream]:
+    def _list_due_upstreams(self, now: Seconds) -> list[Upstream]:
         """Return the upstream VMs whose homes are due to be asked."""
         by_pool = self._state.upstreams.upstreams_by_pool
         if now - self._renewed_all_at >= self._policy.idle_renew_seconds:
             self._state.refresh()
-            self._renewed_all_at = self._renewed_at = self._hurried_at = now
+            self._renewed_all_at = self._renewed_at = self._short_renewed_at = now
             for upstreams in by_pool.values():
                 keep_floor(upstreams, now)
             return list(self._state.upstreams.upstreams_by_id.values())
         if now - self._renewed_at >= self._policy.renew_seconds:
-            self._renewed_at = self._hurried_at = now
+            self._renewed_at = self._short_renewed_at = now
             pools = [pool_id for pool_id in by_pool if self._is_in_use(pool_id, now)]
-        elif self._short_pools and now - self._hurried_at >= MIN_PAUSE_SECONDS:
-            self._hurried_at = now
+        elif (
+            self._short_pools
+            and now - self._short_renewed_at >= MIN_RENEWAL_INTERVAL_SECONDS
+        ):
+            self._short_renewed_at = now
             pools = list(self._short_pools)
         else:
             return []
@@ -124,31 +129,33 @@
             return False
         return pool.waiting > 0 or now - pool.asked_at < self._policy.idle_after_seconds
 
-    def note_failure(self, asking: Asking) -> None:
+    def handle_call_failure(self, pending: PendingSlotRequest) -> None:
         """Give a request up; the credits lapse unless the next one is answered."""
-        self._unanswered.discard(asking.home)
+        self._unanswered.discard(pending.home)
 
-    def take_reply(self, asking: Asking, reply: peer_pb2.SlotReply) -> set[PoolId]:
+    def apply_reply(
+        self, pending: PendingSlotRequest, reply: peer_pb2.SlotReply
+    ) -> set[PoolId]:
         """Use the slots granted; return the pools that may go on with them."""
-        self._unanswered.discard(asking.home)
+        self._unanswered.discard(pending.home)
         if reply.time_ms:
-            self._echo_by_home[asking.home] = reply.time_ms
+            self._echo_by_home[pending.home] = reply.time_ms
         now = self._node.clock.now()
         pools: set[PoolId] = set()
         for granted in reply.grants:
             upstream = self._state.upstreams.upstreams_by_id.get(VMId(granted.vm))
             if upstream is None:
                 continue
-            self._note_foreign(upstream.id, asking.home, granted.foreign)
+            self._record_foreign(upstream.id, pending.home, granted.foreign)
             upstream.credit = granted.slots
             # Counted from the asking: the home's own count starts later, so a
             # slow reply or a freeze makes the credit end too early, never late.
-            upstream.credit_until = asking.sent_at + granted.ttl_ms / 1000.0
+            upstream.credit_until = pending.sent_at + granted.ttl_ms / 1000.0
             if now < upstream.credit_until:
                 pools.add(upstream.pool_id)
         return pools
 
-    def _note_foreign(self, vm_id: VMId, home: EntryVMId, foreign: int) -> None:
+    def _record_foreign(self, vm_id: VMId, home: EntryVMId, foreign: int) -> None:
         """Remember what a home has lent to other zones, for the next home.
 
         What this entry VM lends as home is in its own ledger. Noted here too it was
@@ -178,7 +185,7 @@
             dead = (
                 not is_heard
                 and refused_at is not None
-                and now - refused_at < DEAD_SECONDS
+                and now - refused_at < REFUSAL_EVIDENCE_SECONDS
             )
             views.append(EntryVMView(entry_vm_id, zone_id, is_heard, dead))
         return views
@@ -190,10 +197,10 @@
         its requests in flight get no slot for another try, and time out.
         """
         zone_id = self._state.zone_id
-        has_neighbour = any(member.zone_id == zone_id for member in heard.values())
-        return not (self._node.stopping and has_neighbour)
+        has_zone_peer = any(member.zone_id == zone_id for member in heard.values())
+        return not (self._node.stopping and has_zone_peer)
 
-    def _sort_by_home(
+    def _group_by_home(
         self, upstreams: list[Upstream], views: list[EntryVMView], now: Seconds
     ) -> dict[EntryVMId, list[Upstream]]:
         upstreams_by_home: dict[EntryVMId, list[Upstream]] = defaultdict(list)
@@ -295,24 +302,24 @@
         self, request: peer_pb2.SlotRequest, pool_id: PoolId, own: bool, now: Seconds
     ) -> None:
         pool = self._state.pools_by_id.get(pool_id)
-        part = 1.0 if own else self._share_overflow(pool_id, now)
+        share = 1.0 if own else self._compute_overflow_share(pool_id, now)
         queues = () if pool is None else pool.queues_by_partner.values()
-        told = False
+        has_demand = False
         for queue in queues:
             waiting = 0 if self._node.stopping else queue.waiting
             if not waiting and not queue.running:
                 continue
-            told = True
+            has_demand = True
             request.demand.add(
                 partner=queue.partner_id,
                 pool=pool_id,
-                waiting=_scale(waiting, part),
-                running=_scale(queue.running, part),
+                waiting=_scale(waiting, share),
+                running=_scale(queue.running, share),
             )
-        if not told:
+        if not has_demand:
             request.demand.add(pool=pool_id)
 
-    def _share_overflow(self, pool_id: PoolId, now: Seconds) -> float:
+    def _compute_overflow_share(self, pool_id: PoolId, now: Seconds) -> float:
         """Return the part of the demand to tell to each foreign zone."""
         pool = self._state.pools_by_id.get(pool_id)
         zones = {
@@ -327,9 +334,9 @@
         return self._count_overflow(pool_id, now) / max(1, total) / len(zones)
 
 
-def _scale(count: int, part: float) -> int:
+def _scale(count: int, share: float) -> int:
     """Return a part of a count, rounded up so that small demand is told at all."""
-    return math.ceil(count * part)
+    return math.ceil(count * share)
 
 
-__all__ = ["Asking", "SlotExchange"]
+__all__ = ["PendingSlotRequest", "SlotExchange"]
--- a/packages/daemon/src/medlarspring_daemon/callers/slot_home.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/slot_home.py
@@ -49,11 +49,11 @@
         """Grant what is free and fair of each VM that is wished for."""
         now = self._node.clock.now()
         asker = EntryVMId(request.sender)
-        if self._is_late(asker, request, now):
+        if self._is_outdated(asker, request, now):
             return peer_pb2.SlotReply(
                 sender=self._node.id, incarnation=self._node.incarnation
             )
-        self._take_demand(request, now)
+        self._record_demand(request, now)
         reply = peer_pb2.SlotReply(
             sender=self._node.id,
             incarnation=self._node.incarnation,
@@ -61,7 +61,7 @@
         )
         echoed_at = self._read_echo(request.echo_ms, now)
         dead = frozenset(view.id for view in views if view.dead and view.id != asker)
-        parts_by_pool: dict[tuple[PoolId, ZoneId], dict[EntryVMId, float]] = {}
+        shares_by_pool: dict[tuple[PoolId, ZoneId], dict[EntryVMId, float]] = {}
         for wish in request.wishes:
             upstream = self._state.upstreams.upstreams_by_id.get(VMId(wish.vm))
             if upstream is None:
@@ -70,10 +70,10 @@
                 age = wish.leaving_age_ms / 1000.0
                 note_leaving(self._state.upstreams, upstream.id, age, now)
             key = (upstream.pool_id, upstream.zone_id)
-            parts = parts_by_pool.get(key)
-            if parts is None:
-                parts = self._divide(upstream, now)
-                parts_by_pool[key] = parts
+            shares = shares_by_pool.get(key)
+            if shares is None:
+                shares = self._divide_slots(upstream, now)
+                shares_by_pool[key] = shares
             ledger = self._table.ledgers_by_vm.setdefault(upstream.id, SlotLedger())
             if wish.backs and echoed_at is not None:
                 slots.take_vote(ledger, asker, echoed_at)
@@ -87,7 +87,7 @@
                 now=now,
                 policy=self._policy,
             )
-            target = slot_shares.round_parts(upstream.id, parts, upstream.slots)
+            target = slot_shares.round_parts(upstream.id, shares, upstream.slots)
             granted = slots.grant(
                 ledger,
                 asker,
@@ -106,7 +106,7 @@
             )
         return reply
 
-    def _is_late(
+    def _is_outdated(
         self, asker: EntryVMId, request: peer_pb2.SlotRequest, now: Seconds
     ) -> bool:
         """Whether a newer request of the asker was answered already.
@@ -132,7 +132,7 @@
         echoed_at = (echo_ms - self._epoch_ms) / 1000.0
         return echoed_at if self._started_at - 1.0 <= echoed_at <= now else None
 
-    def _take_demand(self, request: peer_pb2.SlotRequest, now: Seconds) -> None:
+    def _record_demand(self, request: peer_pb2.SlotRequest, now: Seconds) -> None:
         counts_by_pool: dict[PoolId, dict[PartnerId, int]] = defaultdict(dict)
         for usage in request.demand:
             counts = counts_by_pool[PoolId(usage.pool)]
@@ -142,7 +142,7 @@
             asker = EntryVMId(request.sender)
             slot_shares.take_demand(self._table, pool_id, asker, counts, now)
 
-    def _divide(self, upstream: Upstream, now: Seconds) -> dict[EntryVMId, float]:
+    def _divide_slots(self, upstream: Upstream, now: Seconds) -> dict[EntryVMId, float]:
         config = self._node.config
         weights = {}
         if config is not None:
--- a/packages/daemon/src/medlarspring_daemon/callers/slot_service.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/slot_service.py
@@ -13,14 +13,14 @@
     from collections.abc import Callable
 
     from medlarspring_adapters import peer_pb2
-    from medlarspring_daemon.callers.slot_exchange import Asking
+    from medlarspring_daemon.callers.slot_exchange import PendingSlotRequest
     from medlarspring_daemon.callers.state import CallerState
     from medlarspring_daemon.node import Node
     from medlarspring_tables import PoolId
 
 TICK_SECONDS = 0.05
-WAKE_PAUSE_SECONDS = 0.005
-CALL_SECONDS = 0.5
+WAKE_DELAY_SECONDS = 0.005
+CALL_TIMEOUT_SECONDS = 0.5
 
 
 class SlotService:
@@ -50,13 +50,13 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def is_settled(self) -> bool:
+    def can_receive_grants(self) -> bool:
         """Whether this process may be granted slots like the others."""
-        return self._exchange.is_settled()
+        return self._exchange.can_receive_grants()
 
-    def want(self, pool_id: PoolId) -> None:
+    def request_slots_soon(self, pool_id: PoolId) -> None:
         """Ask soon, because work of this pool waits for a slot."""
-        self._exchange.want(pool_id)
+        self._exchange.request_slots_soon(pool_id)
         self._wake.set()
 
     def grant_slots(self, request: peer_pb2.SlotRequest) -> peer_pb2.SlotReply:
@@ -65,35 +65,37 @@
 
     async def _run(self) -> None:
         while True:
-            for asking in self._exchange.list_due():
-                self._carry(asking)
+            for pending in self._exchange.list_due():
+                self._send(pending)
             try:
                 async with asyncio.timeout(TICK_SECONDS):
                     await self._wake.wait()
             except TimeoutError:
                 continue
             self._wake.clear()
-            await asyncio.sleep(WAKE_PAUSE_SECONDS)
+            await asyncio.sleep(WAKE_DELAY_SECONDS)
 
-    def _carry(self, asking: Asking) -> None:
-        if asking.home == self._node.id:
-            self._take_reply(asking, self._exchange.answer(asking.request))
+    def _send(self, pending: PendingSlotRequest) -> None:
+        if pending.home == self._node.id:
+            self._apply_reply(pending, self._exchange.answer(pending.request))
             return
-        call = asyncio.create_task(self._ask(asking))
+        call = asyncio.create_task(self._call_home(pending))
         self._calls.add(call)
         call.add_done_callback(self._calls.discard)
 
-    async def _ask(self, asking: Asking) -> None:
+    async def _call_home(self, pending: PendingSlotRequest) -> None:
         answer = await self._node.peers.call_grant_slots(
-            asking.home, asking.request, CALL_SECONDS
+            pending.home, pending.request, CALL_TIMEOUT_SECONDS
         )
         if is_successful(answer):
-            self._take_reply(asking, answer.unwrap())
+            self._apply_reply(pending, answer.unwrap())
         else:
-            self._exchange.note_failure(asking)
+            self._exchange.handle_call_failure(pending)
 
-    def _take_reply(self, asking: Asking, reply: peer_pb2.SlotReply) -> None:
-        for pool_id in self._exchange.take_reply(asking, reply):
+    def _apply_reply(
+        self, pending: PendingSlotRequest, reply: peer_pb2.SlotReply
+    ) -> None:
+        for pool_id in self._exchange.apply_reply(pending, reply):
             self._on_credit(pool_id)
 
 
--- a/packages/daemon/src/medlarspring_daemon/callers/answer.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/upstream_response.py
@@ -23,14 +23,14 @@
     from medlarspring_tables import RequestId, Seconds
     from medlarspring_tables.requests import CallerRequest
 
-HELD_ANSWER_BYTES = 131_072
+BUFFERED_RESPONSE_BYTES = 131_072
 """Answers up to this size are held whole, so that a cut one can be told and
 a caller that reads slowly holds no slot."""
 
-MAX_KEYED_ANSWER_BYTES = 8_388_608
+MAX_KEYED_RESPONSE_BYTES = 8_388_608
 """Answers to requests with a key are always held whole."""
-MAX_ANSWER_BYTES = 67_108_864
-WITHHELD_HEADERS = HOP_HEADERS | {
+MAX_RESPONSE_BYTES = 67_108_864
+UNFORWARDED_HEADERS = HOP_HEADERS | {
     "authorization",
     "content-length",
     "expect",
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class HeldBody:
+class BufferedBody:
     """The body of an answer, or its beginning."""
 
     body: bytes
@@ -51,54 +51,54 @@
 
 
 def create_upstream_headers(
-    request: web.BaseRequest, row: CallerRequest
+    request: web.BaseRequest, caller_request: CallerRequest
 ) -> CIMultiDict[str]:
     """Return the headers that upstream VMs get, but for the time left."""
     headers: CIMultiDict[str] = CIMultiDict()
     for name, value in request.headers.items():
-        if name.lower() not in WITHHELD_HEADERS:
+        if name.lower() not in UNFORWARDED_HEADERS:
             headers.add(name, value)
-    headers.add("Request-Id", row.id)
-    headers.add("Partner-Id", row.partner_id)
+    headers.add("Request-Id", caller_request.id)
+    headers.add("Partner-Id", caller_request.partner_id)
     return headers
 
 
-async def hold_answer(
+async def buffer_response(
     answer: aiohttp.ClientResponse, limit: int, timeout: Seconds
-) -> Result[HeldBody, UpstreamFault]:
+) -> Result[BufferedBody, UpstreamFault]:
     """Read an answer's body up to a limit."""
     length = answer.content_length
     if length is not None and length <= limit:
         body = await read_answer(answer, timeout)
-        return body.map(lambda whole: HeldBody(whole, complete=True))
+        return body.map(lambda whole: BufferedBody(whole, complete=True))
     held = bytearray()
     try:
         async with asyncio.timeout(timeout):
             async for chunk in answer.content.iter_any():
                 held += chunk
                 if len(held) > limit:
-                    return Success(HeldBody(bytes(held), complete=False))
+                    return Success(BufferedBody(bytes(held), complete=False))
     except (aiohttp.ClientError, OSError, ValueError) as error:
         answer.close()
         return Failure(create_fault(error))
     except asyncio.CancelledError:
         answer.close()
         raise
-    return Success(HeldBody(bytes(held), complete=True))
+    return Success(BufferedBody(bytes(held), complete=True))
 
 
 def create_response(
-    answer: aiohttp.ClientResponse, body: bytes, row: CallerRequest
+    answer: aiohttp.ClientResponse, body: bytes, caller_request: CallerRequest
 ) -> web.Response:
     """Return the answer to the caller for one that was held whole."""
     headers = copy_answer_headers(answer.headers)
-    headers["Request-Id"] = row.id
-    if row.method != "HEAD":
+    headers["Request-Id"] = caller_request.id
+    if caller_request.method != "HEAD":
         headers.popall("Content-Length", None)
     return web.Response(status=answer.status, headers=headers, body=body)
 
 
-async def stream_answer(
+async def stream_response(
     answer: aiohttp.ClientResponse,
     begin: bytes,
     request: web.BaseRequest,
@@ -117,7 +117,7 @@
                 await response.write(begin)
             async for chunk in answer.content.iter_any():
                 passed += len(chunk)
-                if passed > MAX_ANSWER_BYTES:
+                if passed > MAX_RESPONSE_BYTES:
                     raise aiohttp.ClientPayloadError("the answer is too large")
                 await response.write(chunk)
             await response.write_eof()
@@ -136,11 +136,11 @@
 
 
 __all__ = [
-    "HELD_ANSWER_BYTES",
-    "MAX_KEYED_ANSWER_BYTES",
-    "HeldBody",
+    "BUFFERED_RESPONSE_BYTES",
+    "MAX_KEYED_RESPONSE_BYTES",
+    "BufferedBody",
     "create_response",
     "create_upstream_headers",
-    "hold_answer",
-    "stream_answer",
+    "buffer_response",
+    "stream_response",
 ]
--- a/packages/daemon/src/medlarspring_daemon/parts.py
+++ b/packages/daemon/src/medlarspring_daemon/components.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from medlarspring_adapters.clock import Clock
     from medlarspring_adapters.store import Store
-    from medlarspring_daemon.node import Node, Part
+    from medlarspring_daemon.node import Component, Node
     from medlarspring_daemon.settings import Settings
 
 
@@ -33,7 +33,7 @@
     )
 
 
-def create_parts(node: Node) -> list[Part]:
+def create_components(node: Node) -> list[Component]:
     """Return all services; the last one started is the first one stopped."""
     vm_list = create_vm_list_service(node)
     peers = create_peer_service(node)
@@ -53,4 +53,4 @@
     ]
 
 
-__all__ = ["create_parts", "create_store"]
+__all__ = ["create_components", "create_store"]
--- a/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
@@ -11,7 +11,7 @@
 
 from medlarspring_adapters.events import Event
 from medlarspring_adapters.operator_api import Finding, Health
-from medlarspring_daemon.tasks import Tasks
+from medlarspring_daemon.background_tasks import BackgroundTasks
 from medlarspring_systems.backoff import plan_retry
 from medlarspring_systems.distribution import (
     Distribution,
@@ -42,7 +42,7 @@
     def __init__(self, node: Node, peers: PeerService) -> None:
         self._node = node
         self._peers = peers
-        self._tasks = Tasks(node.log)
+        self._tasks = BackgroundTasks(node.log)
         self._failures = 0
         self._lost = False
         self._short_watches = 0
@@ -55,9 +55,9 @@
     async def start(self) -> None:
         """Begin to ask the store and the peers; the first answer is not awaited."""
         self.distribution.started_at = self._node.clock.now()
-        self._tasks.keep(self._run_store)
-        self._tasks.keep(self._run_peers)
-        self._tasks.keep(self._run_start)
+        self._tasks.run_with_restart(self._run_store)
+        self._tasks.run_with_restart(self._run_peers)
+        self._tasks.run_with_restart(self._run_start)
 
     async def stop(self) -> None:
         """End watching."""
--- a/packages/daemon/src/medlarspring_daemon/fleet/service.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/service.py
@@ -8,12 +8,12 @@
 from medlarspring_adapters.metrics import Metric
 from medlarspring_adapters.store_meter import Mechanism
 from medlarspring_adapters.vm_control import HttpVMControl
+from medlarspring_daemon.background_tasks import BackgroundTasks
 from medlarspring_daemon.fleet.controller import FleetController
 from medlarspring_daemon.fleet.desk import FleetDesk
 from medlarspring_daemon.fleet.feed import FleetFeed
 from medlarspring_daemon.fleet.rounds import FleetRounds
 from medlarspring_daemon.fleet.routes import FleetRoutes
-from medlarspring_daemon.tasks import Tasks
 from medlarspring_systems.availability import count_availability
 from medlarspring_systems.draft import Draft
 from medlarspring_tables.fleet_tables import FleetTables
@@ -31,7 +31,7 @@
     def __init__(self, node: Node, vm_control: VMControl | None) -> None:
         self._node = node
         self._vm_control = vm_control
-        self._tasks = Tasks(node.log)
+        self._tasks = BackgroundTasks(node.log)
         self._store = node.store.bill_to(Mechanism.CONTROL_WORK)
         desk = FleetDesk(self._store, node.clock, node.id)
         node.operator_routes.extend(FleetRoutes(node, desk, vm_control).routes())
@@ -40,7 +40,7 @@
         """Start the loop, unless the settings name no VM control."""
         if self._vm_control is not None:
             vm_control = self._vm_control
-            self._tasks.keep(lambda: self._run(vm_control))
+            self._tasks.run_with_restart(lambda: self._run(vm_control))
 
     async def stop(self) -> None:
         """Stop between two calls; the records let a successor go on."""
--- a/packages/daemon/src/medlarspring_daemon/fleet/vm_list_service.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/vm_list_service.py
@@ -9,7 +9,7 @@
 
 from medlarspring_adapters.events import Event
 from medlarspring_adapters.vm_list import create_vm_list_client
-from medlarspring_daemon.tasks import Tasks
+from medlarspring_daemon.background_tasks import BackgroundTasks
 from medlarspring_systems.vm_list_view import VMListView, take_answer
 
 if TYPE_CHECKING:
@@ -32,11 +32,11 @@
         self._client = client
         self._view = VMListView()
         self._lost = False
-        self._tasks = Tasks(node.log)
+        self._tasks = BackgroundTasks(node.log)
 
     async def start(self) -> None:
         """Begin to poll; the first answer is not waited for."""
-        self._tasks.keep(self._run)
+        self._tasks.run_with_restart(self._run)
 
     async def stop(self) -> None:
         """End polling."""
--- a/packages/daemon/src/medlarspring_daemon/jobs/service.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/service.py
@@ -11,10 +11,10 @@
 from medlarspring_adapters.job_store import JobStore, pool_prefix
 from medlarspring_adapters.prefix_follower import PrefixFollower
 from medlarspring_adapters.worker_control import create_worker_control
+from medlarspring_daemon.background_tasks import BackgroundTasks
 from medlarspring_daemon.jobs.controller import JobController
 from medlarspring_daemon.jobs.desk import JobDesk
 from medlarspring_daemon.jobs.routes import JobRoutes
-from medlarspring_daemon.tasks import Tasks
 from medlarspring_systems.job_records import (
     forget_worker,
     put_partner,
@@ -59,7 +59,7 @@
     def __init__(self, node: Node) -> None:
         self._node = node
         self._jobs = JobStore(node.store)
-        self._tasks = Tasks(node.log)
+        self._tasks = BackgroundTasks(node.log)
         self._pools_by_id: dict[PoolId, HeldPool] = {}
         self._session: aiohttp.ClientSession | None = None
         self._workers: WorkerControl | None = None
@@ -70,7 +70,7 @@
         """Start the loop."""
         self._session = aiohttp.ClientSession()
         self._workers = create_worker_control(self._session)
-        self._tasks.keep(self._run)
+        self._tasks.run_with_restart(self._run)
 
     async def stop(self) -> None:
         """Stop between two rounds; a successor goes on from the records."""
--- a/packages/daemon/src/medlarspring_daemon/main.py
+++ b/packages/daemon/src/medlarspring_daemon/main.py
@@ -15,8 +15,8 @@
 from medlarspring_adapters.clock import SystemClock
 from medlarspring_adapters.events import Event, create_event_log
 from medlarspring_adapters.metrics import NoMetrics, StatsdMetrics
+from medlarspring_daemon.components import create_components, create_store
 from medlarspring_daemon.node import create_node
-from medlarspring_daemon.parts import create_parts, create_store
 from medlarspring_daemon.settings import read_settings
 from medlarspring_tables import EntryVMId, MedlarspringError
 
@@ -24,7 +24,7 @@
     from collections.abc import Sequence
 
     from medlarspring_adapters.metrics import Metrics
-    from medlarspring_daemon.node import Node, Part
+    from medlarspring_daemon.node import Component, Node
     from medlarspring_daemon.settings import Settings
 
 EXIT_SETTINGS = 2
@@ -52,11 +52,11 @@
 class DaemonService(aiomisc.Service):
     """Starts the parts in order and stops them in reverse."""
 
-    def __init__(self, node: Node, parts: Sequence[Part]) -> None:
+    def __init__(self, node: Node, parts: Sequence[Component]) -> None:
         super().__init__()
         self._node = node
         self._parts = parts
-        self._started: list[Part] = []
+        self._started: list[Component] = []
 
     async def start(self) -> None:
         """Start every part, then log the addresses of the open ports."""
@@ -95,7 +95,7 @@
         _create_metrics(settings),
         create_store(settings, clock),
     )
-    service = DaemonService(node, create_parts(node))
+    service = DaemonService(node, create_components(node))
     shutdown = settings.caller.drain_seconds + SHUTDOWN_MARGIN_SECONDS
     with aiomisc.entrypoint(
         service,
--- a/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
@@ -18,7 +18,7 @@
     Put,
     Transaction,
 )
-from medlarspring_daemon.tasks import Tasks
+from medlarspring_daemon.background_tasks import BackgroundTasks
 from medlarspring_systems.backoff import plan_retry
 from medlarspring_systems.holders import (
     LEASE_SECONDS,
@@ -63,7 +63,7 @@
     def __init__(self, node: Node, peers: PeerService) -> None:
         self._node = node
         self._peers = peers
-        self._tasks = Tasks(node.log)
+        self._tasks = BackgroundTasks(node.log)
         self.holdings = Holdings(node.id)
         self._to_delete: list[HeldPool] = []
         """Given up, but the key may still be there."""
@@ -78,8 +78,8 @@
         """Begin to hold what this process is preferred for."""
         self._node.holders = self
         self._try_at = self._node.clock.now() + SETTLE_SECONDS
-        self._tasks.keep(self._run)
-        self._tasks.keep(self._follow_clock)
+        self._tasks.run_with_restart(self._run)
+        self._tasks.run_with_restart(self._follow_clock)
 
     async def stop(self) -> None:
         """Give everything up at once, so that successors need not wait."""
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_answers.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_answers.py
@@ -24,7 +24,7 @@
 class ReportTaker(Protocol):
     """Learns from the reports that peers send."""
 
-    def take_report(self, report: peer_pb2.Report) -> None:
+    def apply_report(self, report: peer_pb2.Report) -> None:
         """Learn from one report."""
         ...
 
@@ -45,7 +45,7 @@
 
     def exchange(self, report: peer_pb2.Report) -> peer_pb2.Report:
         """Take a peer's report and return the own one."""
-        self._taker.take_report(report)
+        self._taker.apply_report(report)
         reply = self._reports.build(EntryVMId(report.sender))
         self._taker.note_bytes(reply, report)
         return reply
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_reports.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_reports.py
@@ -79,7 +79,7 @@
             peer_address=self._node.addresses.get("peer", ""),
             store_failing_ms=int(self._node.store.failing_seconds() * 1000),
         )
-        for part in self._node.report_parts:
+        for part in self._node.report_contributors:
             part.fill_report(report)
         self._filled = report
 
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_service.py
@@ -18,9 +18,9 @@
     create_peer_client,
 )
 from medlarspring_adapters.peer_server import create_peer_server
+from medlarspring_daemon.background_tasks import BackgroundTasks
 from medlarspring_daemon.membership.peer_answers import PeerAnswers
 from medlarspring_daemon.membership.peer_reports import ReportBuilder, to_heartbeat
-from medlarspring_daemon.tasks import Tasks
 from medlarspring_systems import membership
 from medlarspring_systems.exchange import ExchangePlan, forget, list_due, note_bytes
 from medlarspring_tables import EntryVMId, Member, MemberTable, Revision, ZoneId
@@ -63,7 +63,7 @@
         self._failures_by_id: dict[EntryVMId, int] = {}
         self._in_flight: set[EntryVMId] = set()
         self._tried: set[EntryVMId] = set()
-        self._tasks = Tasks(node.log)
+        self._tasks = BackgroundTasks(node.log)
         self._list_taken: VMList | None = None
         self._ticked_at = node.clock.now()
 
@@ -73,7 +73,7 @@
         self._node.peers = self
         self._node.config_listeners.append(self._spread_table)
         self._ticked_at = self._node.clock.now()
-        self._tasks.keep(self._run)
+        self._tasks.run_with_restart(self._run)
 
     async def stop(self) -> None:
         """Tell the peers that this process leaves, then close the port."""
@@ -174,7 +174,7 @@
                 found += answer.unwrap().decisions
         return found
 
-    def take_report(self, report: peer_pb2.Report) -> None:
+    def apply_report(self, report: peer_pb2.Report) -> None:
         """Learn from one report, unless it is late or sent twice."""
         now = self._node.clock.now()
         heartbeat = to_heartbeat(report)
@@ -182,8 +182,8 @@
         self._log_changes(changes)
         if not is_news:
             return
-        for part in self._node.report_parts:
-            part.take_report(report)
+        for part in self._node.report_contributors:
+            part.apply_report(report)
         known = self._node.config.revision if self._node.config else 0
         if heartbeat.table_revision > known:
             self.news.set()
@@ -247,7 +247,7 @@
             # slots and duties bound to a VM that does not exist.
             now = self._node.clock.now()
             self._log_changes(membership.note_refused(self.members, member.id, now))
-        self.take_report(reply)
+        self.apply_report(reply)
         self._repeat_if_outdated(member, report)
 
     def _repeat_if_outdated(self, member: Member, sent: peer_pb2.Report) -> None:
--- a/packages/daemon/src/medlarspring_daemon/node.py
+++ b/packages/daemon/src/medlarspring_daemon/node.py
@@ -36,7 +36,7 @@
     )
 
 
-class Part(Protocol):
+class Component(Protocol):
     """One service of the daemon; started in order, stopped in reverse."""
 
     async def start(self) -> None:
@@ -48,14 +48,14 @@
         ...
 
 
-class ReportPart(Protocol):
+class ReportContributor(Protocol):
     """A service with something to say in the report that peers exchange."""
 
     def fill_report(self, report: peer_pb2.Report) -> None:
         """Add this service's facts to the report that is about to be sent."""
         ...
 
-    def take_report(self, report: peer_pb2.Report) -> None:
+    def apply_report(self, report: peer_pb2.Report) -> None:
         """Learn from a report that a peer sent."""
         ...
 
@@ -182,7 +182,7 @@
     """Takes a table that was just accepted; written by the configuration service."""
     vm_list: VMList | None = None
     """The newest list; written by the VM list service."""
-    report_parts: list[ReportPart] = field(default_factory=list)
+    report_contributors: list[ReportContributor] = field(default_factory=list)
     slot_granter: SlotGranter | None = None
     operator_routes: list[web.RouteDef] = field(default_factory=list)
     """Routes of the operator port; parts add theirs before it starts."""
@@ -227,9 +227,9 @@
     "NoHolders",
     "NoPeers",
     "Node",
-    "Part",
+    "Component",
     "Peers",
-    "ReportPart",
+    "ReportContributor",
     "SlotGranter",
     "create_node",
 ]
--- a/packages/daemon/src/medlarspring_daemon/operators/audit_trimmer.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/audit_trimmer.py
@@ -11,7 +11,7 @@
 from medlarspring_adapters.events import Event
 from medlarspring_adapters.store import Delete, Expect, Put, Transaction
 from medlarspring_adapters.store_meter import Mechanism
-from medlarspring_daemon.tasks import Tasks
+from medlarspring_daemon.background_tasks import BackgroundTasks
 from medlarspring_systems.audit import TRIM_MARK_KEY, TrimMark, page_prefix, plan_trim
 from medlarspring_tables import Revision
 from medlarspring_tables.audit import AuditRecord
@@ -36,11 +36,11 @@
     def __init__(self, node: Node) -> None:
         self._node = node
         self._store = node.store.bill_to(Mechanism.AUDIT)
-        self._tasks = Tasks(node.log)
+        self._tasks = BackgroundTasks(node.log)
 
     async def start(self) -> None:
         """Begin the rounds, the first at a random time of the first hour."""
-        self._tasks.keep(self._run)
+        self._tasks.run_with_restart(self._run)
 
     async def stop(self) -> None:
         """End the rounds; a step is written whole or not at all."""
--- a/packages/daemon/src/medlarspring_daemon/operators/metrics_service.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/metrics_service.py
@@ -7,7 +7,7 @@
 
 from medlarspring_adapters.metrics import Metric
 from medlarspring_adapters.store_meter import Mechanism
-from medlarspring_daemon.tasks import Tasks
+from medlarspring_daemon.background_tasks import BackgroundTasks
 
 if TYPE_CHECKING:
     from medlarspring_daemon.membership.peer_service import PeerService
@@ -22,12 +22,12 @@
     def __init__(self, node: Node, peers: PeerService) -> None:
         self._node = node
         self._peers = peers
-        self._tasks = Tasks(node.log)
+        self._tasks = BackgroundTasks(node.log)
         self._sent_by_metric: dict[Metric, int] = {}
 
     async def start(self) -> None:
         """Begin to send."""
-        self._tasks.keep(self._run)
+        self._tasks.run_with_restart(self._run)
 
     async def stop(self) -> None:
         """Stop sending."""
--- a/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
@@ -10,6 +10,7 @@
 from medlarspring_adapters.events import Event
 from medlarspring_adapters.metrics import Metric
 from medlarspring_adapters.prefix_follower import PrefixFollower
+from medlarspring_daemon.background_tasks import BackgroundTasks
 from medlarspring_daemon.scheduling.advice_fetcher import AdviceFetcher
 from medlarspring_daemon.scheduling.job_feed import JobFeed
 from medlarspring_daemon.scheduling.job_record_writer import (
@@ -31,7 +32,6 @@
 from medlarspring_daemon.scheduling.worker_feed import WorkerFeed
 from medlarspring_daemon.scheduling.worker_link import WorkerLink
 from medlarspring_daemon.scheduling.worker_liveness import WorkerLivenessMonitor
-from medlarspring_daemon.tasks import Tasks
 from medlarspring_systems.scheduling.crashes import record_worker_end
 from medlarspring_systems.scheduling.jobs import (
     cancel_job,
@@ -78,7 +78,7 @@
         self._node = node
         self._operator_records = directory
         self._term = term
-        self._tasks = Tasks(node.log)
+        self._tasks = BackgroundTasks(node.log)
         self._record_writer = JobRecordWriter(node, term, self._handle_record_written)
         self._links_by_id: dict[WorkerId, WorkerLink] = {}
         self._unrecorded_ends = UnrecordedEnds()
@@ -155,13 +155,15 @@
             workers=len(self.tables.workers_by_id),
             took_ms=round(took_ms),
         )
-        self._tasks.keep(self._tick_forever)
-        self._tasks.keep(LoadReporter(self._node, self._term, self.tables).run)
-        self._tasks.keep(self._liveness_monitor.run)
-        self._tasks.keep(self._vm_manager.run)
+        self._tasks.run_with_restart(self._tick_forever)
+        self._tasks.run_with_restart(
+            LoadReporter(self._node, self._term, self.tables).run
+        )
+        self._tasks.run_with_restart(self._liveness_monitor.run)
+        self._tasks.run_with_restart(self._vm_manager.run)
         if self._node.adviser is not None:
             advice_fetcher = AdviceFetcher(self._node, self._node.adviser, self)
-            self._tasks.keep(advice_fetcher.run)
+            self._tasks.run_with_restart(advice_fetcher.run)
         self.plan_all()
 
     async def _read_with_retries(self, prefix: str) -> Listing:
--- a/packages/daemon/src/medlarspring_daemon/scheduling/election.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/election.py
@@ -19,8 +19,8 @@
     Put,
     Transaction,
 )
+from medlarspring_daemon.background_tasks import BackgroundTasks
 from medlarspring_daemon.scheduling.keys import CellKeys
-from medlarspring_daemon.tasks import Tasks
 from medlarspring_tables import Revision
 from medlarspring_tables.scheduling import ControllerRecord, Fence
 
@@ -129,7 +129,7 @@
         self._keys = CellKeys(cell_id)
         self._may_control = may_control
         self._create_controller = create_controller
-        self._tasks = Tasks(node.log)
+        self._tasks = BackgroundTasks(node.log)
         self._holder: Entry | None = None
         """The key as last seen; None while no process holds the cell."""
         self._is_holder_known = False
@@ -145,7 +145,7 @@
     async def start(self) -> None:
         """Start to watch the key and to compete for it."""
         self._follower.start()
-        self._tasks.keep(self._run)
+        self._tasks.run_with_restart(self._run)
 
     async def stop(self) -> None:
         """Release the cell at once, so that the next controller need not wait."""
--- a/packages/daemon/src/medlarspring_daemon/scheduling/service.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/service.py
@@ -4,12 +4,12 @@
 
 from typing import TYPE_CHECKING
 
+from medlarspring_daemon.background_tasks import BackgroundTasks
 from medlarspring_daemon.scheduling.controller import CellController
 from medlarspring_daemon.scheduling.election import Election
 from medlarspring_daemon.scheduling.intake import Intake
 from medlarspring_daemon.scheduling.operator_records import OperatorRecords
 from medlarspring_daemon.scheduling.store_monitor import StoreMonitor
-from medlarspring_daemon.tasks import Tasks
 
 if TYPE_CHECKING:
     from medlarspring_daemon.scheduling.context import SchedulingNode
@@ -25,7 +25,7 @@
 
     def __init__(self, node: SchedulingNode) -> None:
         self._node = node
-        self._tasks = Tasks(node.log)
+        self._tasks = BackgroundTasks(node.log)
         self.directory = OperatorRecords(node)
         self.intake = Intake(node)
         self._elections = [
@@ -35,7 +35,7 @@
 
     async def start(self) -> None:
         """Watch the operator's records and take part in the elections."""
-        self._tasks.keep(StoreMonitor(self._node).run)
+        self._tasks.run_with_restart(StoreMonitor(self._node).run)
         await self.directory.start()
         for election in self._elections:
             await election.start()
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
@@ -22,13 +22,13 @@
     StopOrder,
     WorkerAddress,
 )
+from medlarspring_daemon.background_tasks import BackgroundTasks
 from medlarspring_daemon.scheduling.run_log import (
     log_run_started,
     log_start_refused,
     log_start_unanswered,
 )
 from medlarspring_daemon.scheduling.unacknowledged_ends import UnacknowledgedEnds
-from medlarspring_daemon.tasks import Tasks
 from medlarspring_systems.scheduling.late_orders import (
     pop_late_orders,
     record_unanswered_order,
@@ -86,7 +86,7 @@
         self._wake = asyncio.Event()
         self._call_due = asyncio.Event()
         """Set when the next hold call must not wait until the pause is over."""
-        self._tasks = Tasks(node.log)
+        self._tasks = BackgroundTasks(node.log)
         self._ends = UnacknowledgedEnds(worker.born_ms)
         self._stops_sent: dict[tuple[str, int], Seconds] = {}
         self._poll_requested = False
@@ -99,7 +99,7 @@
 
     def start(self) -> None:
         """Start the loop of hold calls."""
-        self._tasks.keep(self._run)
+        self._tasks.run_with_restart(self._run)
 
     async def close(self) -> None:
         """Cancel all calls and close the connections."""
--- a/packages/daemon/src/medlarspring_daemon/settings.py
+++ b/packages/daemon/src/medlarspring_daemon/settings.py
@@ -16,11 +16,11 @@
 )
 from returns.result import Failure, Result, Success
 
-from medlarspring_daemon.settings_faults import (
-    SettingsFaults,
-    Wanted,
+from medlarspring_daemon.settings_errors import (
+    ExpectedValue,
+    SettingsError,
     check_token,
-    describe_faults,
+    describe_errors,
 )
 
 
@@ -41,36 +41,36 @@
 Address = Annotated[
     str,
     AfterValidator(_check_address),
-    Wanted("IP:PORT with an IP number, for example 10.0.0.7:8080"),
+    ExpectedValue("IP:PORT with an IP number, for example 10.0.0.7:8080"),
 ]
 """``ip:port``; port 0 in a ``listen`` key lets the kernel choose."""
 
 Identifier = Annotated[
     str,
     Field(pattern=r"^[a-z0-9][a-z0-9.-]{0,62}$"),
-    Wanted("at most 63 lower-case letters, digits, dots and hyphens"),
+    ExpectedValue("at most 63 lower-case letters, digits, dots and hyphens"),
 ]
 
 TokenFile = Annotated[
     Path,
     Field(strict=False),
-    Wanted("the path of a file that holds one token"),
+    ExpectedValue("the path of a file that holds one token"),
 ]
 """Path of a file that holds one bearer token; relative to the settings file."""
 
 Url = Annotated[
     str,
     Field(pattern=r"^http://(\[[0-9a-f:]+\]|[0-9.]+):[0-9]+(/\S*)?$"),
-    Wanted("http://IP:PORT/PATH with an IP number"),
+    ExpectedValue("http://IP:PORT/PATH with an IP number"),
 ]
 
-Count = Annotated[int, Field(gt=0), Wanted("a whole number above 0")]
+Count = Annotated[int, Field(gt=0), ExpectedValue("a whole number above 0")]
 Duration = Annotated[
-    float, Field(gt=0, allow_inf_nan=False), Wanted("seconds, a number above 0")
+    float, Field(gt=0, allow_inf_nan=False), ExpectedValue("seconds, a number above 0")
 ]
 Level = Annotated[
     Literal["DEBUG", "INFO", "WARNING", "ERROR"],
-    Wanted("DEBUG, INFO, WARNING or ERROR"),
+    ExpectedValue("DEBUG, INFO, WARNING or ERROR"),
 ]
 
 
@@ -139,7 +139,7 @@
         tuple[Address, ...],
         Field(strict=False),
         AfterValidator(_check_not_empty),
-        Wanted("a list of at least one IP:PORT"),
+        ExpectedValue("a list of at least one IP:PORT"),
     ]
     """Its addresses, tried in turn."""
     timeout_seconds: Duration = 2.0
@@ -194,27 +194,27 @@
     log: LogSection = LogSection()
 
 
-def read_settings(path: Path) -> Result[Settings, SettingsFaults]:
+def read_settings(path: Path) -> Result[Settings, SettingsError]:
     """Read and check a settings file, with the token files that it names."""
     try:
         document = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
         reason = f"{path}: can't be read ({error.strerror}); name an existing file"
-        return Failure(SettingsFaults([reason]))
+        return Failure(SettingsError([reason]))
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         reason = f"{path}: is not TOML ({error}); mend the named line"
-        return Failure(SettingsFaults([reason]))
+        return Failure(SettingsError([reason]))
     _resolve_token_files(path, document)
     faults: list[str] = []
     settings: Settings | None = None
     try:
         settings = Settings.model_validate(document)
     except ValidationError as error:
-        faults.extend(describe_faults(path, Settings, error))
+        faults.extend(describe_errors(path, Settings, error))
     faults.extend(_check_token_files(path, document))
     faults.extend(_check_listens_differ(path, document))
     if settings is None or faults:
-        return Failure(SettingsFaults(faults))
+        return Failure(SettingsError(faults))
     return Success(settings)
 
 
@@ -252,4 +252,4 @@
     return faults
 
 
-__all__ = ["Section", "Settings", "SettingsFaults", "read_settings"]
+__all__ = ["Section", "Settings", "SettingsError", "read_settings"]
--- a/packages/daemon/src/medlarspring_daemon/settings_faults.py
+++ b/packages/daemon/src/medlarspring_daemon/settings_errors.py
@@ -22,13 +22,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class ExpectedValue:
     """What a key takes, in words; belongs to the type of the key."""
 
     text: str
 
 
-class SettingsFaults(MedlarspringError):
+class SettingsError(MedlarspringError):
     """The settings cannot be used; lists every fault at once."""
 
     code = "settings"
@@ -42,11 +42,11 @@
         return "\n".join(self.faults)
 
 
-def describe_faults(
+def describe_errors(
     path: Path, model: type[BaseModel], error: ValidationError
 ) -> list[str]:
     """Return one line for each fault that the models found."""
-    return [_describe_fault(path, model, fault) for fault in error.errors()]
+    return [_describe_error(path, model, fault) for fault in error.errors()]
 
 
 def check_token(token_file: Path) -> str | None:
@@ -76,22 +76,22 @@
     return None
 
 
-def describe_wanted(field: FieldInfo) -> str:
+def describe_expected_value(field: FieldInfo) -> str:
     """Return what a key takes, in words."""
     section = find_section(field.annotation)
     if section is not None:
         return f"a section with {', '.join(section.model_fields)}"
-    texts = [item.text for item in field.metadata if isinstance(item, Wanted)]
+    texts = [item.text for item in field.metadata if isinstance(item, ExpectedValue)]
     return texts[0] if texts else "another value"
 
 
-def _describe_fault(path: Path, model: type[BaseModel], fault: ErrorDetails) -> str:
+def _describe_error(path: Path, model: type[BaseModel], fault: ErrorDetails) -> str:
     keys = [key for key in fault["loc"] if isinstance(key, str)]
     place = f"{path}: {'.'.join(map(str, fault['loc']))}"
     if fault["type"] == "extra_forbidden":
         return f"{place}: {_describe_unknown(model, keys)}"
     field = _find_field(model, keys)
-    wanted = describe_wanted(field) if field is not None else "another value"
+    wanted = describe_expected_value(field) if field is not None else "another value"
     if fault["type"] == "missing":
         remedy = f"add it under [{'.'.join(keys[:-1])}]" if keys[1:] else "add it"
         return f"{place}: found nothing, wanted {wanted}; {remedy}"
@@ -128,10 +128,10 @@
 
 
 __all__ = [
-    "SettingsFaults",
-    "Wanted",
+    "SettingsError",
+    "ExpectedValue",
     "check_token",
-    "describe_faults",
-    "describe_wanted",
+    "describe_errors",
+    "describe_expected_value",
     "find_section",
 ]
--- a/packages/daemon/tests/callers/conftest.py
+++ b/packages/daemon/tests/callers/conftest.py
@@ -51,7 +51,7 @@
 
     from multidict import CIMultiDict
 
-    from medlarspring_daemon.node import Node, Part
+    from medlarspring_daemon.node import Component, Node
 
     Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
     Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -92,7 +92,7 @@
     """One daemon's caller port with what a test needs to drive it."""
 
     node: Node
-    part: Part
+    part: Component
     session: aiohttp.ClientSession
 
     @property
@@ -126,7 +126,7 @@
     body: bytes
 
 
-class Bench:
+class CallerTestBed:
     """Starts upstream VMs and entry VMs, and stops them all."""
 
     def __init__(self, stack: AsyncExitStack) -> None:
@@ -228,9 +228,9 @@
 
 
 @pytest.fixture
-async def bench() -> AsyncIterator[Bench]:
+async def bench() -> AsyncIterator[CallerTestBed]:
     async with AsyncExitStack() as stack:
-        yield Bench(stack)
+        yield CallerTestBed(stack)
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
--- a/packages/daemon/tests/callers/test_caller_forwarding.py
+++ b/packages/daemon/tests/callers/test_caller_forwarding.py
@@ -163,17 +163,19 @@
     within their deadline, and unrepeatable work never meets a silent one."""
     silent = False
 
-    async def fall_silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
-        born_before = not silent
+    async def stop_answering(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ):
+        opened_before = not silent
         while True:
             head = await read_head(reader)
-            if silent and born_before:
+            if silent and opened_before:
                 await asyncio.sleep(30)
             if b"POST" in head:
                 await reader.readexactly(3)
             writer.write(encode_answer(b"ok"))
 
-    await bench.add_raw_upstream(fall_silent)
+    await bench.add_raw_upstream(stop_answering)
     entry_vm = await bench.start_entry_vm()
     warm = await asyncio.gather(*(entry_vm.ask() for _ in range(4)))
     assert {answer.status for answer in warm} == {200}
--- a/packages/daemon/tests/callers/test_caller_reports.py
+++ b/packages/daemon/tests/callers/test_caller_reports.py
@@ -54,13 +54,13 @@
         self.state.node.vm_list = VMList({VM: listed}, read_at=self.clock.now())
         self.state.refresh()
 
-    def tell(self, other: EntryVM) -> None:
+    def send_report(self, other: EntryVM) -> None:
         """Send a report."""
         report = peer_pb2.Report(sender=self.id)
         self.reports.fill_report(report)
-        other.reports.take_report(report)
+        other.reports.apply_report(report)
 
-    def gives_work(self) -> bool:
+    def is_assigned_work(self) -> bool:
         """Whether requests may go to the VM."""
         return takes_new_work(
             self.state.upstreams.upstreams_by_id[VM], self.clock.now()
@@ -79,20 +79,20 @@
     the VMs of its own zone for 40 s, and no home granted slots of its zone."""
     holder, near, far = (EntryVM(EntryVMId(f"e{each}"), clock) for each in range(3))
     holder.reports.note_leaving(VM, 0.0, "order to drain")
-    holder.tell(near)
-    near.tell(far)
+    holder.send_report(near)
+    near.send_report(far)
     clock.advance(2.0)
-    assert not any(each.gives_work() for each in (holder, near, far))
+    assert not any(each.is_assigned_work() for each in (holder, near, far))
 
     holder.reports.note_returned(VM, POOL, 0.0, "VM control")
-    holder.tell(near)
-    near.tell(far)
+    holder.send_report(near)
+    near.send_report(far)
     for each in (holder, near, far):
         each.read_list()
-        assert each.gives_work()
+        assert each.is_assigned_work()
         assert "upstream_returned" in each.log.getvalue()
 
     clock.advance(1.0)
-    near.tell(holder)
-    far.tell(near)
-    assert all(each.gives_work() for each in (holder, near, far))
+    near.send_report(holder)
+    far.send_report(near)
+    assert all(each.is_assigned_work() for each in (holder, near, far))
--- a/packages/daemon/tests/callers/test_claim_histories.py
+++ b/packages/daemon/tests/callers/test_claim_histories.py
@@ -21,7 +21,7 @@
 from medlarspring_adapters.metrics import NoMetrics
 from medlarspring_bench.memory_store import MemoryStore, create_memory_store
 from medlarspring_daemon.callers import claims as caller_claims
-from medlarspring_daemon.callers.claims import ClaimBook, Ticket
+from medlarspring_daemon.callers.claims import ClaimedRun, ClaimManager
 from medlarspring_daemon.node import create_node
 from medlarspring_systems import claims
 from medlarspring_tables import EntryVMId, PartnerId, PoolId, RequestId, ServiceId
@@ -42,7 +42,7 @@
 
     vm: int
     process: int
-    ticket: Ticket
+    claimed_run: ClaimedRun
     key: str
     body: bytes
     ran: list[str] = field(default_factory=list)
@@ -69,19 +69,19 @@
         self.runs: Counter[str] = Counter()
         self.answers: dict[str, bytes] = {}
         self.bodies: dict[str, bytes] = {}
-        self.pauses = caller_claims.CLAIM_PAUSES
-        self.waits = caller_claims.RECORD_WAIT_SECONDS
-        caller_claims.CLAIM_PAUSES = (0.0, 0.0, 0.0)
-        caller_claims.RECORD_WAIT_SECONDS = 0.02
+        self.pauses = caller_claims.CLAIM_RETRY_DELAYS
+        self.waits = caller_claims.RECORD_TIMEOUT_SECONDS
+        caller_claims.CLAIM_RETRY_DELAYS = (0.0, 0.0, 0.0)
+        caller_claims.RECORD_TIMEOUT_SECONDS = 0.02
 
     def teardown(self) -> None:
-        caller_claims.CLAIM_PAUSES = self.pauses
-        caller_claims.RECORD_WAIT_SECONDS = self.waits
+        caller_claims.CLAIM_RETRY_DELAYS = self.pauses
+        caller_claims.RECORD_TIMEOUT_SECONDS = self.waits
         for book in self.books:
             self.runner.run(book.stop(0.001))
         self.runner.close()
 
-    def start_book(self, vm: int) -> ClaimBook:
+    def start_book(self, vm: int) -> ClaimManager:
         store = MemoryStore(self.shared.state)
         if len(self.stores) > vm:
             self.stores[vm] = store
@@ -95,7 +95,7 @@
             NoMetrics(),
             store,
         )
-        return ClaimBook(node)
+        return ClaimManager(node)
 
     def create_request(self, key: str, body: bytes) -> CallerRequest:
         now = SystemClock().now()
@@ -130,7 +130,7 @@
             if not is_successful(claimed):
                 continue
             held = claimed.unwrap()
-            if isinstance(held, Ticket):
+            if isinstance(held, ClaimedRun):
                 granted.append(Sent(vm, self.processes[vm], held, key, body))
                 continue
             assert isinstance(held, ClaimedAnswer)
@@ -152,19 +152,19 @@
             return
         self.run_at_upstream(sent)
         kept = claims.keep_answer(200, (), self.answers[sent.key])
-        self.runner.run(self.books[sent.vm].complete(sent.ticket, kept))
+        self.runner.run(self.books[sent.vm].complete(sent.claimed_run, kept))
 
     @rule(sent=consumes(sent))
     def run_and_lose_the_answer(self, sent: Sent) -> None:
         if not self.is_alive(sent):
             return
         self.run_at_upstream(sent)
-        self.runner.run(self.books[sent.vm].complete(sent.ticket, None))
+        self.runner.run(self.books[sent.vm].complete(sent.claimed_run, None))
 
     @rule(sent=consumes(sent))
     def refuse_as_not_run(self, sent: Sent) -> None:
         if self.is_alive(sent):
-            self.runner.run(self.books[sent.vm].abandon(sent.ticket))
+            self.runner.run(self.books[sent.vm].abandon(sent.claimed_run))
 
     @rule(sent=consumes(sent), runs=st.booleans())
     def kill_with_the_request_under_way(self, sent: Sent, runs: bool) -> None:
--- a/packages/daemon/tests/callers/test_slot_exchange.py
+++ b/packages/daemon/tests/callers/test_slot_exchange.py
@@ -11,7 +11,7 @@
 from medlarspring_adapters.clock import ManualClock
 from medlarspring_adapters.events import create_event_log
 from medlarspring_adapters.metrics import NoMetrics
-from medlarspring_daemon.callers.slot_exchange import Asking, SlotExchange
+from medlarspring_daemon.callers.slot_exchange import PendingSlotRequest, SlotExchange
 from medlarspring_daemon.callers.state import CallerState
 from medlarspring_daemon.node import create_node
 from medlarspring_systems import fair_queue
@@ -88,10 +88,12 @@
                 entry_vm_id, "10.0.1.1:1", zone_id, RegionId("c")
             )
         self.cuts: set[tuple[EntryVMId, EntryVMId]] = set()
-        self.mail: list[tuple[float, int, object]] = []
+        self.undelivered: list[tuple[float, int, object]] = []
         self.runs: list[Run] = []
         self.most_running = 0
-        self.open_calls: dict[int, tuple[float, SimulatedEntryVM, Asking]] = {}
+        self.open_calls: dict[
+            int, tuple[float, SimulatedEntryVM, PendingSlotRequest]
+        ] = {}
         self.delays = [0.001, 0.01, 0.05, 0.2, 2.5]
         self.generation = dict.fromkeys(self.ids, 0)
         self.entry_vms = {each: self.start(each) for each in self.ids}
@@ -118,12 +120,12 @@
         self.clock.advance(TICK_SECONDS)
         now = self.clock.now()
         self.runs = [run for run in self.runs if run[0] > now and self.is_current(run)]
-        self.hear(now)
+        self.update_heard_peers(now)
         self.deliver(now)
-        for call, (ends, entry_vm, asking) in list(self.open_calls.items()):
+        for call, (ends, entry_vm, pending) in list(self.open_calls.items()):
             if now >= max(ends, entry_vm.frozen_until):
                 del self.open_calls[call]
-                entry_vm.exchange.note_failure(asking)
+                entry_vm.exchange.handle_call_failure(pending)
         for entry_vm in self.entry_vms.values():
             if entry_vm.alive and now >= entry_vm.frozen_until:
                 self.act(entry_vm, now)
@@ -138,7 +140,7 @@
     def is_cut(self, sender: EntryVMId, receiver: EntryVMId) -> bool:
         return (sender, receiver) in self.cuts
 
-    def hear(self, now: float) -> None:
+    def update_heard_peers(self, now: float) -> None:
         for entry_vm in self.entry_vms.values():
             for other in self.entry_vms.values():
                 if other is entry_vm or self.is_cut(other.id, entry_vm.id):
@@ -159,14 +161,14 @@
             }
 
     def act(self, entry_vm: SimulatedEntryVM, now: float) -> None:
-        for asking in entry_vm.exchange.list_due():
-            if asking.home == entry_vm.id:
-                reply = entry_vm.exchange.answer(asking.request)
-                entry_vm.exchange.take_reply(asking, reply)
+        for pending in entry_vm.exchange.list_due():
+            if pending.home == entry_vm.id:
+                reply = entry_vm.exchange.answer(pending.request)
+                entry_vm.exchange.apply_reply(pending, reply)
             else:
                 call = self.rng.getrandbits(60)
-                self.open_calls[call] = (now + CALL_SECONDS, entry_vm, asking)
-                self.post(entry_vm.id, asking.home, (call, asking.request))
+                self.open_calls[call] = (now + CALL_SECONDS, entry_vm, pending)
+                self.post(entry_vm.id, pending.home, (call, pending.request))
         self.start_runs(entry_vm, now)
 
     def start_runs(self, entry_vm: SimulatedEntryVM, now: float) -> None:
@@ -185,18 +187,18 @@
 
     def post(self, sender: EntryVMId, receiver: EntryVMId, content: object) -> None:
         delay = self.rng.choice(self.delays)
-        letter = (sender, receiver, content)
+        delivery = (sender, receiver, content)
         due = self.clock.now() + delay
-        heapq.heappush(self.mail, (due, self.rng.getrandbits(60), letter))
+        heapq.heappush(self.undelivered, (due, self.rng.getrandbits(60), delivery))
 
     def deliver(self, now: float) -> None:
-        while self.mail and self.mail[0][0] <= now:
-            _, _, (sender, receiver, content) = heapq.heappop(self.mail)
+        while self.undelivered and self.undelivered[0][0] <= now:
+            _, _, (sender, receiver, content) = heapq.heappop(self.undelivered)
             target = self.entry_vms[receiver]
             if now < target.frozen_until:
                 # The kernel keeps it until the process runs again.
                 heapq.heappush(
-                    self.mail,
+                    self.undelivered,
                     (target.frozen_until + TICK_SECONDS, self.rng.getrandbits(60),
                      (sender, receiver, content)),
                 )  # fmt: skip
@@ -211,10 +213,10 @@
             reply = target.exchange.answer(message)
             self.post(target.id, sender, (call, reply))
         elif call in self.open_calls:
-            _, entry_vm, asking = self.open_calls.pop(call)
-            entry_vm.exchange.take_reply(asking, message)
+            _, entry_vm, pending = self.open_calls.pop(call)
+            entry_vm.exchange.apply_reply(pending, message)
 
-    def hurt(self) -> None:
+    def inject_fault(self) -> None:
         """Bring about one random fault, or heal one."""
         one, other = self.rng.sample(self.ids, 2)
         match self.rng.randrange(6):
@@ -254,7 +256,7 @@
     for _ in range(1200):
         fleet.step()
         if fleet.rng.random() < 0.03:
-            fleet.hurt()
+            fleet.inject_fault()
     assert fleet.most_running <= SLOTS
     fleet.heal()
     for _ in range(200):
@@ -274,7 +276,7 @@
     for _ in range(1200):
         fleet.step()
         if fleet.rng.random() < 0.03:
-            fleet.hurt()
+            fleet.inject_fault()
     assert fleet.most_running <= SLOTS
 
 
--- a/packages/daemon/tests/test_peer_service.py
+++ b/packages/daemon/tests/test_peer_service.py
@@ -62,7 +62,7 @@
     def fill_report(self, report: peer_pb2.Report) -> None:
         report.MergeFrom(self.filled)
 
-    def take_report(self, report: peer_pb2.Report) -> None:
+    def apply_report(self, report: peer_pb2.Report) -> None:
         self.taken.append(report)
 
 
@@ -81,8 +81,8 @@
     """
     first, second = await start("a"), await start("b")
     parts = [Part(create_usage(1, 2, 3)), Part(create_usage())]
-    first.node.report_parts.append(parts[0])
-    second.node.report_parts.append(parts[1])
+    first.node.report_contributors.append(parts[0])
+    second.node.report_contributors.append(parts[1])
     list_nodes([first, second])
     await wait_until(lambda: parts[0].taken and len(parts[1].taken) > 1)
     assert first.peers.zone_members == second.peers.zone_members == (A, B)
@@ -103,8 +103,8 @@
     """
     first, second = await start("a"), await start("b")
     parts = [Part(create_usage(*range(1, 401))), Part(create_usage())]
-    first.node.report_parts.append(parts[0])
-    second.node.report_parts.append(parts[1])
+    first.node.report_contributors.append(parts[0])
+    second.node.report_contributors.append(parts[1])
     list_nodes([first, second])
     await wait_until(
         lambda: (
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -13,7 +13,7 @@
 from medlarspring_cli.commands import COMMANDS
 from medlarspring_cli.exit_codes import ExitCode
 from medlarspring_daemon.settings import Settings
-from medlarspring_daemon.settings_faults import describe_wanted, find_section
+from medlarspring_daemon.settings_errors import describe_expected_value, find_section
 from medlarspring_systems.table_rows import FIELD_TYPES_BY_KIND
 
 ROOT = Path(__file__).parents[1]
@@ -47,7 +47,7 @@
             default = "" if value.is_required() else f"`{value.default}`"
             row = [
                 f"`{name}.{key}`",
-                describe_wanted(value),
+                describe_expected_value(value),
                 default,
                 value.description,
             ]
