--- a/packages/daemon/src/medlarspring_daemon/callers/claims.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/claims.py
@@ -105,12 +105,15 @@
     ) -> None:
         """Record that the run ended; None if its outcome is not known."""
         state = ClaimState.UNKNOWN if answer is None else ClaimState.DONE
-        await self._record(claimed_run, _end(claimed_run.claim, state, answer))
+        await self._record(
+            claimed_run, _create_final_claim(claimed_run.claim, state, answer)
+        )
 
     async def abandon(self, claimed_run: ClaimedRun) -> None:
         """Record that the request was certainly not run."""
         await self._record(
-            claimed_run, _end(claimed_run.claim, ClaimState.ABANDONED, None)
+            claimed_run,
+            _create_final_claim(claimed_run.claim, ClaimState.ABANDONED, None),
         )
 
     async def _claim(
@@ -148,9 +151,11 @@
                 if committed.succeeded:
                     return Success(ClaimedRun(key, claim, committed.revision))
                 found = committed.read_by_key.get(key)
-                judged = None if found is None else self._judge(found, claim)
-                if judged is not None:
-                    return judged
+                decision = (
+                    None if found is None else self._decide_on_existing(found, claim)
+                )
+                if decision is not None:
+                    return decision
                 expected = Revision(0) if found is None else found.mod_revision
                 continue
             fault = written.failure().message()
@@ -180,7 +185,7 @@
         )
         return Failure(_STORE_UNREACHABLE_REFUSAL)
 
-    def _judge(
+    def _decide_on_existing(
         self, found: Entry, claim: Claim
     ) -> Result[ClaimedRun | ClaimedAnswer, Refusal] | None:
         """Judge the claim that stands; None if it may be taken over."""
@@ -209,16 +214,16 @@
             )
         )
 
-    async def _record(self, claimed_run: ClaimedRun, ended: Claim) -> None:
+    async def _record(self, claimed_run: ClaimedRun, final_claim: Claim) -> None:
         """Write the end of a claim, waiting for it only a short while."""
-        record = self._start_record(self._write_end(claimed_run, ended))
+        record = self._start_record(self._write_end(claimed_run, final_claim))
         await asyncio.wait({record}, timeout=RECORD_TIMEOUT_SECONDS)
 
     def _schedule_abandon(self, claimed_run: ClaimedRun) -> None:
         """Give back a claim that may or may not have reached the store."""
         digest = claimed_run.claim.request_digest
-        ended = _end(claimed_run.claim, ClaimState.ABANDONED, None)
-        record = self._start_record(self._write_end(claimed_run, ended))
+        final_claim = _create_final_claim(claimed_run.claim, ClaimState.ABANDONED, None)
+        record = self._start_record(self._write_end(claimed_run, final_claim))
         # The key stays this process's until the record is written.
         asyncio.get_running_loop().call_soon(
             self._digest_by_key.setdefault, claimed_run.key, digest
@@ -233,14 +238,16 @@
         task.add_done_callback(self._records.discard)
         return task
 
-    async def _write_end(self, claimed_run: ClaimedRun, ended: Claim) -> bool:
+    async def _write_end(self, claimed_run: ClaimedRun, final_claim: Claim) -> bool:
         """Repeat until the store says what stands; True if the end does."""
         expected = claimed_run.revision
         pause = MIN_RETRY_DELAY_SECONDS
         lease_id = self._lease_id
         try:
             while True:
-                written = await self._write(claimed_run.key, ended, expected, lease_id)
+                written = await self._write(
+                    claimed_run.key, final_claim, expected, lease_id
+                )
                 if not is_successful(written):
                     await asyncio.sleep(pause)
                     pause = min(2 * pause, MAX_RETRY_DELAY_SECONDS)
@@ -255,7 +262,7 @@
                 if existing.attempt_id != claimed_run.claim.attempt_id:
                     return False
                 if existing.state is not ClaimState.CLAIMED:
-                    return existing == ended
+                    return existing == final_claim
                 expected = found.mod_revision
         finally:
             self._digest_by_key.pop(claimed_run.key, None)
@@ -279,7 +286,9 @@
         return entry_vms / FLEET_WRITES_PER_SECOND
 
 
-def _end(claim: Claim, state: ClaimState, answer: ClaimedAnswer | None) -> Claim:
+def _create_final_claim(
+    claim: Claim, state: ClaimState, answer: ClaimedAnswer | None
+) -> Claim:
     return msgspec.structs.replace(claim, state=state, answer=answer)
 
 
--- a/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
@@ -215,24 +215,24 @@
             return await self._stream_large_answer(
                 exchange, acquired_slot, answer, body.body, latency
             )
-        passed = create_response(answer, body.body, caller_request)
+        response = create_response(answer, body.body, caller_request)
         ok = answer.status not in RETRIED_STATUSES
         self._record_upstream_health(acquired_slot, ok=ok, latency=latency)
         if not ok:
             return Failure(
-                AttemptFailure(_UPSTREAM_FAILED, not_run=False, answer=passed)
+                AttemptFailure(_UPSTREAM_FAILED, not_run=False, answer=response)
             )
         config = self._node.config
         if config is not None:
             retry.earn(budget, config.fleet.retry_percent)
-        return Success(passed)
+        return Success(response)
 
     async def _stream_large_answer(
         self,
         exchange: Exchange,
         acquired_slot: AcquiredSlot,
         answer: aiohttp.ClientResponse,
-        begin: bytes,
+        prefix: bytes,
         latency: float,
     ) -> Result[web.StreamResponse, AttemptFailure]:
         if exchange.request is None:
@@ -241,14 +241,14 @@
                 Reached.PERHAPS, "its answer is too large", timed_out=False
             )
             return Failure(self._handle_fault(acquired_slot, fault))
-        response, whole = await stream_response(
+        response, complete = await stream_response(
             answer,
-            begin,
+            prefix,
             exchange.request,
             exchange.caller_request.id,
             exchange.caller_request.deadline - self._node.clock.now(),
         )
-        self._record_upstream_health(acquired_slot, ok=whole, latency=latency)
+        self._record_upstream_health(acquired_slot, ok=complete, latency=latency)
         return Success(response)
 
     def _record_upstream_health(
--- a/packages/daemon/src/medlarspring_daemon/callers/upstream_response.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/upstream_response.py
@@ -71,20 +71,20 @@
     if length is not None and length <= limit:
         body = await read_answer(answer, timeout)
         return body.map(lambda whole: BufferedBody(whole, complete=True))
-    held = bytearray()
+    buffered = bytearray()
     try:
         async with asyncio.timeout(timeout):
             async for chunk in answer.content.iter_any():
-                held += chunk
-                if len(held) > limit:
-                    return Success(BufferedBody(bytes(held), complete=False))
+                buffered += chunk
+                if len(buffered) > limit:
+                    return Success(BufferedBody(bytes(buffered), complete=False))
     except (aiohttp.ClientError, OSError, ValueError) as error:
         answer.close()
         return Failure(create_fault(error))
     except asyncio.CancelledError:
         answer.close()
         raise
-    return Success(BufferedBody(bytes(held), complete=True))
+    return Success(BufferedBody(bytes(buffered), complete=True))
 
 
 def create_response(
@@ -100,7 +100,7 @@
 
 async def stream_response(
     answer: aiohttp.ClientResponse,
-    begin: bytes,
+    prefix: bytes,
     request: web.BaseRequest,
     request_id: RequestId,
     timeout: Seconds,
@@ -109,15 +109,15 @@
     headers = copy_answer_headers(answer.headers)
     headers["Request-Id"] = request_id
     response = web.StreamResponse(status=answer.status, headers=headers)
-    passed = len(begin)
+    bytes_sent = len(prefix)
     try:
         async with asyncio.timeout(timeout):
             await response.prepare(request)
-            if begin:
-                await response.write(begin)
+            if prefix:
+                await response.write(prefix)
             async for chunk in answer.content.iter_any():
-                passed += len(chunk)
-                if passed > MAX_RESPONSE_BYTES:
+                bytes_sent += len(chunk)
+                if bytes_sent > MAX_RESPONSE_BYTES:
                     raise aiohttp.ClientPayloadError("the answer is too large")
                 await response.write(chunk)
             await response.write_eof()
--- a/packages/daemon/src/medlarspring_daemon/main.py
+++ b/packages/daemon/src/medlarspring_daemon/main.py
@@ -52,20 +52,20 @@
 class DaemonService(aiomisc.Service):
     """Starts the parts in order and stops them in reverse."""
 
-    def __init__(self, node: Node, parts: Sequence[Component]) -> None:
+    def __init__(self, node: Node, components: Sequence[Component]) -> None:
         super().__init__()
         self._node = node
-        self._parts = parts
+        self._components = components
         self._started: list[Component] = []
 
     async def start(self) -> None:
         """Start every part, then log the addresses of the open ports."""
-        for part in self._parts:
+        for component in self._components:
             try:
-                await part.start()
+                await component.start()
             except OSError as error:
                 raise PortUnavailable(error.strerror or str(error)) from error
-            self._started.append(part)
+            self._started.append(component)
         self._node.log.info(Event.LISTENING, **self._node.addresses)
 
     async def stop(self, exception: Exception | None = None) -> None:
--- a/packages/daemon/tests/callers/conftest.py
+++ b/packages/daemon/tests/callers/conftest.py
@@ -92,7 +92,7 @@
     """One daemon's caller port with what a test needs to drive it."""
 
     node: Node
-    part: Component
+    component: Component
     session: aiohttp.ClientSession
 
     @property
@@ -183,11 +183,11 @@
         )
         node.config = self.config
         node.vm_list = self.vm_list
-        part = create_caller_service(node)
-        await part.start()
-        self._stack.push_async_callback(part.stop)
+        component = create_caller_service(node)
+        await component.start()
+        self._stack.push_async_callback(component.stop)
         session = await self._stack.enter_async_context(aiohttp.ClientSession())
-        return EntryVM(node, part, session)
+        return EntryVM(node, component, session)
 
 
 def create_settings(name: str, **caller: object) -> Settings:
--- a/packages/daemon/tests/callers/test_caller_limits.py
+++ b/packages/daemon/tests/callers/test_caller_limits.py
@@ -97,9 +97,9 @@
     await bench.add_raw_upstream(work)
     entry_vm = await bench.start_entry_vm()
     running = asyncio.create_task(entry_vm.ask())
-    await wait_until(lambda: entry_vm.part._in_flight == 1)
+    await wait_until(lambda: entry_vm.component._in_flight == 1)
     entry_vm.node.stopping = True
-    stopping = asyncio.create_task(entry_vm.part.stop())
+    stopping = asyncio.create_task(entry_vm.component.stop())
     assert (await entry_vm.ask("/readyz")).status == 503
     late = asyncio.create_task(entry_vm.ask())
     await asyncio.sleep(0.1)
@@ -126,7 +126,7 @@
     asked = asyncio.create_task(first.ask(**pay))
     await asyncio.sleep(0.2)
     asked.cancel()
-    stopping = asyncio.create_task(first.part.stop())
+    stopping = asyncio.create_task(first.component.stop())
     await asyncio.sleep(0.2)
     release.set()
     await stopping
