--- a/packages/daemon/src/medlarspring_daemon/callers/__init__.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/__init__.py
@@ -1,3 +1,3 @@
-"""The callers' port: reading, deciding, sending on, answering; slots of VMs."""
+"""The caller port: request admission, forwarding, responses and upstream slots."""
 
 from __future__ import annotations
--- a/packages/daemon/src/medlarspring_daemon/callers/claims.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys: taken before a run, completed after it."""
+"""Claims idempotency keys before a run and records its outcome after it."""
 
 from __future__ import annotations
 
@@ -35,21 +35,23 @@
     from medlarspring_tables.requests import CallerRequest
 
 FLEET_WRITES_PER_SECOND = 200.0
-"""Calls that all entry VMs together spend on claims under load."""
+"""Store calls per second for claims under load, over all entry VMs."""
 RECORD_TIMEOUT_SECONDS = 0.25
-"""An answer waits so long for its record; then it goes out, and the record
-follows in the background."""
+"""Longest time that a response waits for its record.
+
+After that it is sent, and the record is written in the background.
+"""
 MIN_RETRY_DELAY_SECONDS = 0.1
 MAX_RETRY_DELAY_SECONDS = 5.0
 CLAIM_RETRY_DELAYS = (0.05, 0.2, 0.5, 0.5)
-"""Waits after the writes of one claim; after the last it is given up."""
+"""Delays in seconds after each write of one claim; after the last it is given up."""
 MAX_PENDING_RECORDS = 2000
-"""Records that wait for the store; beyond them no key is claimed."""
+"""Records that may wait for the store; above this limit no key is claimed."""
 
 
 @dataclass(slots=True, frozen=True)
 class ClaimedRun:
-    """The right to one run, held by this process."""
+    """A claim of this process, which entitles it to run the request once."""
 
     key: str
     claim: Claim
@@ -57,20 +59,20 @@
 
 
 class ClaimManager:
-    """Claims and completes keys; one instance per process."""
+    """Claims keys and records their outcomes; one instance per process."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
         self._commits = GroupCommit(node.store, node.clock, self._choose_interval)
         self._digest_by_key: dict[str, str] = {}
-        """Keys that this process is at work on, to the request's digest."""
+        """Digest of the request by key, for the keys this process is handling."""
         self._lease_id: LeaseId | None = None
         self._lease_until = float("-inf")
         self._lease_lock = asyncio.Lock()
         self._records: set[asyncio.Task[bool]] = set()
 
     async def stop(self, timeout: Seconds) -> None:
-        """Let records that are still being written finish."""
+        """Wait for the pending records up to ``timeout``, then cancel them."""
         if self._records:
             await asyncio.wait(self._records, timeout=timeout)
         for record in self._records:
@@ -79,12 +81,12 @@
     async def claim(
         self, request: CallerRequest
     ) -> Result[ClaimedRun | ClaimedAnswer, Refusal]:
-        """Return the right to run, or the recorded answer, or why neither."""
+        """Return the claimed run, the recorded answer, or a refusal."""
         assert request.key is not None
         key = claims.get_claim_key(request.partner_id, request.key)
         digest = claims.digest_request(request)
         if len(self._records) >= MAX_PENDING_RECORDS:
-            return self._refuse(request, f"{len(self._records)} records wait for it")
+            return self._refuse(request, f"{len(self._records)} records are pending")
         running = self._digest_by_key.get(key)
         if running is not None:
             if running == digest:
@@ -103,14 +105,14 @@
     async def complete(
         self, claimed_run: ClaimedRun, answer: ClaimedAnswer | None
     ) -> None:
-        """Record that the run ended; None if its outcome is not known."""
+        """Record the end of the run; ``answer`` is None if its outcome is unknown."""
         state = ClaimState.UNKNOWN if answer is None else ClaimState.DONE
         await self._record(
             claimed_run, _create_final_claim(claimed_run.claim, state, answer)
         )
 
     async def abandon(self, claimed_run: ClaimedRun) -> None:
-        """Record that the request was certainly not run."""
+        """Record that the request did not run."""
         await self._record(
             claimed_run,
             _create_final_claim(claimed_run.claim, ClaimState.ABANDONED, None),
@@ -135,11 +137,11 @@
     async def _write_until_confirmed(
         self, request: CallerRequest, key: str, claim: Claim, lease_id: LeaseId
     ) -> Result[ClaimedRun | ClaimedAnswer, Refusal]:
-        """Write the claim until the store says what stands under the key.
+        """Write until the store confirms which claim the key has or retries run out.
 
-        A write whose reply was lost is written again under the same attempt
-        id: it either succeeds or finds our own claim, so the lost reply
-        neither loses nor doubles the run.
+        A write whose reply was lost is repeated with the same attempt id. It
+        either succeeds or finds the claim of this process, so that a lost reply
+        neither drops the run nor causes a second one.
         """
         expected = Revision(0)
         perhaps_written = False
@@ -173,7 +175,7 @@
     def _refuse(
         self, request: CallerRequest, fault: str, *, perhaps_written: bool = False
     ) -> Result[ClaimedRun | ClaimedAnswer, Refusal]:
-        """Log why a key is not claimed, and refuse its request."""
+        """Log why a key was not claimed, and return the refusal of its request."""
         waited = self._node.clock.now() - request.arrived_at
         self._node.log.warning(
             Event.CLAIM_UNANSWERED,
@@ -188,7 +190,7 @@
     def _decide_on_existing(
         self, found: Entry, claim: Claim
     ) -> Result[ClaimedRun | ClaimedAnswer, Refusal] | None:
-        """Judge the claim that stands; None if it may be taken over."""
+        """Return the result for an existing claim; None if it may be taken over."""
         existing = msgspec.json.decode(found.value, type=Claim)
         digest = claim.request_digest
         verdict = claims.judge_claim(existing, claim.attempt_id, digest)
@@ -215,16 +217,16 @@
         )
 
     async def _record(self, claimed_run: ClaimedRun, final_claim: Claim) -> None:
-        """Write the end of a claim, waiting for it only a short while."""
+        """Write the final claim, waiting ``RECORD_TIMEOUT_SECONDS`` at most."""
         record = self._start_record(self._write_end(claimed_run, final_claim))
         await asyncio.wait({record}, timeout=RECORD_TIMEOUT_SECONDS)
 
     def _schedule_abandon(self, claimed_run: ClaimedRun) -> None:
-        """Give back a claim that may or may not have reached the store."""
+        """Abandon, in the background, a claim that may have reached the store."""
         digest = claimed_run.claim.request_digest
         final_claim = _create_final_claim(claimed_run.claim, ClaimState.ABANDONED, None)
         record = self._start_record(self._write_end(claimed_run, final_claim))
-        # The key stays this process's until the record is written.
+        # The key remains reserved by this process until the record is written.
         asyncio.get_running_loop().call_soon(
             self._digest_by_key.setdefault, claimed_run.key, digest
         )
@@ -239,7 +241,7 @@
         return task
 
     async def _write_end(self, claimed_run: ClaimedRun, final_claim: Claim) -> bool:
-        """Repeat until the store says what stands; True if the end does."""
+        """Retry until the store confirms; return whether the final claim is stored."""
         expected = claimed_run.revision
         pause = MIN_RETRY_DELAY_SECONDS
         lease_id = self._lease_id
@@ -268,7 +270,7 @@
             self._digest_by_key.pop(claimed_run.key, None)
 
     async def _get_lease(self) -> Result[LeaseId, StoreError]:
-        """Return the lease of this period; it is never renewed."""
+        """Return the lease of the current period; leases are never renewed."""
         async with self._lease_lock:
             now = self._node.clock.now()
             if self._lease_id is not None and now < self._lease_until:
@@ -280,7 +282,7 @@
             return granted
 
     def _choose_interval(self) -> Seconds:
-        """Return the time between calls that keeps the fleet in its budget."""
+        """Return the call interval that keeps the fleet within its write budget."""
         vm_list = self._node.vm_list
         entry_vms = 1 if vm_list is None else max(1, len(vm_list.entry_vms_by_id))
         return entry_vms / FLEET_WRITES_PER_SECOND
--- a/packages/daemon/src/medlarspring_daemon/callers/connections.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/connections.py
@@ -1,4 +1,4 @@
-"""Callers' connections: how many, how slow, how large their headers."""
+"""Limits on callers' connections: number, idle time, header size and speed."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 SWEEP_SECONDS = 1.0
 READ_STALL_TIMEOUT_SECONDS = 10.0
-"""A caller that reads nothing of its answer for so long is cut off."""
+"""A connection is aborted when its caller reads nothing of a response for so long."""
 
 
 class PortLimits(Protocol):
@@ -33,7 +33,7 @@
 
     @property
     def max_header_bytes(self) -> int:
-        """Largest line or header field of a request."""
+        """Largest line or header field of a request in bytes."""
         ...
 
     @property
@@ -43,17 +43,17 @@
 
     @property
     def idle_seconds(self) -> float:
-        """Longest time of a connection without a request."""
+        """Longest time that a connection may be open without a request."""
         ...
 
     @property
     def body_seconds(self) -> float:
-        """Longest time in which a request is sent."""
+        """Longest time that a caller may take to send a request."""
         ...
 
 
 class CallerConnection(RequestHandler):
-    """One connection; remembers since when it waits for a request's head."""
+    """One connection; tracks how long it has waited for a request's head."""
 
     def __init__(self, server: CallerServer, **options: Any) -> None:
         super().__init__(server, **options)
@@ -62,17 +62,17 @@
         self.awaits_first_byte = True
         """Whether the caller has sent nothing yet."""
         self.unread: tuple[int, float] = (0, 0.0)
-        """Bytes of answers that lie unread, and since when so many do."""
+        """Unread response bytes, and the time since which they have not decreased."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Turn the connection away if there are too many."""
+        """Refuse the connection if there are too many."""
         super().connection_made(transport)
         self.head_since = self._loop.time()
         if self._callers.is_full():
             self.refuse(_TOO_MANY)
 
     def data_received(self, data: bytes) -> None:
-        """Note when the head of a request begins, and that it is complete."""
+        """Track when the head of a request begins and when it is complete."""
         self.awaits_first_byte = False
         super().data_received(data)
         if self._messages or self._current_request is not None:
@@ -81,7 +81,7 @@
             self.head_since = self._loop.time()
 
     def refuse(self, refusal: Refusal) -> None:
-        """Answer without a request, and close."""
+        """Send a refusal without having read a request, and close."""
         if self.transport is not None:
             self.transport.write(encode_raw_problem(refusal))
         self.force_close()
@@ -93,9 +93,9 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer a request that cannot be parsed, or on which we failed."""
+        """Answer a request that cannot be parsed or whose handler failed."""
         if request.writer.output_size > 0:
-            raise ConnectionError("part of an answer was sent already")
+            raise ConnectionError("part of a response was already sent")
         if isinstance(exc, LineTooLong):
             refusal = HEADERS_TOO_LARGE
         elif status < HTTPStatus.INTERNAL_SERVER_ERROR:
@@ -109,7 +109,7 @@
 
 
 class CallerServer(web.Server):
-    """Accepts callers' connections within the limits of the settings."""
+    """Accepts callers' connections within the configured limits."""
 
     def __init__(
         self,
@@ -137,15 +137,15 @@
         }
 
     def __call__(self) -> CallerConnection:
-        """Return the protocol of one new connection."""
+        """Return the protocol instance of a new connection."""
         return CallerConnection(self, **self._options)
 
     def is_full(self) -> bool:
-        """Whether there are more connections than allowed."""
+        """Return whether there are more connections than allowed."""
         return len(self.connections) > self._settings.max_connections
 
     async def sweep(self) -> None:
-        """Look for callers that are too slow, until cancelled."""
+        """Close the connections of callers that are too slow, until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_SECONDS)
             now = self._loop.time()
--- a/packages/daemon/src/medlarspring_daemon/callers/dispatch.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/dispatch.py
@@ -1,4 +1,4 @@
-"""Gives requests a slot of an upstream VM, or has them wait or go away."""
+"""Assigns slots of upstream VMs to requests, queues them or refuses them."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
     from medlarspring_tables.upstreams import Upstream
 
 NO_UPSTREAM_RETRY_SECONDS = 5.0
-"""The platform's list is read again after about this time."""
+"""About the time after which the platform's VM list is read again."""
 
 
 @dataclass(slots=True, eq=False)
 class AcquiredSlot:
-    """A slot of one upstream VM, held until ``Dispatcher.release``."""
+    """A slot of an upstream VM, in use until ``Dispatcher.release``."""
 
     request: CallerRequest
     upstream: Upstream
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """A request that waits for its turn."""
+    """A queued request that waits for a slot."""
 
     answer: asyncio.Future[Result[AcquiredSlot, Refusal]]
     excluded: Collection[VMId]
@@ -50,7 +50,7 @@
 
 
 class Dispatcher:
-    """Carries out what admission, fair queue and routing decide."""
+    """Applies the decisions of admission, fair queue and routing."""
 
     def __init__(self, state: CallerState) -> None:
         self._state = state
@@ -63,7 +63,7 @@
     async def acquire(
         self, request: CallerRequest, excluded: Collection[VMId] = ()
     ) -> Result[AcquiredSlot, Refusal]:
-        """Return the request's turn, at once if a slot is free."""
+        """Return a slot for the request, without waiting if one is free."""
         self._state.refresh()
         now = self._clock.now()
         pool = self._state.get_pool(request.pool_id)
@@ -83,12 +83,12 @@
         *,
         answered: bool = True,
     ) -> None:
-        """Give a slot back, after ``linger`` if its work may still run there."""
+        """Release a slot, after ``linger`` if its work may still be running."""
         if linger > 0.0:
-            # The upstream VM is not told that the answer is no longer awaited
-            # other than by the closed connection, and may go on working. Its
-            # slot is counted as used until that is likely over; otherwise it
-            # would be sent more than it has slots for.
+            # A closed connection is the only sign to the upstream VM that the
+            # response is no longer awaited, and it may continue the work. The
+            # slot stays in use until the work has probably ended; otherwise the
+            # VM would get more requests than it has slots.
             loop = asyncio.get_running_loop()
             loop.call_later(
                 linger, partial(self.release, acquired_slot, answered=False)
@@ -107,7 +107,7 @@
             self.dispatch_waiting(acquired_slot.pool.pool_id)
 
     def dispatch_waiting(self, pool_id: PoolId) -> None:
-        """Give free slots to the requests that go next."""
+        """Assign free slots to the next requests of the queue."""
         pool = self._state.get_pool(pool_id)
         now = self._clock.now()
         fleet_slots = self._state.count_fleet_slots(pool_id)
@@ -131,7 +131,7 @@
             self.slots.request_slots_soon(pool_id)
 
     def _requeue(self, pool: PoolQueue, request: CallerRequest, waiter: Waiter) -> None:
-        """Only a probe slot was free, and this request may not be a probe."""
+        """Queue a request again: only a probe slot is free, which it can't use."""
         fair_queue.enqueue(pool, request, first=True)
         waiter.timer = self._start_timer(pool, request, self._clock.now())
         self._add_waiter(request, waiter)
@@ -215,7 +215,7 @@
         request: CallerRequest,
         answer: asyncio.Future[Result[AcquiredSlot, Refusal]],
     ) -> None:
-        """Undo a wait whose caller left; its turn may just have come."""
+        """Remove the request of a caller that left, and release its slot if any."""
         if self._remove_waiter(request) is not None:
             fair_queue.remove(pool, request)
         elif answer.done() and not answer.cancelled():
--- a/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
@@ -1,4 +1,4 @@
-"""Sends a caller's request to upstream VMs until one answers."""
+"""Forwards a caller's request to upstream VMs, with retries, until one answers."""
 
 from __future__ import annotations
 
@@ -45,38 +45,38 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One caller's request on its way, over all attempts."""
+    """The state of one caller's request over all attempts."""
 
     caller_request: CallerRequest
     headers: CIMultiDict[str]
-    """As upstream VMs get them."""
+    """Headers sent to upstream VMs."""
     request: web.BaseRequest | None
-    """The caller's connection; None when the answer must be held whole."""
+    """The caller's HTTP request; None when the response must be buffered."""
     attempts: int = 0
     perhaps_run: bool = False
-    """An earlier attempt reached an upstream VM and its end is not known."""
+    """An earlier attempt reached an upstream VM and its outcome is unknown."""
     excluded: set[VMId] = field(default_factory=set)
     upstream_id: str = ""
-    """Upstream VM of the last attempt."""
+    """Id of the upstream VM of the last attempt."""
     waited: Seconds = 0.0
     """Time spent waiting for slots."""
     replayed: bool = False
-    """Whether the answer is that of an earlier request with the same key."""
+    """Whether the response was recorded for an earlier request with the same key."""
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptFailure:
-    """Why one attempt gave no answer to pass on."""
+    """Why one attempt yielded no response for the caller."""
 
     refusal: Refusal
     not_run: bool
-    """No work was done for this attempt for certain."""
+    """Whether it is certain that this attempt did not run."""
     answer: web.StreamResponse | None = None
-    """The upstream's own failing answer, passed on when there is no retry."""
+    """The upstream's error response, passed on when there is no retry."""
 
 
 class Forwarder:
-    """Routes requests, sends them and passes answers on."""
+    """Routes requests to upstream VMs and returns their responses."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
         self._budget_by_pool: dict[PoolId, retry.RetryBudget] = {}
 
     async def forward(self, exchange: Exchange) -> Result[web.StreamResponse, Refusal]:
-        """Answer one request from an upstream VM, or say why not."""
+        """Return an upstream VM's response to one request, or a refusal."""
         caller_request = exchange.caller_request
         budget = self._budget_by_pool.setdefault(
             caller_request.pool_id, retry.RetryBudget()
@@ -134,13 +134,14 @@
     async def _attempt(
         self, exchange: Exchange, acquired_slot: AcquiredSlot, budget: retry.RetryBudget
     ) -> Result[web.StreamResponse, AttemptFailure]:
-        """Make one attempt; the slot is given back whatever happens."""
+        """Make one attempt; the slot is always released."""
         caller_request = exchange.caller_request
         now = self._node.clock.now()
         upstream = acquired_slot.upstream
         if now >= upstream.credit_until or now >= caller_request.deadline:
-            # The process was frozen or held up since the slot was given. The
-            # slot may be another's by now, so it must not be used.
+            # The process was suspended or delayed after it acquired the slot.
+            # The slot may have been granted to another entry VM since then, so
+            # it must not be used.
             upstream_health.note_no_verdict(upstream)
             self._dispatcher.release(acquired_slot)
             return Failure(AttemptFailure(_SLOT_EXPIRED, not_run=True))
@@ -238,7 +239,7 @@
         if exchange.request is None:
             answer.close()
             fault = UpstreamFault(
-                Reached.PERHAPS, "its answer is too large", timed_out=False
+                Reached.PERHAPS, "its response is too large", timed_out=False
             )
             return Failure(self._handle_fault(acquired_slot, fault))
         response, complete = await stream_response(
@@ -305,7 +306,7 @@
 
 
 def _include_earlier_attempts(refusal: Refusal, exchange: Exchange) -> Refusal:
-    """Never say "not run" once an earlier attempt may have run."""
+    """Replace outcome "not run" by "unknown" if an earlier attempt may have run."""
     if not exchange.perhaps_run or refusal.outcome is Outcome.UNKNOWN:
         return refusal
     return Refusal(refusal.kind, Outcome.UNKNOWN, refusal.detail, refusal.retry_after)
@@ -314,7 +315,7 @@
 _SLOT_EXPIRED = Refusal(
     RefusalKind.OVERLOADED,
     Outcome.NOT_RUN,
-    "The slot lapsed before the request was sent; send it again.",
+    "The slot expired before the request was sent; send it again.",
     retry_after=1.0,
 )
 _UPSTREAM_REFUSED = Refusal(
--- a/packages/daemon/src/medlarspring_daemon/callers/idempotency.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/idempotency.py
@@ -1,4 +1,4 @@
-"""Requests with an ``Idempotency-Key``: claimed, run once, recorded."""
+"""Runs requests with an ``Idempotency-Key`` once and replays recorded answers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class KeyedRunner:
-    """Runs keyed requests to their end, whether or not their callers stay."""
+    """Runs requests with a key to completion, even if their callers disconnect."""
 
     def __init__(self, node: Node, forwarder: Forwarder) -> None:
         self._forwarder = forwarder
@@ -32,16 +32,16 @@
         self._runs: set[asyncio.Task[Result[web.StreamResponse, Refusal]]] = set()
 
     async def stop(self, timeout: Seconds) -> None:
-        """Let runs and records finish."""
+        """Wait for runs, then for records, each up to ``timeout``."""
         if self._runs:
             await asyncio.wait(self._runs, timeout=timeout)
         await self._claim_manager.stop(timeout)
 
     async def run(self, exchange: Exchange) -> Result[web.StreamResponse, Refusal]:
-        """Answer a keyed request.
+        """Return the response to a request with a key.
 
-        A caller that leaves does not end the run: its outcome could not be
-        learnt any more, and the caller's repeat would be left without answer.
+        The run continues when its caller disconnects. Otherwise its outcome
+        would stay unknown, and a repeat by the caller could not be answered.
         """
         exchange.request = None
         run = asyncio.create_task(self._run(exchange))
--- a/packages/daemon/src/medlarspring_daemon/callers/records.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/records.py
@@ -1,4 +1,4 @@
-"""What became of each request: decisions for ``explain``, and metrics."""
+"""Records the outcome of each request: decisions for ``explain``, and metrics."""
 
 from __future__ import annotations
 
@@ -20,14 +20,17 @@
 
 FLUSH_SECONDS = 1.0
 MAX_ANSWERS = 10_000
-"""Answered requests remembered; apart from the rarer decisions about VMs, jobs
-and waves, which their number would push out within a minute."""
+"""Number of answered requests that are kept.
+
+They are kept apart from the less frequent decisions about VMs, jobs and waves,
+which they would otherwise displace within a minute.
+"""
 TIMING_SAMPLE_INTERVAL = 8
-"""One answer of so many is sent as a timing."""
+"""One in this many answers is sent as a timing."""
 
 
 class AnsweredRequest(Struct, frozen=True, gc=False):
-    """What is kept of an answered request."""
+    """The recorded facts of an answered request; durations in seconds."""
 
     at: float
     partner: str
@@ -40,10 +43,9 @@
 
 
 class CallerRecords:
-    """Remembers outcomes; counts are sent together once a second.
+    """Records outcomes, and sends the accumulated counts once a second.
 
-    A datagram for every request would cost more time than the whole of the
-    admission.
+    One datagram per request would take longer than its entire admission.
     """
 
     def __init__(self, node: Node) -> None:
@@ -60,7 +62,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Send what was counted since the last time."""
+        """Send the counts accumulated since the last flush."""
         for metric, amount in self._counts.items():
             self._node.metrics.count(metric, amount)
         self._counts.clear()
@@ -68,7 +70,7 @@
     def record_answer(
         self, caller_request: CallerRequest, status: int, exchange: Exchange
     ) -> None:
-        """Remember an upstream's answer; it is put into words when asked for."""
+        """Record an upstream's answer; ``find_answer`` formats it on demand."""
         took = self._node.clock.now() - caller_request.arrived_at
         self._counts[Metric.REQUESTS_ANSWERED] += 1
         self._answers_since_timing += 1
@@ -115,7 +117,7 @@
         return [decision]
 
     def record_replay(self, caller_request: CallerRequest, status: int) -> None:
-        """Remember that a recorded answer was given again."""
+        """Record that a recorded answer was replayed."""
         self._counts[Metric.REQUESTS_REPLAYED] += 1
         self._node.decisions.record(
             Subject.REQUEST,
@@ -128,7 +130,7 @@
         )
 
     def record_refusal(self, request_id: RequestId, refusal: Refusal) -> None:
-        """Remember a refusal of our own."""
+        """Record a refusal by this entry VM."""
         unknown = refusal.outcome is not Outcome.NOT_RUN
         metric = Metric.REQUESTS_UNKNOWN if unknown else Metric.REQUESTS_REFUSED
         self._counts[metric] += 1
--- a/packages/daemon/src/medlarspring_daemon/callers/reports.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/reports.py
@@ -1,4 +1,4 @@
-"""What entry VMs tell each other of the request path."""
+"""Exchanges partner usage and leaving or returned upstream VMs between entry VMs."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class CallerReports:
-    """Use by partner, upstream VMs that leave or are back; a ``ReportPart``."""
+    """Reports usage and upstream VM states; implements ``ReportContributor``."""
 
     def __init__(self, state: CallerState) -> None:
         self._state = state
         self._reported_at: dict[EntryVMId, Seconds] = {}
 
     def fill_report(self, report: peer_pb2.Report) -> None:
-        """Add use, waiting and running by partner and pool."""
+        """Add usage, waiting and running requests by partner and pool, and VM states."""
         now = self._state.node.clock.now()
         for pool in self._state.pools_by_id.values():
             for queue in pool.queues_by_partner.values():
@@ -51,7 +51,7 @@
             )
 
     def apply_report(self, report: peer_pb2.Report) -> None:
-        """Charge partners for their use elsewhere; note VMs that leave or are back."""
+        """Charge partners for usage on the peer; record leaving and returned VMs."""
         now = self._state.node.clock.now()
         peer = EntryVMId(report.sender)
         elapsed = now - self._reported_at.get(peer, now)
@@ -77,7 +77,7 @@
             self.note_leaving(VMId(leaving.vm), leaving.age_ms / 1000.0, peer)
 
     def note_leaving(self, vm_id: VMId, age: Seconds, source: str) -> None:
-        """Remember that an upstream VM leaves, and log it if it is news."""
+        """Record that an upstream VM is leaving, and log it if it was not known."""
         node = self._state.node
         if note_leaving(self._state.upstreams, vm_id, age, node.clock.now()):
             node.log.info(Event.UPSTREAM_LEAVING, vm=vm_id, source=source)
@@ -85,7 +85,7 @@
     def note_returned(
         self, vm_id: VMId, pool_id: PoolId, age: Seconds, source: str
     ) -> None:
-        """Remember that an upstream VM serves again, and log it if it is news."""
+        """Record that an upstream VM serves again, and log it if it was not known."""
         node = self._state.node
         now = node.clock.now()
         if note_returned(self._state.upstreams, vm_id, pool_id, age, now):
--- a/packages/daemon/src/medlarspring_daemon/callers/request_reader.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads a caller's request: who asks, for what, until when."""
+"""Reads and validates callers' requests: partner, service, deadline and body."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class Credentials:
-    """Partners by the SHA-256 of their credential, for the table in force."""
+    """Finds partners by the SHA-256 of their credential in the current table."""
 
     def __init__(self) -> None:
         self._config: ConfigTable | None = None
@@ -51,7 +51,7 @@
         self._partner_by_header: dict[str, PartnerId] = {}
 
     def find_partner(self, config: ConfigTable, header: str) -> PartnerId | None:
-        """Return who presents this ``Authorization`` header."""
+        """Return the partner that an ``Authorization`` header belongs to, or None."""
         if config is not self._config:
             self._adopt(config)
         partner = self._partner_by_header.get(header)
@@ -77,7 +77,7 @@
 
 
 class RequestReader:
-    """Turns a caller's HTTP request into a checked row."""
+    """Converts a caller's HTTP request into a validated ``CallerRequest``."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -89,7 +89,7 @@
     async def read(
         self, request: web.BaseRequest, request_id: RequestId
     ) -> Result[CallerRequest, Refusal]:
-        """Read the request whole, or say why it is refused."""
+        """Read the complete request, or return a refusal."""
         config = self._node.config
         if config is None or self._node.vm_list is None:
             return Failure(_NOT_READY)
@@ -127,7 +127,7 @@
                 arrived_at=now,
                 deadline=now + timeout,
                 urgency=_read_urgency(request.headers.get(PRIORITY)),
-                # A key promises one run at most, whatever else is stated.
+                # A key promises at most one run, regardless of other headers.
                 repeatable=key is None
                 and (
                     request.method in SAFE_METHODS
@@ -160,7 +160,7 @@
 
 
 def create_request_id(request: web.BaseRequest) -> RequestId:
-    """Return the caller's own id if it is usable, else a new one."""
+    """Return the request id sent by the caller if it is valid, else a new one."""
     stated = request.headers.get(REQUEST_ID, "")
     if 0 < len(stated) <= MAX_ID_LENGTH and stated.isascii() and stated.isprintable():
         return RequestId(stated)
@@ -168,7 +168,7 @@
 
 
 def has_usable_key(request: web.BaseRequest) -> bool:
-    """Tell whether a request has a key that may have run before."""
+    """Return whether a request has a valid key, which may have run before."""
     return _is_key(request.headers.get(IDEMPOTENCY_KEY, ""))
 
 
@@ -177,7 +177,7 @@
 
 
 def _split_path(raw_path: str) -> tuple[ServiceId, str]:
-    """Return the service and the rest, percent-encoding left as it came."""
+    """Return the service and the remaining target, percent-encoding unchanged."""
     path, mark, query = raw_path.partition("?")
     service_id, _, rest = path[1:].partition("/")
     return ServiceId(service_id), f"/{rest}{mark}{query}"
--- a/packages/daemon/src/medlarspring_daemon/callers/service.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/service.py
@@ -1,4 +1,4 @@
-"""The port that callers use."""
+"""The service of the caller port."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
 GC_THRESHOLDS = (20_000, 20, 20)
 DRAIN_CHECK_SECONDS = 0.02
 READINESS_NOTICE_SECONDS = 1.5
-"""How long the port stays open on shutdown, for the balancer to notice."""
+"""Time that the port stays open on shutdown, so that the balancer notices."""
 
 
 class CallerService:
-    """Accepts callers' requests and answers each of them."""
+    """Accepts callers' requests and answers them."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -60,7 +60,7 @@
         self._in_flight = 0
 
     async def start(self) -> None:
-        """Open the port."""
+        """Start the services of the request path and open the port."""
         settings = self._node.settings.caller
         self._client = UpstreamClient(self._node.clock)
         self._state.list_listeners.append(self._update_idle_limits)
@@ -92,11 +92,11 @@
         self._node.addresses["caller"] = f"{bound[0]}:{bound[1]}"
 
     async def stop(self) -> None:
-        """Let every request in flight finish, then close.
+        """Finish every request in flight, then close the port.
 
-        The balancer learns from the readiness check that this entry VM goes,
-        and sends requests until then. They are served, each with the word that
-        its connection closes; closing the port at once would cut them.
+        The balancer sends requests until the readiness check shows it that this
+        entry VM is stopping. These are served with ``Connection: close``;
+        closing the port immediately would break them off.
         """
         if self._server is None or self._listener is None or self._keyed is None:
             return
@@ -185,8 +185,8 @@
         if node.vm_list is None:
             return web.Response(status=503, text="VM list unknown\n")
         if not self._dispatcher.slots.can_receive_grants():
-            # Sent now, requests would wait for slots until the votes of a
-            # former process have lapsed, and miss short deadlines.
+            # Requests accepted now would wait for slots until the votes of the
+            # previous process have expired, and miss short deadlines.
             return web.Response(status=503, text="no slots yet\n")
         return web.Response(text="ready\n")
 
@@ -197,10 +197,10 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Let the garbage collector run rarely, and not over what stays anyway.
+    """Reduce garbage collections and exclude long-lived objects from them.
 
-    With the default thresholds it runs every few requests, and each of its
-    long runs looks through all that the process keeps.
+    With the default thresholds the collector runs every few requests, and each
+    full collection traverses all objects of the process.
     """
     gc.collect()
     gc.freeze()
--- a/packages/daemon/src/medlarspring_daemon/callers/slot_exchange.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/slot_exchange.py
@@ -1,7 +1,7 @@
-"""Which home to ask for slots, when, and what to make of its reply.
+"""Decides which homes are asked for slots and when, and applies their replies.
 
-No calls are made here: ``SlotService`` carries the requests over the wire, and
-simulations carry them by hand.
+The home of an upstream VM is the entry VM that grants its slots. This module
+makes no calls: ``SlotService`` or a simulation transports the requests.
 """
 
 from __future__ import annotations
@@ -27,15 +27,17 @@
     from medlarspring_tables.upstreams import Upstream
 
 MIN_RENEWAL_INTERVAL_SECONDS = 0.05
-"""A holder that is short of slots asks a home at most so often."""
+"""Shortest time between requests for pools that are short of slots."""
 REFUSAL_EVIDENCE_SECONDS = 2.0
-"""A refused connection proves a dead process for so long only: a new process
-of the same entry VM waits longer than this before it grants."""
+"""Time for which a refused connection proves that a process has ended.
+
+A new process of the same entry VM waits longer than this before it grants slots.
+"""
 
 
 @dataclass(slots=True, frozen=True)
 class PendingSlotRequest:
-    """One request for slots that is due."""
+    """A request for slots that is due or awaits its reply."""
 
     home: EntryVMId
     request: peer_pb2.SlotRequest
@@ -43,7 +45,7 @@
 
 
 class SlotExchange:
-    """Keeps the credits of one entry VM fresh, and grants as a home."""
+    """Renews the slots of one entry VM, and grants slots of its own upstream VMs."""
 
     def __init__(
         self,
@@ -61,29 +63,30 @@
         self._sequence = 0
         self._unanswered: set[EntryVMId] = set()
         self._short_pools: set[PoolId] = set()
-        # A former process of this entry VM may have voted just before its end.
-        # Its votes and grants are waited out like those of a home that moved.
+        # A previous process of this entry VM may have voted just before it ended.
+        # Its votes and grants have to expire first, as after a change of home.
         self._blocked_until = node.clock.now() + self._policy.switch_seconds
 
     def can_receive_grants(self) -> bool:
-        """Whether this process may be granted slots like the others."""
+        """Return whether this process may be granted slots like the others."""
         alone = len(self.list_views()) == 1
         return alone or self._node.clock.now() >= self._blocked_until
 
     def request_slots_soon(self, pool_id: PoolId) -> None:
-        """Ask soon, because work of this pool waits for a slot."""
+        """Schedule a request for slots of a pool whose requests are waiting."""
         self._short_pools.add(pool_id)
 
     def answer(self, request: peer_pb2.SlotRequest) -> peer_pb2.SlotReply:
-        """Grant slots to an asker, as a home."""
+        """Grant slots of the upstream VMs that this entry VM is home of."""
         self._state.refresh()
         return self._home.answer(request, self.list_views(), self._votes_by_vm)
 
     def list_due(self) -> list[PendingSlotRequest]:
-        """Return the requests to send now, the one to the own home included.
+        """Return the requests to send now, including the one to this entry VM.
 
-        All homes are asked at the renewal time; in between only those of pools
-        that are short of slots, so that an idle entry VM does little.
+        All homes are asked when a renewal is due. In between, only the homes of
+        pools that are short of slots are asked, so that an idle entry VM makes
+        few calls.
         """
         now = self._node.clock.now()
         upstreams = self._list_due_upstreams(now)
@@ -130,13 +133,13 @@
         return pool.waiting > 0 or now - pool.asked_at < self._policy.idle_after_seconds
 
     def handle_call_failure(self, pending: PendingSlotRequest) -> None:
-        """Give a request up; the credits lapse unless the next one is answered."""
+        """Give up a request; the slots expire unless a later one is answered."""
         self._unanswered.discard(pending.home)
 
     def apply_reply(
         self, pending: PendingSlotRequest, reply: peer_pb2.SlotReply
     ) -> set[PoolId]:
-        """Use the slots granted; return the pools that may go on with them."""
+        """Record the granted slots; return the pools that have usable slots now."""
         self._unanswered.discard(pending.home)
         if reply.time_ms:
             self._echo_by_home[pending.home] = reply.time_ms
@@ -148,25 +151,27 @@
                 continue
             self._record_foreign(upstream.id, pending.home, granted.foreign)
             upstream.credit = granted.slots
-            # Counted from the asking: the home's own count starts later, so a
-            # slow reply or a freeze makes the credit end too early, never late.
+            # The lifetime counts from when the request was sent. The home counts
+            # it from a later time, so that after a slow reply or a suspension
+            # the slots expire here too early, never too late.
             upstream.credit_until = pending.sent_at + granted.ttl_ms / 1000.0
             if now < upstream.credit_until:
                 pools.add(upstream.pool_id)
         return pools
 
     def _record_foreign(self, vm_id: VMId, home: EntryVMId, foreign: int) -> None:
-        """Remember what a home has lent to other zones, for the next home.
+        """Record the slots that a home has lent to other zones, for the next home.
 
-        What this entry VM lends as home is in its own ledger. Noted here too it was
-        taken off twice, and a zone that was cut off had no slots of its own VMs.
+        Slots that this entry VM lends as home are in its own ledger. If they were
+        recorded here as well, they would be subtracted twice, and a partitioned
+        zone would have no slots of its own VMs.
         """
         vote = self._votes_by_vm.get(vm_id)
         if vote is not None and vote.home == home != self._node.id:
             vote.foreign = foreign
 
     def list_views(self) -> list[EntryVMView]:
-        """Return all entry VMs as they are seen now."""
+        """Return the current view of all entry VMs, this one first."""
         node = self._node
         now = node.clock.now()
         heard = node.peers.heard_by_id
@@ -191,10 +196,11 @@
         return views
 
     def _is_own_home(self, heard: Mapping[EntryVMId, Member]) -> bool:
-        """Whether this entry VM may be home of its zone's upstream VMs.
+        """Return whether this entry VM may be home of its zone's upstream VMs.
 
-        One that stops leaves that to others of its zone. The last one stays it: else
-        its requests in flight get no slot for another try, and time out.
+        An entry VM that is stopping leaves this to the others of its zone. The last
+        one remains home: otherwise its requests in flight would get no slot for a
+        retry, and would time out.
         """
         zone_id = self._state.zone_id
         has_zone_peer = any(member.zone_id == zone_id for member in heard.values())
@@ -239,17 +245,17 @@
         return upstreams_by_home
 
     def _needs_foreign(self, pool_id: PoolId, now: Seconds) -> bool:
-        """Whether slots of another zone are needed for a pool."""
+        """Return whether a pool needs slots of another zone."""
         if self._node.stopping or not self._is_in_use(pool_id, now):
             return False
         if pool_id not in self._state.own_pools:
-            # Every request of this pool goes to another zone; it should find
-            # a slot there as soon as one in its own zone would.
+            # Every request of this pool goes to another zone, and should get a
+            # slot there as quickly as it would in its own zone.
             return True
         return self._count_overflow(pool_id, now) > 0
 
     def _count_overflow(self, pool_id: PoolId, now: Seconds) -> int:
-        """Return how much of the demand the own zone has no slots for."""
+        """Return the number of requests that exceed the slots in the own zone."""
         pool = self._state.pools_by_id.get(pool_id)
         if pool is None:
             return 0
@@ -276,8 +282,9 @@
         zones_by_pool: dict[PoolId, set[ZoneId]] = defaultdict(set)
         for upstream in upstreams:
             vote = self._votes_by_vm.get(upstream.id)
-            # While a vote still runs out, the new home is asked without it: the
-            # time to echo is known by then, and the vote counts at once.
+            # Until the vote for the previous home has expired, the new home is
+            # asked without a vote. Its reply provides the time to echo, so that
+            # the later vote counts immediately.
             backs = False
             if vote is not None and vote.home == home and now >= vote.blocked_until:
                 backs = True
@@ -290,8 +297,8 @@
                 backs=backs,
             )
             if upstream.leaving_since is not None and not takes_new_work(upstream, now):
-                # The home stops all grants at once. Reports reach other zones
-                # only every few seconds.
+                # Lets the home stop all grants immediately; reports reach other
+                # zones only every few seconds.
                 wish.leaving = True
                 wish.leaving_age_ms = int((now - upstream.leaving_since) * 1000)
         for pool_id, zones in zones_by_pool.items():
@@ -320,7 +327,7 @@
             request.demand.add(pool=pool_id)
 
     def _compute_overflow_share(self, pool_id: PoolId, now: Seconds) -> float:
-        """Return the part of the demand to tell to each foreign zone."""
+        """Return the fraction of the demand to report to each other zone."""
         pool = self._state.pools_by_id.get(pool_id)
         zones = {
             upstream.zone_id
@@ -335,7 +342,7 @@
 
 
 def _scale(count: int, share: float) -> int:
-    """Return a part of a count, rounded up so that small demand is told at all."""
+    """Return a fraction of a count, rounded up so that small demand is not lost."""
     return math.ceil(count * share)
 
 
--- a/packages/daemon/src/medlarspring_daemon/callers/slot_home.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/slot_home.py
@@ -1,4 +1,4 @@
-"""Answers wishes for slots of the upstream VMs that this entry VM is home of."""
+"""Grants slots of the upstream VMs that this entry VM is home of."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class SlotHome:
-    """The ledgers of one process; a new process starts with none."""
+    """Grants slots from the ledgers of this process, which start empty."""
 
     def __init__(
         self, node: Node, state: CallerState, policy: slots.SlotPolicy
@@ -33,8 +33,8 @@
         self._state = state
         self._policy = policy
         self._table = HomeTable()
-        # The machine's clock goes on when a process is replaced. The random
-        # offset keeps an echo of the old process from counting in the new one.
+        # The machine's clock continues when a process is replaced. The random
+        # offset prevents an echo of the old process from being valid in the new one.
         self._epoch_ms = node.rng.getrandbits(EPOCH_BITS)
         self._started_at = node.clock.now()
         self._newest_by_asker: dict[EntryVMId, tuple[int, int, Seconds]] = {}
@@ -46,7 +46,7 @@
         views: Sequence[EntryVMView],
         votes_by_vm: Mapping[VMId, Vote],
     ) -> peer_pb2.SlotReply:
-        """Grant what is free and fair of each VM that is wished for."""
+        """Grant the free slots of each requested VM, up to the asker's fair share."""
         now = self._node.clock.now()
         asker = EntryVMId(request.sender)
         if self._is_outdated(asker, request, now):
@@ -109,13 +109,14 @@
     def _is_outdated(
         self, asker: EntryVMId, request: peer_pb2.SlotRequest, now: Seconds
     ) -> bool:
-        """Whether a newer request of the asker was answered already.
-
-        A request that was held up says what its asker held then. Taken for
-        new, it would free slots that the asker was granted since. Which of two
-        processes is the newer one cannot be told from their numbers: the one
-        that is heard stands until it has been silent for the time of a grant,
-        so that a late request of a former process shuts out nobody for long.
+        """Return whether a newer request of the asker was already answered.
+
+        A delayed request reports the slots that its asker held when it was sent.
+        Applied as current, it would free slots that were granted to the asker
+        since then. Incarnation numbers are random and do not show which of two
+        processes is newer. The one heard first therefore counts until nothing has
+        arrived from it for the duration of a grant, so that a delayed request of a
+        previous process blocks its successor only briefly.
         """
         newest = self._newest_by_asker.get(asker)
         if newest is not None:
--- a/packages/daemon/src/medlarspring_daemon/callers/slot_service.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/slot_service.py
@@ -1,4 +1,4 @@
-"""Carries requests for slots to their homes and back."""
+"""Sends requests for slots to their homes and applies the replies."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class SlotService:
-    """The loop that asks for slots; implements ``SlotGranter`` for peers."""
+    """Requests slots in a loop; implements ``SlotGranter`` for peers."""
 
     def __init__(
         self, node: Node, state: CallerState, on_credit: Callable[[PoolId], None]
@@ -37,12 +37,12 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to ask for slots."""
+        """Start requesting slots."""
         self._node.slot_granter = self
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop asking; grants lapse by themselves."""
+        """Stop requesting slots; grants expire without further calls."""
         tasks = [*self._calls]
         if self._task is not None:
             tasks.append(self._task)
@@ -51,11 +51,11 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def can_receive_grants(self) -> bool:
-        """Whether this process may be granted slots like the others."""
+        """Return whether this process may be granted slots like the others."""
         return self._exchange.can_receive_grants()
 
     def request_slots_soon(self, pool_id: PoolId) -> None:
-        """Ask soon, because work of this pool waits for a slot."""
+        """Request slots soon for a pool whose requests are waiting."""
         self._exchange.request_slots_soon(pool_id)
         self._wake.set()
 
--- a/packages/daemon/src/medlarspring_daemon/callers/state.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/state.py
@@ -1,4 +1,4 @@
-"""Tables of the request path, kept in line with configuration and VM list."""
+"""Tables of the request path, updated from the configuration and the VM list."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class CallerState:
-    """What the caller port and the exchange of slots both work on."""
+    """The state shared by the caller port and the exchange of slots."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
@@ -33,7 +33,7 @@
         self._vm_list: VMList | None = None
 
     def refresh(self) -> None:
-        """Take over a new table or list, if there is one."""
+        """Apply a new configuration table or VM list, if there is one."""
         node = self.node
         if node.vm_list is not self._vm_list and node.vm_list is not None:
             self._vm_list = node.vm_list
@@ -53,7 +53,7 @@
                 fair_queue.adopt_config(pool, node.config)
 
     def get_pool(self, pool_id: PoolId) -> PoolQueue:
-        """Return the queue of a pool, creating it at first use."""
+        """Return the queue of a pool; it is created on first use."""
         pool = self.pools_by_id.get(pool_id)
         if pool is None:
             pool = PoolQueue(pool_id)
@@ -67,11 +67,11 @@
         return self.upstreams.upstreams_by_pool.get(pool_id, [])
 
     def count_fleet_slots(self, pool_id: PoolId) -> int:
-        """Return the slots of the pool in the whole fleet."""
+        """Return the number of slots of a pool in the whole fleet."""
         return sum(upstream.slots for upstream in self.list_upstreams(pool_id))
 
     def count_usable_slots(self, pool_id: PoolId, now: Seconds) -> int:
-        """Return the slots that this entry VM may use now."""
+        """Return the number of slots of a pool that this entry VM may use now."""
         return sum(
             upstream.credit
             for upstream in self.list_upstreams(pool_id)
--- a/packages/daemon/src/medlarspring_daemon/callers/upstream_response.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/upstream_response.py
@@ -1,4 +1,4 @@
-"""Headers towards upstream VMs, and answers on their way to the caller."""
+"""Headers for requests to upstream VMs, and their responses for the caller."""
 
 from __future__ import annotations
 
@@ -24,12 +24,16 @@
     from medlarspring_tables.requests import CallerRequest
 
 BUFFERED_RESPONSE_BYTES = 131_072
-"""Answers up to this size are held whole, so that a cut one can be told and
-a caller that reads slowly holds no slot."""
+"""Responses up to this size are buffered completely.
+
+A truncated response is then detected before it is passed on, and a caller that
+reads slowly does not occupy a slot.
+"""
 
 MAX_KEYED_RESPONSE_BYTES = 8_388_608
-"""Answers to requests with a key are always held whole."""
+"""Largest response to a request with a key; these are always buffered completely."""
 MAX_RESPONSE_BYTES = 67_108_864
+"""Largest response that is streamed to a caller."""
 UNFORWARDED_HEADERS = HOP_HEADERS | {
     "authorization",
     "content-length",
@@ -44,7 +48,7 @@
 
 @dataclass(slots=True)
 class BufferedBody:
-    """The body of an answer, or its beginning."""
+    """The body of a response, or its first bytes if it exceeds the limit."""
 
     body: bytes
     complete: bool
@@ -53,7 +57,7 @@
 def create_upstream_headers(
     request: web.BaseRequest, caller_request: CallerRequest
 ) -> CIMultiDict[str]:
-    """Return the headers that upstream VMs get, but for the time left."""
+    """Return the headers sent to upstream VMs, except ``Request-Timeout``."""
     headers: CIMultiDict[str] = CIMultiDict()
     for name, value in request.headers.items():
         if name.lower() not in UNFORWARDED_HEADERS:
@@ -66,7 +70,7 @@
 async def buffer_response(
     answer: aiohttp.ClientResponse, limit: int, timeout: Seconds
 ) -> Result[BufferedBody, UpstreamFault]:
-    """Read an answer's body up to a limit."""
+    """Read a response body up to ``limit`` bytes."""
     length = answer.content_length
     if length is not None and length <= limit:
         body = await read_answer(answer, timeout)
@@ -90,7 +94,7 @@
 def create_response(
     answer: aiohttp.ClientResponse, body: bytes, caller_request: CallerRequest
 ) -> web.Response:
-    """Return the answer to the caller for one that was held whole."""
+    """Return the response to the caller for a completely buffered one."""
     headers = copy_answer_headers(answer.headers)
     headers["Request-Id"] = caller_request.id
     if caller_request.method != "HEAD":
@@ -105,7 +109,7 @@
     request_id: RequestId,
     timeout: Seconds,
 ) -> tuple[web.StreamResponse, bool]:
-    """Pass a large answer on as it comes; return whether it came whole."""
+    """Stream a large response to the caller; return whether it was complete."""
     headers = copy_answer_headers(answer.headers)
     headers["Request-Id"] = request_id
     response = web.StreamResponse(status=answer.status, headers=headers)
@@ -118,13 +122,13 @@
             async for chunk in answer.content.iter_any():
                 bytes_sent += len(chunk)
                 if bytes_sent > MAX_RESPONSE_BYTES:
-                    raise aiohttp.ClientPayloadError("the answer is too large")
+                    raise aiohttp.ClientPayloadError("the response is too large")
                 await response.write(chunk)
             await response.write_eof()
     except (aiohttp.ClientError, TimeoutError, OSError):
-        # The status line is out, so no refusal can follow. Cutting the
-        # caller's connection before the end is the one sign left that the
-        # answer is not whole.
+        # The status line has been sent, so a refusal is no longer possible.
+        # Aborting the caller's connection is the only way left to signal that
+        # the response is incomplete.
         answer.close()
         if request.transport is not None:
             request.transport.abort()
