--- a/packages/daemon/src/medlarspring_daemon/__init__.py
+++ b/packages/daemon/src/medlarspring_daemon/__init__.py
@@ -1,10 +1,10 @@
-"""The daemon of every entry VM."""
+"""The daemon that runs on every entry VM."""
 
 from __future__ import annotations
 
 import os
 
-# gRPC's core writes lines of its own to standard error, where a collector of JSON
-# lines stumbles over them; what they tell, events 4001 and 4006 tell too. It reads
-# this once, when it is imported.
+# gRPC's core writes plain text lines to standard error, which a collector of JSON
+# lines can't parse; events 4001 and 4006 report the same facts. The variable is read
+# only once, when gRPC is imported.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
--- a/packages/daemon/src/medlarspring_daemon/background_tasks.py
+++ b/packages/daemon/src/medlarspring_daemon/background_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of one service."""
+"""Runs, restarts and cancels the background tasks of a service."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 class BackgroundTasks:
-    """Keeps tasks from being collected, and cancels them together."""
+    """Holds references to running tasks, and cancels them together.
+
+    Without a reference a task could be garbage-collected while it runs.
+    """
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
@@ -31,16 +34,16 @@
         return task
 
     def run_with_restart(self, run: Callable[[], Awaitable[None]]) -> asyncio.Task[Any]:
-        """Run ``run`` until the service stops, again after a failure.
+        """Run ``run`` until the service stops; restart it when it ends or fails.
 
-        A loop that ended by a defect would leave a daemon that answers callers
-        but no longer watches or renews, and nobody would notice. Logged and
-        started again, the duty goes on and the event shows the defect.
+        If a loop ended because of a defect, the daemon would still answer callers
+        but would silently stop watching or renewing. Restarting the loop keeps the
+        service working, and the logged event shows the defect.
         """
         return self.start(self._repeat(run))
 
     async def cancel(self) -> None:
-        """Cancel all tasks and wait for their end."""
+        """Cancel all tasks and wait until they have ended."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
--- a/packages/daemon/src/medlarspring_daemon/callers/reports.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/reports.py
@@ -29,7 +29,7 @@
         self._reported_at: dict[EntryVMId, Seconds] = {}
 
     def fill_report(self, report: peer_pb2.Report) -> None:
-        """Add usage, waiting and running requests by partner and pool, and VM states."""
+        """Add usage by partner and pool, and upstream VMs that leave or returned."""
         now = self._state.node.clock.now()
         for pool in self._state.pools_by_id.values():
             for queue in pool.queues_by_partner.values():
--- a/packages/daemon/src/medlarspring_daemon/components.py
+++ b/packages/daemon/src/medlarspring_daemon/components.py
@@ -1,4 +1,4 @@
-"""The parts of the daemon, in the order of their start."""
+"""Creates the components of the daemon in the order of their start."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def create_components(node: Node) -> list[Component]:
-    """Return all services; the last one started is the first one stopped."""
+    """Return all services in start order; they are stopped in reverse order."""
     vm_list = create_vm_list_service(node)
     peers = create_peer_service(node)
     return [
@@ -48,7 +48,8 @@
         create_job_service(node),
         create_audit_trimmer(node),
         create_operator_service(node),
-        # Last, so that a shutdown lets callers finish while the rest still works.
+        # Last, so that on shutdown callers' requests finish while the other
+        # components still run.
         create_caller_service(node),
     ]
 
--- a/packages/daemon/src/medlarspring_daemon/main.py
+++ b/packages/daemon/src/medlarspring_daemon/main.py
@@ -33,7 +33,7 @@
 
 
 class PortUnavailable(MedlarspringError):
-    """A port of the settings can't be opened."""
+    """A port named in the settings can't be opened."""
 
     code = "port-unavailable"
 
@@ -42,7 +42,7 @@
         self.reason = reason
 
     def message(self) -> str:
-        """Say which port and what to do."""
+        """Return the reason and the remedy."""
         return (
             f"A port can't be opened ({self.reason}). End the process that uses it, or"
             " change the listen key of the settings."
@@ -50,7 +50,7 @@
 
 
 class DaemonService(aiomisc.Service):
-    """Starts the parts in order and stops them in reverse."""
+    """Starts the components in order and stops them in reverse order."""
 
     def __init__(self, node: Node, components: Sequence[Component]) -> None:
         super().__init__()
@@ -59,7 +59,7 @@
         self._started: list[Component] = []
 
     async def start(self) -> None:
-        """Start every part, then log the addresses of the open ports."""
+        """Start every component, then log the addresses of the open ports."""
         for component in self._components:
             try:
                 await component.start()
@@ -69,7 +69,7 @@
         self._node.log.info(Event.LISTENING, **self._node.addresses)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Fail readiness at once, then let each part finish."""
+        """Fail the readiness check immediately, then stop each component."""
         self._node.stopping = True
         self._node.log.info(Event.STOPPING)
         while self._started:
@@ -108,7 +108,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the daemon; returns its exit status."""
+    """Run the daemon and return its exit status."""
     parser = argparse.ArgumentParser(prog="medlarspringd", description=__doc__)
     parser.add_argument("settings", type=Path, help="settings file in TOML")
     parser.add_argument(
--- a/packages/daemon/src/medlarspring_daemon/node.py
+++ b/packages/daemon/src/medlarspring_daemon/node.py
@@ -1,4 +1,4 @@
-"""The state that the daemon's services share."""
+"""The state shared by the daemon's services, and the protocols between them."""
 
 from __future__ import annotations
 
@@ -37,60 +37,61 @@
 
 
 class Component(Protocol):
-    """One service of the daemon; started in order, stopped in reverse."""
+    """A service of the daemon; started in order, stopped in reverse order."""
 
     async def start(self) -> None:
-        """Open ports and start tasks; failures end the process."""
+        """Open ports and start tasks; a failure ends the process."""
         ...
 
     async def stop(self) -> None:
-        """Finish what is in flight and close."""
+        """Finish the work in flight and close."""
         ...
 
 
 class ReportContributor(Protocol):
-    """A service with something to say in the report that peers exchange."""
+    """A service that contributes to the reports that peers exchange."""
 
     def fill_report(self, report: peer_pb2.Report) -> None:
-        """Add this service's facts to the report that is about to be sent."""
+        """Add this service's data to a report before it is sent."""
         ...
 
     def apply_report(self, report: peer_pb2.Report) -> None:
-        """Learn from a report that a peer sent."""
+        """Apply a report received from a peer."""
         ...
 
 
 class SlotGranter(Protocol):
-    """Answers the peers' wishes for slots of upstream VMs."""
+    """Answers the peers' requests for slots of upstream VMs."""
 
     def grant_slots(self, request: peer_pb2.SlotRequest) -> peer_pb2.SlotReply:
-        """Return the slots that the asker may use, each with its lifetime."""
+        """Return the slots that the sender may use, each with its lifetime."""
         ...
 
 
 class Peers(Protocol):
-    """The other entry VMs: who is heard, and calls to them."""
+    """The other entry VMs: their reachability, and calls to them."""
 
     @property
     def heard_by_id(self) -> Mapping[EntryVMId, Member]:
-        """Other entry VMs heard within the timeout and not leaving."""
+        """Other entry VMs that sent a report within the timeout and are not leaving."""
         ...
 
     @property
     def known_by_id(self) -> Mapping[EntryVMId, Member]:
-        """All other entry VMs that are listed or were heard lately."""
+        """All other entry VMs that are listed or sent a report recently."""
         ...
 
     @property
     def zone_members(self) -> tuple[EntryVMId, ...]:
-        """This entry VM and those heard in its availability zone, sorted."""
+        """Ids of this entry VM and the heard ones in its availability zone, sorted."""
         ...
 
     @property
     def refused_by_id(self) -> Mapping[EntryVMId, Seconds]:
-        """When a peer's port refused a connection and nothing was heard since.
+        """Times when a peer's port refused a connection, unless it was heard since.
 
-        The refusal proves that the process has ended; silence proves nothing.
+        A refused connection proves that the process has ended; a missing report
+        does not.
         """
         ...
 
@@ -100,16 +101,16 @@
         request: peer_pb2.SlotRequest,
         timeout_seconds: Seconds,
     ) -> Result[peer_pb2.SlotReply, PeerError]:
-        """Ask one peer for slots."""
+        """Request slots from one peer."""
         ...
 
     async def find_decisions(self, kind: str, id: str) -> list[bytes]:  # noqa: A002
-        """Return what this process and all heard peers remember, as JSON."""
+        """Return the decisions recorded here and by all heard peers, as JSON."""
         ...
 
 
 class NoPeers:
-    """Stands in until the peer service has started."""
+    """Used until the peer service has started; there are no peers."""
 
     heard_by_id: Mapping[EntryVMId, Member] = {}
     known_by_id: Mapping[EntryVMId, Member] = {}
@@ -122,44 +123,44 @@
         request: peer_pb2.SlotRequest,
         timeout_seconds: Seconds,
     ) -> Result[peer_pb2.SlotReply, PeerError]:
-        """Fail: there is no peer."""
+        """Return a failure, because there are no peers."""
         return Failure(PeerUnreachable(entry_vm_id, "the peer port is not open"))
 
     async def find_decisions(self, kind: str, id: str) -> list[bytes]:  # noqa: A002
-        """Find nothing."""
+        """Return no decisions."""
         return []
 
 
 class Holders(Protocol):
-    """Which pools' control work this process holds."""
+    """Provides the pools whose control work this process holds."""
 
     def held_pools(self) -> frozenset[PoolId]:
-        """Return the pools held for certain, by this process's own clock."""
+        """Return the pools that are certainly held, by this process's own clock."""
         ...
 
     def fence(self, pool_id: PoolId) -> Expect | None:
-        """Return the condition that each write of the pool's work must carry.
+        """Return the condition that each write for the pool must include.
 
-        None when the pool is not held, or its lease may have lapsed.
+        None if the pool is not held, or if its lease may have expired.
         """
         ...
 
 
 class NoHolders:
-    """Holds nothing; stands in until the holder service has started."""
+    """Used until the holder service has started; no pool is held."""
 
     def held_pools(self) -> frozenset[PoolId]:
         """Return no pool."""
         return frozenset()
 
     def fence(self, pool_id: PoolId) -> Expect | None:
-        """Return no fence."""
+        """Return None, because no pool is held."""
         return None
 
 
 @dataclass(slots=True)
 class Node:
-    """What every service of one daemon may read; each field has one writer."""
+    """State that every service of a daemon may read; each field has one writer."""
 
     settings: Settings
     clock: Clock
@@ -170,24 +171,24 @@
     decisions: DecisionLog
     id: EntryVMId
     incarnation: int
-    """Random 64-bit number of this process; a restart changes it."""
+    """Random 64-bit number of this process; it changes on restart."""
     config: ConfigTable | None = None
-    """The table in force; written by the configuration service."""
+    """The current table; written by the configuration service."""
     config_listeners: list[Callable[[ConfigTable], None]] = field(default_factory=list)
     note_leaving: Callable[[VMId], None] = lambda vm_id: None
-    """Tells the request path that a VM leaves, before any list shows it."""
+    """Informs the request path that a VM is leaving, before any list shows it."""
     note_returned: Callable[[VMId, PoolId], None] = lambda vm_id, pool_id: None
-    """Tells the request path that a VM serves again, before any list shows it."""
+    """Informs the request path that a VM serves again, before any list shows it."""
     offer_table: Callable[[ConfigTable], None] = lambda table: None
-    """Takes a table that was just accepted; written by the configuration service."""
+    """Receives a newly accepted table; written by the configuration service."""
     vm_list: VMList | None = None
     """The newest list; written by the VM list service."""
     report_contributors: list[ReportContributor] = field(default_factory=list)
     slot_granter: SlotGranter | None = None
     operator_routes: list[web.RouteDef] = field(default_factory=list)
-    """Routes of the operator port; parts add theirs before it starts."""
+    """Routes of the operator port; components add theirs before it starts."""
     status_sources: list[Callable[[], Iterable[Finding]]] = field(default_factory=list)
-    """What parts know of that is cut off, stale or degraded."""
+    """Callables that return what is partitioned, stale or degraded."""
     peers: Peers = field(default_factory=NoPeers)
     """Written by the peer service."""
     holders: Holders = field(default_factory=NoHolders)
@@ -195,7 +196,7 @@
     fleet_tables: FleetTables = field(default_factory=FleetTables)
     """Records of VMs and waves; written by the fleet service while pools are held."""
     addresses: dict[str, str] = field(default_factory=dict)
-    """Real addresses of the open ports by port name."""
+    """Actual addresses of the open ports by port name."""
     stopping: bool = False
 
 
@@ -207,7 +208,7 @@
     metrics: Metrics,
     store: Store,
 ) -> Node:
-    """Return the state of a daemon that has not started yet."""
+    """Return the state of a daemon that is not started yet."""
     entry_vm_id: EntryVMId = settings.entry_vm.id  # type: ignore[assignment]
     return Node(
         settings=settings,
--- a/packages/daemon/src/medlarspring_daemon/settings.py
+++ b/packages/daemon/src/medlarspring_daemon/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon: read from TOML and checked whole before any port opens."""
+"""Settings of the daemon, read from TOML and validated before any port opens."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 
 class Section(BaseModel):
-    """Base of all sections: unknown keys are faults, values are not coerced."""
+    """Base of all sections; unknown keys are errors and values are not coerced."""
 
     model_config = ConfigDict(
         extra="forbid", frozen=True, strict=True, use_attribute_docstrings=True
@@ -83,7 +83,7 @@
 
 
 class EntryVMSection(Section):
-    """Who this entry VM is."""
+    """Identity and location of this entry VM."""
 
     id: Identifier
     """Its id in the platform's VM list."""
@@ -165,14 +165,14 @@
 
 
 class StatsdSection(Section):
-    """Where metrics go."""
+    """Destination of the metrics."""
 
     address: Address
     """UDP address of the statsd daemon."""
 
 
 class LogSection(Section):
-    """What is logged."""
+    """Options of the log."""
 
     level: Level = "INFO"
     """Least severe level that is written."""
@@ -195,14 +195,14 @@
 
 
 def read_settings(path: Path) -> Result[Settings, SettingsError]:
-    """Read and check a settings file, with the token files that it names."""
+    """Read and validate a settings file and the token files that it names."""
     try:
         document = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
         reason = f"{path}: can't be read ({error.strerror}); name an existing file"
         return Failure(SettingsError([reason]))
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        reason = f"{path}: is not TOML ({error}); mend the named line"
+        reason = f"{path}: is not TOML ({error}); correct the named line"
         return Failure(SettingsError([reason]))
     _resolve_token_files(path, document)
     faults: list[str] = []
--- a/packages/daemon/src/medlarspring_daemon/settings_errors.py
+++ b/packages/daemon/src/medlarspring_daemon/settings_errors.py
@@ -1,4 +1,4 @@
-"""Tells what is wrong with settings: file, key, found, wanted and remedy."""
+"""Describes errors in settings: file, key, found and wanted value, and remedy."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectedValue:
-    """What a key takes, in words; belongs to the type of the key."""
+    """Description of the values that a key accepts; annotates the key's type."""
 
     text: str
 
 
 class SettingsError(MedlarspringError):
-    """The settings cannot be used; lists every fault at once."""
+    """The settings are invalid; ``faults`` lists every error."""
 
     code = "settings"
 
@@ -38,19 +38,19 @@
         self.faults = faults
 
     def message(self) -> str:
-        """Return one line a fault: file, key, found, wanted and remedy."""
+        """Return one line per error: file, key, found, wanted and remedy."""
         return "\n".join(self.faults)
 
 
 def describe_errors(
     path: Path, model: type[BaseModel], error: ValidationError
 ) -> list[str]:
-    """Return one line for each fault that the models found."""
+    """Return one line for each error that the models found."""
     return [_describe_error(path, model, fault) for fault in error.errors()]
 
 
 def check_token(token_file: Path) -> str | None:
-    """Return what is wrong with a token file, or None."""
+    """Return a description of the error in a token file, or None if it is valid."""
     try:
         token = token_file.read_text(encoding="utf-8").strip()
     except OSError as error:
@@ -69,7 +69,7 @@
 
 
 def find_section(annotation: Any) -> type[BaseModel] | None:
-    """Return the model of a section's field, also of one that may be left out."""
+    """Return the model of a section's field, required or optional, or None."""
     for candidate in (annotation, *get_args(annotation)):
         if isinstance(candidate, type) and issubclass(candidate, BaseModel):
             return candidate
@@ -77,7 +77,7 @@
 
 
 def describe_expected_value(field: FieldInfo) -> str:
-    """Return what a key takes, in words."""
+    """Return a description of the values that a key accepts."""
     section = find_section(field.annotation)
     if section is not None:
         return f"a section with {', '.join(section.model_fields)}"
