--- a/packages/daemon/tests/callers/test_caller_forwarding.py
+++ b/packages/daemon/tests/callers/test_caller_forwarding.py
@@ -21,13 +21,15 @@
     return handler
 
 
-async def cut_short(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
+async def truncate_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
     await read_head(reader)
     writer.write(encode_answer(b"half", length=100))
     writer.close()
 
 
-async def cut_before_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
+async def close_before_answer(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+):
     await read_head(reader)
     writer.close()
 
@@ -46,7 +48,9 @@
     writer.close()
 
 
-async def answer_another(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
+async def answer_another_request(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+):
     await read_head(reader)
     writer.write(encode_answer(b"not yours", extra="Request-Id: other\r\n"))
 
@@ -58,17 +62,17 @@
     writer.write(encode_answer(b"", extra=f"X-Big: {'x' * 70_000}\r\n"))
 
 
-BROKEN = [
-    cut_short,
-    cut_before_answer,
+BROKEN_ANSWER_SCRIPTS = [
+    truncate_answer,
+    close_before_answer,
     answer_without_length,
     answer_malformed,
-    answer_another,
+    answer_another_request,
     answer_huge_headers,
 ]
 
 
-@pytest.mark.parametrize("script", BROKEN)
+@pytest.mark.parametrize("script", BROKEN_ANSWER_SCRIPTS)
 async def test_broken_answer_of_unrepeatable_work_is_an_unknown_outcome(bench, script):
     """The upstream took a payment and its answer came broken. The caller must
     not get the broken answer as a whole one, must not be told that nothing
@@ -80,8 +84,8 @@
     assert json.loads(answer.body)["outcome"] == "unknown"
 
 
-@pytest.mark.parametrize("script", BROKEN)
-async def test_broken_answer_of_repeatable_work_is_asked_for_again(bench, script):
+@pytest.mark.parametrize("script", BROKEN_ANSWER_SCRIPTS)
+async def test_broken_answer_of_repeatable_work_is_retried(bench, script):
     """A read got a broken answer from one upstream. It is sent again to the
     other on a fresh connection, and the caller sees only the whole answer."""
     await bench.add_raw_upstream(script)
@@ -93,25 +97,27 @@
     assert good.runs
 
 
-async def test_cut_in_a_large_answer_cuts_the_caller_too(bench):
+async def test_truncated_large_answer_aborts_the_callers_connection(bench):
     """An answer too large to be held is passed on as it comes, and breaks off
     after the status went out. The caller's connection is cut, so that the half
     answer is never taken for a whole one."""
 
-    async def cut_large(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
+    async def truncate_large_answer(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ):
         await read_head(reader)
         writer.write(encode_answer(b"x" * 300_000, length=400_000))
         await writer.drain()
         writer.close()
 
-    await bench.add_raw_upstream(cut_large)
+    await bench.add_raw_upstream(truncate_large_answer)
     entry_vm = await bench.start_entry_vm()
     with pytest.raises(aiohttp.ClientError):
         async with asyncio.timeout(5):
             await entry_vm.ask()
 
 
-async def test_second_answer_on_a_connection_reaches_nobody(bench):
+async def test_second_answer_on_a_connection_is_discarded(bench):
     """An upstream answers twice. The second answer lies on the pooled
     connection when the next caller's request comes; reusing the connection
     would give that caller the first one's answer."""
@@ -137,7 +143,7 @@
     assert connections == 5
 
 
-async def test_answer_after_the_deadline_reaches_nobody(bench):
+async def test_answer_after_the_deadline_is_discarded(bench):
     """The first caller's deadline passes before the upstream answers. The
     late answer must not meet the second caller's request on that connection."""
 
@@ -157,19 +163,19 @@
     assert (await entry_vm.ask("/consent/next")).body == b"/next"
 
 
-async def test_pooled_connections_gone_silent_do_not_hurt_callers(bench):
+async def test_unresponsive_pooled_connections_do_not_fail_requests(bench):
     """All open connections go silent for good while new ones work, as after a
     firewall lost its table. Reads get their answers from a fresh connection
     within their deadline, and unrepeatable work never meets a silent one."""
-    silent = False
+    unresponsive = False
 
     async def stop_answering(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ):
-        opened_before = not silent
+        opened_before = not unresponsive
         while True:
             head = await read_head(reader)
-            if silent and opened_before:
+            if unresponsive and opened_before:
                 await asyncio.sleep(30)
             if b"POST" in head:
                 await reader.readexactly(3)
@@ -179,7 +185,7 @@
     entry_vm = await bench.start_entry_vm()
     warm = await asyncio.gather(*(entry_vm.ask() for _ in range(4)))
     assert {answer.status for answer in warm} == {200}
-    silent = True
+    unresponsive = True
     loop = asyncio.get_running_loop()
     began = loop.time()
     assert (await entry_vm.ask()).status == 200
@@ -209,7 +215,9 @@
     assert len(heads) == 1
 
 
-async def test_unrepeatable_work_goes_elsewhere_when_the_port_refuses(bench):
+async def test_unrepeatable_work_is_sent_to_another_upstream_when_the_port_refuses(
+    bench,
+):
     """The first upstream's process is gone and its port refuses. No byte was
     sent, so even a payment may go to the next upstream."""
     bench.list_vm("127.0.0.1:1")
@@ -221,7 +229,9 @@
 
 
 @pytest.mark.parametrize("state", ["full", "leaving"])
-async def test_refusal_before_running_sends_even_payments_elsewhere(bench, state):
+async def test_refusal_before_running_retries_even_payments_on_another_upstream(
+    bench, state
+):
     refusing = await bench.add_upstream(refuse_with(state))
     good = await bench.add_upstream()
     entry_vm = await bench.start_entry_vm()
@@ -232,7 +242,7 @@
         assert len(refusing.runs) == 1
 
 
-async def test_refusal_by_every_upstream_is_told_as_not_run(bench):
+async def test_refusal_by_every_upstream_is_reported_as_not_run(bench):
     for _ in range(2):
         await bench.add_upstream(refuse_with("full"))
     entry_vm = await bench.start_entry_vm()
@@ -242,7 +252,7 @@
     assert int(answer.headers["Retry-After"]) >= 1
 
 
-async def test_slot_of_given_up_work_stays_counted(bench):
+async def test_slot_of_abandoned_work_stays_in_use(bench):
     """Callers give up on work that the upstream goes on with. Its slots are
     still in use there; sending new work at once would run more than 8."""
 
@@ -263,7 +273,7 @@
     assert upstream.most_running <= 8
 
 
-async def test_caller_that_leaves_frees_its_place(bench):
+async def test_requests_of_disconnected_callers_leave_the_queue(bench):
     """Callers leave while their requests wait or run. The requests that wait
     are never sent, and the queue goes on for those who stayed."""
     release = asyncio.Event()
--- a/packages/daemon/tests/callers/test_caller_idempotency.py
+++ b/packages/daemon/tests/callers/test_caller_idempotency.py
@@ -65,7 +65,7 @@
     assert json.loads(answer.body)["reason"] == "key-conflict"
 
 
-async def test_keys_of_two_partners_have_nothing_to_do_with_each_other(bench):
+async def test_same_key_of_two_partners_is_independent(bench):
     upstream = await bench.add_upstream(count_runs)
     entry_vm = await bench.start_entry_vm()
     await entry_vm.ask(**PAY, partner="njia")
@@ -74,7 +74,7 @@
     assert len(upstream.runs) == 2
 
 
-async def test_lost_reply_of_the_claim_neither_loses_nor_doubles_the_run(bench):
+async def test_lost_reply_to_a_claim_causes_exactly_one_run(bench):
     """The store takes the claim and its reply is lost. The entry VM finds its
     own claim when it writes again, and runs the payment once."""
     upstream = await bench.add_upstream(count_runs)
@@ -105,7 +105,7 @@
     assert len(upstream.runs) == 2
 
 
-async def test_repeat_is_not_called_not_run_while_the_store_is_away(bench):
+async def test_repeat_is_not_reported_as_not_run_while_the_store_is_unreachable(bench):
     """Guards against "not run" for a key that ran through another entry VM."""
     upstream = await bench.add_upstream(count_runs)
     first = await bench.start_entry_vm("e1")
@@ -137,7 +137,7 @@
     [({"Idempotency_Key": "batch-7"}, "unknown"), ({}, "not-run")],
     ids=["a key", "no key"],
 )
-async def test_refusal_before_the_key_was_looked_up_promises_nothing(
+async def test_refusal_before_the_key_lookup_has_unknown_outcome(
     bench, change, reason, keys, outcome
 ):
     """Guards against "not run" for a key that ran before its request was refused."""
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("key", ["", "k" * 300], ids=["empty", "too long"])
-async def test_key_that_no_entry_vm_takes_has_not_run(bench, key):
+async def test_invalid_key_is_reported_as_not_run(bench, key):
     await bench.add_upstream(count_runs)
     entry_vm = await bench.start_entry_vm()
     refused = await entry_vm.ask(**{**PAY, "Idempotency_Key": key})
@@ -158,7 +158,7 @@
     assert (answer["reason"], answer["outcome"]) == ("bad-request", "not-run")
 
 
-async def test_conflict_with_a_key_that_is_being_claimed_promises_nothing(bench):
+async def test_conflict_with_a_key_that_is_being_claimed_has_unknown_outcome(bench):
     """Guards against "not run" for the request that the key stands for in the store,
     while another one with that key is on its way to the store."""
     release = asyncio.Event()
@@ -199,7 +199,7 @@
     assert len(upstream.runs) == 1
 
 
-async def test_claim_that_was_refused_is_given_back(bench):
+async def test_claim_of_a_refused_request_is_abandoned(bench):
     """All upstreams refuse after the claim was taken. The caller is told "not
     run", and its repeat through another entry VM runs instead of meeting the
     claim of the first."""
@@ -238,7 +238,7 @@
     assert len(heads) == 1
 
 
-async def test_caller_that_leaves_gets_the_outcome_by_its_repeat(bench):
+async def test_repeat_after_a_disconnect_gets_the_outcome(bench):
     """The caller's connection breaks while its payment runs. The run goes on
     to its end, and the repeat gets its answer."""
     release = asyncio.Event()
@@ -263,7 +263,7 @@
     assert len(upstream.runs) == 1
 
 
-async def test_answer_too_large_to_keep_is_not_replayed_in_part(bench):
+async def test_answer_too_large_to_record_is_not_replayed(bench):
     async def work(request: web.BaseRequest) -> web.Response:
         return web.Response(body=b"x" * 20_000)
 
--- a/packages/daemon/tests/callers/test_caller_limits.py
+++ b/packages/daemon/tests/callers/test_caller_limits.py
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize(
     "begin", [HEAD, HEAD + b"Content-Length: 10\r\n\r\nhalf", b"GET "]
 )
-async def test_caller_that_sends_too_slowly_is_told_so(bench, begin):
+async def test_caller_that_sends_too_slowly_is_refused(bench, begin):
     """A caller begins a request and stalls. It is answered and cut off; its
     connection would be held for ever otherwise, and no slot is taken."""
     upstream = await bench.add_upstream()
@@ -71,7 +71,7 @@
     writer.close()
 
 
-async def test_connections_above_the_cap_are_turned_away_at_once(bench):
+async def test_connections_above_the_limit_are_refused_immediately(bench):
     await bench.add_upstream()
     entry_vm = await bench.start_entry_vm(max_connections=2)
     held = [await connect(entry_vm) for _ in range(2)]
@@ -83,7 +83,7 @@
         each.close()
 
 
-async def test_shutdown_cuts_nothing_and_serves_until_the_balancer_knows(bench):
+async def test_shutdown_completes_requests_and_serves_until_the_balancer_reacts(bench):
     """SIGTERM comes while a request runs and another is on its way. Readiness
     fails at once; both requests get their whole answers, and the connection is
     closed with the answer rather than under the next request."""
--- a/packages/daemon/tests/callers/test_caller_overload.py
+++ b/packages/daemon/tests/callers/test_caller_overload.py
@@ -7,29 +7,29 @@
 
 RATE = 105.0
 """Requests per second; two upstreams with 8 slots each serve about 140."""
-WARM_SECONDS = 1.5
+WARM_UP_SECONDS = 1.5
 SETTLE_SECONDS = 2.5
-COUNTED_SECONDS = 2.0
+MEASURED_SECONDS = 2.0
 
 
-async def test_lost_connections_at_high_load_do_not_end_in_collapse(bench):
+async def test_lost_connections_at_high_load_do_not_cause_congestion_collapse(bench):
     """All open connections go silent at three quarters of the capacity. The
     requests on them are given up and their slots kept for a while, so that
     others wait longer. If those are then cut short for want of time, their
     slots are lost too, and a service whose upstreams are well answers nobody."""
     rng = random.Random(1)
     loop = asyncio.get_running_loop()
-    silent_from = float("inf")
+    unresponsive_from = float("inf")
 
-    def is_silent(opened_at: float) -> bool:
-        return opened_at < silent_from <= loop.time()
+    def is_unresponsive(opened_at: float) -> bool:
+        return opened_at < unresponsive_from <= loop.time()
 
     async def work(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
         opened_at = loop.time()
         while await reader.readline():
             await reader.readuntil(b"\r\n\r\n")
             await asyncio.sleep(0.1 * rng.lognormvariate(0.0, 0.5))
-            if is_silent(opened_at):
+            if is_unresponsive(opened_at):
                 await asyncio.sleep(60)
             writer.write(encode_answer(b"ok"))
 
@@ -51,7 +51,7 @@
     for _ in range(2):
         await bench.add_raw_upstream(work)
     entry_vm = await bench.start_entry_vm()
-    await send_for(WARM_SECONDS)
-    silent_from = loop.time()
+    await send_for(WARM_UP_SECONDS)
+    unresponsive_from = loop.time()
     await send_for(SETTLE_SECONDS)
-    assert await send_for(COUNTED_SECONDS) >= 0.9
+    assert await send_for(MEASURED_SECONDS) >= 0.9
--- a/packages/daemon/tests/callers/test_caller_reports.py
+++ b/packages/daemon/tests/callers/test_caller_reports.py
@@ -72,7 +72,7 @@
     return ManualClock()
 
 
-def test_all_entry_vms_use_a_vm_again_that_was_back_before_their_list_showed_it(clock):
+def test_vm_that_returned_between_list_readings_is_used_by_all_entry_vms(clock):
     """Callers were refused for want of slots while every VM of the service was up.
     A wave drained and rebooted each VM between two readings of the list. All entry
     VMs had heard that the VMs leave, and none heard that they were back: each shut
--- a/packages/daemon/tests/callers/test_caller_service.py
+++ b/packages/daemon/tests/callers/test_caller_service.py
@@ -99,7 +99,7 @@
         ("GET", answer_large, 200, ("Content-Length", "3000000"), b"y" * 3_000_000),
     ],
 )
-async def test_each_form_of_answer_comes_through_unchanged(
+async def test_each_form_of_answer_is_passed_on_unchanged(
     bench, method, handler, status, header, body
 ):
     await bench.add_upstream(handler)
--- a/packages/daemon/tests/callers/test_callers_page.py
+++ b/packages/daemon/tests/callers/test_callers_page.py
@@ -62,7 +62,7 @@
     return web.Response(body=await request.read())
 
 
-async def test_each_example_gets_the_answer_that_the_page_promises(bench):
+async def test_each_example_gets_the_documented_answer(bench):
     await bench.add_upstream(answer_slowly)
     entry_vm = await bench.start_entry_vm()
     caller = entry_vm.node.addresses["caller"]
--- a/packages/daemon/tests/callers/test_claim_histories.py
+++ b/packages/daemon/tests/callers/test_claim_histories.py
@@ -65,23 +65,23 @@
         self.shared = create_memory_store(SystemClock())
         self.processes = [0] * ENTRY_VMS
         self.stores: list[MemoryStore] = []
-        self.books = [self.start_book(vm) for vm in range(ENTRY_VMS)]
+        self.managers = [self.start_manager(vm) for vm in range(ENTRY_VMS)]
         self.runs: Counter[str] = Counter()
         self.answers: dict[str, bytes] = {}
         self.bodies: dict[str, bytes] = {}
-        self.pauses = caller_claims.CLAIM_RETRY_DELAYS
-        self.waits = caller_claims.RECORD_TIMEOUT_SECONDS
+        self.saved_retry_delays = caller_claims.CLAIM_RETRY_DELAYS
+        self.saved_record_timeout = caller_claims.RECORD_TIMEOUT_SECONDS
         caller_claims.CLAIM_RETRY_DELAYS = (0.0, 0.0, 0.0)
         caller_claims.RECORD_TIMEOUT_SECONDS = 0.02
 
     def teardown(self) -> None:
-        caller_claims.CLAIM_RETRY_DELAYS = self.pauses
-        caller_claims.RECORD_TIMEOUT_SECONDS = self.waits
-        for book in self.books:
-            self.runner.run(book.stop(0.001))
+        caller_claims.CLAIM_RETRY_DELAYS = self.saved_retry_delays
+        caller_claims.RECORD_TIMEOUT_SECONDS = self.saved_record_timeout
+        for manager in self.managers:
+            self.runner.run(manager.stop(0.001))
         self.runner.close()
 
-    def start_book(self, vm: int) -> ClaimManager:
+    def start_manager(self, vm: int) -> ClaimManager:
         store = MemoryStore(self.shared.state)
         if len(self.stores) > vm:
             self.stores[vm] = store
@@ -123,18 +123,20 @@
     def ask_all(self, vms: list[int], key: str, body: bytes):
         async def claim_all():
             request = self.create_request(key, body)
-            return await asyncio.gather(*(self.books[vm].claim(request) for vm in vms))
+            return await asyncio.gather(
+                *(self.managers[vm].claim(request) for vm in vms)
+            )
 
         granted = []
         for vm, claimed in zip(vms, self.runner.run(claim_all()), strict=True):
             if not is_successful(claimed):
                 continue
-            held = claimed.unwrap()
-            if isinstance(held, ClaimedRun):
-                granted.append(Sent(vm, self.processes[vm], held, key, body))
+            claimed_result = claimed.unwrap()
+            if isinstance(claimed_result, ClaimedRun):
+                granted.append(Sent(vm, self.processes[vm], claimed_result, key, body))
                 continue
-            assert isinstance(held, ClaimedAnswer)
-            assert held.body == self.answers[key]
+            assert isinstance(claimed_result, ClaimedAnswer)
+            assert claimed_result.body == self.answers[key]
             assert self.bodies[key] == body
         return multiple(*granted)
 
@@ -152,19 +154,19 @@
             return
         self.run_at_upstream(sent)
         kept = claims.keep_answer(200, (), self.answers[sent.key])
-        self.runner.run(self.books[sent.vm].complete(sent.claimed_run, kept))
+        self.runner.run(self.managers[sent.vm].complete(sent.claimed_run, kept))
 
     @rule(sent=consumes(sent))
     def run_and_lose_the_answer(self, sent: Sent) -> None:
         if not self.is_alive(sent):
             return
         self.run_at_upstream(sent)
-        self.runner.run(self.books[sent.vm].complete(sent.claimed_run, None))
+        self.runner.run(self.managers[sent.vm].complete(sent.claimed_run, None))
 
     @rule(sent=consumes(sent))
     def refuse_as_not_run(self, sent: Sent) -> None:
         if self.is_alive(sent):
-            self.runner.run(self.books[sent.vm].abandon(sent.claimed_run))
+            self.runner.run(self.managers[sent.vm].abandon(sent.claimed_run))
 
     @rule(sent=consumes(sent), runs=st.booleans())
     def kill_with_the_request_under_way(self, sent: Sent, runs: bool) -> None:
@@ -176,9 +178,9 @@
 
     @rule(vm=VMS)
     def kill(self, vm: int) -> None:
-        self.runner.run(self.books[vm].stop(0.0))
+        self.runner.run(self.managers[vm].stop(0.0))
         self.processes[vm] += 1
-        self.books[vm] = self.start_book(vm)
+        self.managers[vm] = self.start_manager(vm)
 
     @rule(vm=VMS, count=st.integers(1, 4), replies=st.booleans())
     def lose_calls(self, vm: int, count: int, replies: bool) -> None:
@@ -207,7 +209,7 @@
 )
 
 
-def test_refusals_of_claims_never_promise_too_much():
+def test_refusals_of_claims_never_report_not_run():
     """Only a conflict and an unreachable store are refused as not run; a claim
     that may have run is never called that."""
     for state in ClaimState:
--- a/packages/daemon/tests/callers/test_slot_exchange.py
+++ b/packages/daemon/tests/callers/test_slot_exchange.py
@@ -87,7 +87,7 @@
             self.vm_list.entry_vms_by_id[entry_vm_id] = ListedEntryVM(
                 entry_vm_id, "10.0.1.1:1", zone_id, RegionId("c")
             )
-        self.cuts: set[tuple[EntryVMId, EntryVMId]] = set()
+        self.partitions: set[tuple[EntryVMId, EntryVMId]] = set()
         self.undelivered: list[tuple[float, int, object]] = []
         self.runs: list[Run] = []
         self.most_running = 0
@@ -137,18 +137,18 @@
         """A killed process's connections are closed, which ends its work."""
         return run[3] == self.generation[run[2]]
 
-    def is_cut(self, sender: EntryVMId, receiver: EntryVMId) -> bool:
-        return (sender, receiver) in self.cuts
+    def is_partitioned(self, sender: EntryVMId, receiver: EntryVMId) -> bool:
+        return (sender, receiver) in self.partitions
 
     def update_heard_peers(self, now: float) -> None:
         for entry_vm in self.entry_vms.values():
             for other in self.entry_vms.values():
-                if other is entry_vm or self.is_cut(other.id, entry_vm.id):
+                if other is entry_vm or self.is_partitioned(other.id, entry_vm.id):
                     continue
                 if other.alive and now >= other.frozen_until:
                     entry_vm.heard_at[other.id] = now
                     entry_vm.refused_at.pop(other.id, None)
-                elif not other.alive and not self.is_cut(entry_vm.id, other.id):
+                elif not other.alive and not self.is_partitioned(entry_vm.id, other.id):
                     entry_vm.refused_at[other.id] = now
             peers = entry_vm.state.node.peers
             if now < entry_vm.frozen_until:
@@ -206,7 +206,7 @@
             self.receive(sender, target, content)
 
     def receive(self, sender: EntryVMId, target: SimulatedEntryVM, content) -> None:
-        if self.is_cut(sender, target.id) or not target.alive:
+        if self.is_partitioned(sender, target.id) or not target.alive:
             return
         call, message = content
         if isinstance(message, peer_pb2.SlotRequest):
@@ -230,14 +230,14 @@
             case 2 if not self.entry_vms[one].alive:
                 self.entry_vms[one] = self.start(one)
             case 3:
-                self.cuts.add((one, other))
+                self.partitions.add((one, other))
             case 4:
-                self.cuts |= {(one, other), (other, one)}
+                self.partitions |= {(one, other), (other, one)}
             case 5:
-                self.cuts.clear()
+                self.partitions.clear()
 
     def heal(self) -> None:
-        self.cuts.clear()
+        self.partitions.clear()
         self.delays = [0.002]
         for each in self.ids:
             self.entry_vms[each].frozen_until = 0.0
@@ -280,7 +280,7 @@
     assert fleet.most_running <= SLOTS
 
 
-def test_sign_of_leaving_stops_work_everywhere_within_a_second():
+def test_leaving_upstream_gets_no_work_from_any_entry_vm_after_a_second():
     """One entry VM alone sees that an upstream VM leaves, while the list goes
     on to show it as live. The VM's home is told with the next wish for slots
     and grants no more; soon nobody can send it anything."""
@@ -299,7 +299,7 @@
         assert entry_vm.state.upstreams.upstreams_by_id[leaving].credit == 0
 
 
-def test_last_entry_vm_of_a_zone_has_slots_for_what_is_in_flight_while_it_stops():
+def test_stopping_last_entry_vm_of_a_zone_keeps_slots_for_requests_in_flight():
     """A request was in flight when the only entry VM of its zone was told to end,
     and its first try was given up. An entry VM that stops counts itself as gone, so
     nobody was home of the zone's upstream VMs and no slot came for the second try:
@@ -323,7 +323,7 @@
     for _ in range(70):
         fleet.step()
     for other in fleet.ids[1:]:
-        fleet.cuts |= {(home.id, other), (other, home.id)}
+        fleet.partitions |= {(home.id, other), (other, home.id)}
     usable = []
     for _ in range(40):
         fleet.step()
--- a/packages/daemon/tests/test_settings.py
+++ b/packages/daemon/tests/test_settings.py
@@ -73,7 +73,7 @@
         ('[store]\nendpoints = ["127.0.0.1:2379"]\n', "", "wanted a section with endp"),
     ],
 )
-def test_fault_names_key_found_wanted_and_remedy(write, old, new, line):
+def test_error_names_key_found_wanted_and_remedy(write, old, new, line):
     assert old in COMPLETE
     path = write(COMPLETE.replace(old, new))
     (fault,) = read_settings(path).failure().faults
@@ -82,7 +82,7 @@
     assert "; " in fault
 
 
-def test_all_faults_come_at_once_before_any_port_opens(write, capsys):
+def test_all_errors_are_reported_together_before_any_port_opens(write, capsys):
     """
     An operator prepares an entry VM with three mistakes. One start shows all of
     them, a line each, with exit status 2; nothing has listened meanwhile.
@@ -95,7 +95,7 @@
     assert all(line.startswith(f"{path}: ") for line in lines)
 
 
-def test_empty_token_file_does_not_open_the_port_to_everybody(write, tmp_path, capsys):
+def test_empty_token_file_is_refused(write, tmp_path, capsys):
     (tmp_path / "operator.token").write_text("\n")
     assert main([str(write(COMPLETE)), "--check"]) == EXIT_SETTINGS
     assert "operator.token_file: found" in capsys.readouterr().err
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize(
     ("text", "part"), [("[entry_vm", "is not TOML"), (None, "can't be read")]
 )
-def test_file_that_is_no_settings_file_is_named(write, tmp_path, capsys, text, part):
+def test_invalid_settings_file_is_named(write, tmp_path, capsys, text, part):
     path = tmp_path / "gone.toml" if text is None else write(text)
     assert main([str(path), "--check"]) == EXIT_SETTINGS
     assert part in capsys.readouterr().err
