--- a/packages/daemon/tests/callers/conftest.py
+++ b/packages/daemon/tests/callers/conftest.py
@@ -1,4 +1,4 @@
-"""A caller port in this process, in front of small scripted upstream VMs."""
+"""Fixtures: an in-process caller port in front of scripted upstream VMs."""
 
 from __future__ import annotations
 
@@ -62,12 +62,12 @@
 
 @dataclass
 class ScriptedUpstream:
-    """An upstream VM whose behaviour a test sets."""
+    """An upstream VM whose handler a test sets."""
 
     handler: Handler | None = None
     address: str = ""
     runs: list[str] = field(default_factory=list)
-    """Request ids in the order in which work began."""
+    """Request ids in the order in which their runs began."""
     running: int = 0
     most_running: int = 0
 
@@ -89,7 +89,7 @@
 
 @dataclass
 class EntryVM:
-    """One daemon's caller port with what a test needs to drive it."""
+    """One daemon's caller port, with an HTTP session that sends requests to it."""
 
     node: Node
     component: Component
@@ -119,7 +119,7 @@
 
 @dataclass
 class Answer:
-    """What a caller got, whole."""
+    """The complete response that a caller received."""
 
     status: int
     headers: CIMultiDict[str]
@@ -151,7 +151,7 @@
         return upstream
 
     async def add_raw_upstream(self, script: Script, zone: str = "a") -> VMId:
-        """Add an upstream VM that speaks bytes: one call per connection."""
+        """Add an upstream VM whose ``script`` handles each connection's raw bytes."""
         server = await asyncio.start_server(script, "127.0.0.1", 0)
         self._stack.callback(server.close)
         address = "{}:{}".format(*server.sockets[0].getsockname())
@@ -220,7 +220,7 @@
 
 
 def encode_answer(body: bytes, *, length: int | None = None, extra: str = "") -> bytes:
-    """Return an answer's bytes; ``length`` lies about the body."""
+    """Return the bytes of an answer; ``length`` overrides its Content-Length."""
     stated = len(body) if length is None else length
     return (
         b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%b\r\n" % (stated, extra.encode())
--- a/packages/daemon/tests/callers/test_caller_forwarding.py
+++ b/packages/daemon/tests/callers/test_caller_forwarding.py
@@ -74,9 +74,9 @@
 
 @pytest.mark.parametrize("script", BROKEN_ANSWER_SCRIPTS)
 async def test_broken_answer_of_unrepeatable_work_is_an_unknown_outcome(bench, script):
-    """The upstream took a payment and its answer came broken. The caller must
-    not get the broken answer as a whole one, must not be told that nothing
-    ran, and the other upstream must not run the payment a second time."""
+    """An upstream received a payment and its answer is broken. The caller must
+    not get the broken answer as a complete one, the outcome must not be "not run",
+    and the other upstream must not run the payment a second time."""
     await bench.add_raw_upstream(script)
     entry_vm = await bench.start_entry_vm()
     answer = await entry_vm.ask(method="POST", data=b"pay")
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize("script", BROKEN_ANSWER_SCRIPTS)
 async def test_broken_answer_of_repeatable_work_is_retried(bench, script):
     """A read got a broken answer from one upstream. It is sent again to the
-    other on a fresh connection, and the caller sees only the whole answer."""
+    other on a new connection, and the caller gets only the complete answer."""
     await bench.add_raw_upstream(script)
     good = await bench.add_upstream()
     entry_vm = await bench.start_entry_vm()
@@ -98,9 +98,9 @@
 
 
 async def test_truncated_large_answer_aborts_the_callers_connection(bench):
-    """An answer too large to be held is passed on as it comes, and breaks off
-    after the status went out. The caller's connection is cut, so that the half
-    answer is never taken for a whole one."""
+    """An answer too large for buffering is streamed, and breaks off after its status
+    was sent. The caller's connection is aborted, so that the truncated answer is
+    never taken for a complete one."""
 
     async def truncate_large_answer(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -118,9 +118,9 @@
 
 
 async def test_second_answer_on_a_connection_is_discarded(bench):
-    """An upstream answers twice. The second answer lies on the pooled
-    connection when the next caller's request comes; reusing the connection
-    would give that caller the first one's answer."""
+    """An upstream answers twice. The second answer is in the buffer of the pooled
+    connection when the next caller's request arrives; reusing the connection
+    would give that caller the answer to the first request."""
     connections = 0
 
     async def answer_twice(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
@@ -144,8 +144,8 @@
 
 
 async def test_answer_after_the_deadline_is_discarded(bench):
-    """The first caller's deadline passes before the upstream answers. The
-    late answer must not meet the second caller's request on that connection."""
+    """The first caller's deadline passes before the upstream answers. The late
+    answer must not become the answer to the second caller's request."""
 
     async def answer_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
         while True:
@@ -164,9 +164,9 @@
 
 
 async def test_unresponsive_pooled_connections_do_not_fail_requests(bench):
-    """All open connections go silent for good while new ones work, as after a
-    firewall lost its table. Reads get their answers from a fresh connection
-    within their deadline, and unrepeatable work never meets a silent one."""
+    """All open connections stop responding while new ones work, as after a firewall
+    lost its connection table. Reads are answered over a new connection within
+    their deadline, and unrepeatable work never uses an old connection."""
     unresponsive = False
 
     async def stop_answering(
@@ -198,9 +198,9 @@
 
 @pytest.mark.parametrize("method", ["PUT", "DELETE", "POST"])
 async def test_broken_connection_does_not_repeat_unrepeatable_work(bench, method):
-    """The upstream runs the request and its connection breaks before the
-    answer. The HTTP client library repeats PUT and DELETE by itself then; the
-    upstream would see two runs for one request."""
+    """The upstream runs the request and its connection breaks before the answer.
+    By default the HTTP client library repeats PUT and DELETE in this case, and the
+    upstream would run one request twice."""
     heads: list[bytes] = []
 
     async def run_and_break(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
@@ -218,8 +218,8 @@
 async def test_unrepeatable_work_is_sent_to_another_upstream_when_the_port_refuses(
     bench,
 ):
-    """The first upstream's process is gone and its port refuses. No byte was
-    sent, so even a payment may go to the next upstream."""
+    """The first upstream's process has ended and its port refuses connections. No
+    byte was sent, so even a payment may be sent to the next upstream."""
     bench.list_vm("127.0.0.1:1")
     good = await bench.add_upstream()
     entry_vm = await bench.start_entry_vm()
@@ -253,8 +253,8 @@
 
 
 async def test_slot_of_abandoned_work_stays_in_use(bench):
-    """Callers give up on work that the upstream goes on with. Its slots are
-    still in use there; sending new work at once would run more than 8."""
+    """Callers give up on requests that the upstream continues to run. Their slots
+    are still in use; sending new work immediately would run more than 8 requests."""
 
     async def work(request: web.BaseRequest) -> web.Response:
         await asyncio.sleep(0.6)
@@ -274,8 +274,8 @@
 
 
 async def test_requests_of_disconnected_callers_leave_the_queue(bench):
-    """Callers leave while their requests wait or run. The requests that wait
-    are never sent, and the queue goes on for those who stayed."""
+    """Callers disconnect while their requests wait. These requests are never sent,
+    and the requests of the other callers are still served."""
     release = asyncio.Event()
 
     async def work(request: web.BaseRequest) -> web.Response:
--- a/packages/daemon/tests/callers/test_caller_idempotency.py
+++ b/packages/daemon/tests/callers/test_caller_idempotency.py
@@ -18,8 +18,8 @@
 
 
 async def test_repeat_through_another_entry_vm_gets_the_first_answer(bench):
-    """The answer of a payment was lost on its way. The caller sends it again
-    through another entry VM and gets the recorded answer; nothing runs twice."""
+    """A caller repeats a payment through another entry VM, as after a lost answer.
+    It gets the recorded answer, and the payment does not run twice."""
     upstream = await bench.add_upstream(count_runs)
     first = await bench.start_entry_vm("e1")
     second = await bench.start_entry_vm("e2")
@@ -33,8 +33,8 @@
 
 
 async def test_concurrent_repeats_run_once(bench):
-    """A caller in a hurry sends one payment ten times at once over two entry
-    VMs. One runs; the others are told that it is in progress."""
+    """A caller sends one payment ten times concurrently through two entry VMs. One
+    request runs; the others are refused because it is in progress."""
     release = asyncio.Event()
 
     async def work(request: web.BaseRequest) -> web.Response:
@@ -75,8 +75,8 @@
 
 
 async def test_lost_reply_to_a_claim_causes_exactly_one_run(bench):
-    """The store takes the claim and its reply is lost. The entry VM finds its
-    own claim when it writes again, and runs the payment once."""
+    """The store writes the claim but its reply is lost. The entry VM finds its own
+    claim when it repeats the write, and runs the payment once."""
     upstream = await bench.add_upstream(count_runs)
     entry_vm = await bench.start_entry_vm()
     await entry_vm.ask(**{**PAY, "Idempotency_Key": "takes the lease"})
@@ -87,9 +87,10 @@
 
 
 async def test_store_down_before_the_send_runs_nothing(bench):
-    """With the store out of reach no claim can be taken. The caller is told so at
-    once, and not that it did not run: the entry VM can't know whether the key is
-    new. Nothing runs, and the repeat after the outage runs once."""
+    """No key can be claimed while the store is unreachable. The caller is refused
+    immediately, with outcome "unknown" rather than "not run", because the entry VM
+    can't know whether the key is new. Nothing runs, and the repeat after the outage
+    runs once."""
     upstream = await bench.add_upstream(count_runs)
     entry_vm = await bench.start_entry_vm()
     await entry_vm.ask(**{**PAY, "Idempotency_Key": "takes the lease"})
@@ -140,7 +141,7 @@
 async def test_refusal_before_the_key_lookup_has_unknown_outcome(
     bench, change, reason, keys, outcome
 ):
-    """Guards against "not run" for a key that ran before its request was refused."""
+    """Guards against "not run" for a key whose earlier request has already run."""
     await bench.add_upstream(count_runs)
     entry_vm = await bench.start_entry_vm()
     await entry_vm.ask(**PAY)
@@ -159,8 +160,8 @@
 
 
 async def test_conflict_with_a_key_that_is_being_claimed_has_unknown_outcome(bench):
-    """Guards against "not run" for the request that the key stands for in the store,
-    while another one with that key is on its way to the store."""
+    """Guards against "not run" for a request that conflicts with one in progress. The
+    key's claim in the store may belong to either request."""
     release = asyncio.Event()
 
     async def work(request: web.BaseRequest) -> web.Response:
@@ -179,8 +180,8 @@
 
 
 async def test_outcome_is_recorded_after_an_outage_of_the_store(bench):
-    """The store goes down while the payment runs. The caller has its answer,
-    and the record is written when the store is back."""
+    """The store goes down while the payment runs. The caller gets its answer, and
+    the record is written when the store is available again."""
 
     async def work(request: web.BaseRequest) -> web.Response:
         bench.store.go_down()
@@ -200,9 +201,8 @@
 
 
 async def test_claim_of_a_refused_request_is_abandoned(bench):
-    """All upstreams refuse after the claim was taken. The caller is told "not
-    run", and its repeat through another entry VM runs instead of meeting the
-    claim of the first."""
+    """All upstreams refuse after the key was claimed. The outcome is "not run", and a
+    repeat through another entry VM runs, because the first claim was abandoned."""
     refusing = True
 
     async def work(request: web.BaseRequest) -> web.Response:
@@ -220,8 +220,8 @@
 
 
 async def test_run_without_known_outcome_is_never_repeated(bench):
-    """The upstream takes the payment and its connection breaks. Nobody can
-    tell whether it ran, so the repeat is refused and says so."""
+    """The upstream receives the payment and its connection breaks. It is unknown
+    whether the payment ran, so the repeat is refused with ``outcome-lost``."""
     heads = []
 
     async def break_off(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
@@ -239,8 +239,8 @@
 
 
 async def test_repeat_after_a_disconnect_gets_the_outcome(bench):
-    """The caller's connection breaks while its payment runs. The run goes on
-    to its end, and the repeat gets its answer."""
+    """The caller's connection breaks while its payment runs. The run continues to
+    its end, and the repeat gets its answer."""
     release = asyncio.Event()
 
     async def work(request: web.BaseRequest) -> web.Response:
@@ -277,8 +277,8 @@
 
 
 async def test_slow_store_does_not_lose_the_record(bench):
-    """The store takes seconds per call. The answer does not wait for its
-    record, and the record is written in the end."""
+    """Each store call takes 0.6 seconds. The answer does not wait for its record,
+    and the record is written later."""
     upstream = await bench.add_upstream(count_runs)
     slow = MemoryStore(bench.store.state)
     first = await bench.start_entry_vm("e1", store=slow)
@@ -297,8 +297,8 @@
 
 
 async def test_payments_share_store_calls(bench):
-    """A batch of 200 payments costs far fewer counted calls than the two
-    writes that each of them needs."""
+    """A batch of 200 payments needs far fewer store calls than the two writes per
+    payment, because writes are committed in groups."""
 
     async def work(request: web.BaseRequest) -> web.Response:
         return web.Response(text="paid")
--- a/packages/daemon/tests/callers/test_caller_limits.py
+++ b/packages/daemon/tests/callers/test_caller_limits.py
@@ -58,8 +58,8 @@
     "begin", [HEAD, HEAD + b"Content-Length: 10\r\n\r\nhalf", b"GET "]
 )
 async def test_caller_that_sends_too_slowly_is_refused(bench, begin):
-    """A caller begins a request and stalls. It is answered and cut off; its
-    connection would be held for ever otherwise, and no slot is taken."""
+    """A caller begins a request and stalls. It is refused with status 408 and uses no
+    slot; without the limit its connection would stay open indefinitely."""
     upstream = await bench.add_upstream()
     entry_vm = await bench.start_entry_vm(body_seconds=0.3)
     reader, writer = await connect(entry_vm)
@@ -84,9 +84,9 @@
 
 
 async def test_shutdown_completes_requests_and_serves_until_the_balancer_reacts(bench):
-    """SIGTERM comes while a request runs and another is on its way. Readiness
-    fails at once; both requests get their whole answers, and the connection is
-    closed with the answer rather than under the next request."""
+    """SIGTERM arrives while one request runs, and another is sent afterwards. The
+    readiness check fails immediately, both requests get complete answers, and the
+    last answer announces that the connection closes."""
     release = asyncio.Event()
 
     async def work(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
@@ -111,8 +111,8 @@
 
 
 async def test_keyed_run_is_recorded_before_the_process_ends(bench):
-    """The caller of a payment leaves and SIGTERM comes while it runs. The
-    process ends only after the run and its record."""
+    """A caller disconnects while its payment runs, and SIGTERM arrives. The process
+    ends only after the run has ended and its outcome is recorded."""
     release = asyncio.Event()
 
     async def work(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
--- a/packages/daemon/tests/callers/test_caller_overload.py
+++ b/packages/daemon/tests/callers/test_caller_overload.py
@@ -13,10 +13,11 @@
 
 
 async def test_lost_connections_at_high_load_do_not_cause_congestion_collapse(bench):
-    """All open connections go silent at three quarters of the capacity. The
-    requests on them are given up and their slots kept for a while, so that
-    others wait longer. If those are then cut short for want of time, their
-    slots are lost too, and a service whose upstreams are well answers nobody."""
+    """All open connections stop responding at three quarters of the capacity. The
+    requests on them time out and their slots stay in use for a while, so that other
+    requests wait longer. If these were then stopped early because little time is
+    left, their slots would be lost too, and a service with healthy upstreams would
+    answer no request."""
     rng = random.Random(1)
     loop = asyncio.get_running_loop()
     unresponsive_from = float("inf")
--- a/packages/daemon/tests/callers/test_caller_reports.py
+++ b/packages/daemon/tests/callers/test_caller_reports.py
@@ -55,13 +55,13 @@
         self.state.refresh()
 
     def send_report(self, other: EntryVM) -> None:
-        """Send a report."""
+        """Send a report to another entry VM."""
         report = peer_pb2.Report(sender=self.id)
         self.reports.fill_report(report)
         other.reports.apply_report(report)
 
     def is_assigned_work(self) -> bool:
-        """Whether requests may go to the VM."""
+        """Return whether requests may be sent to the VM."""
         return takes_new_work(
             self.state.upstreams.upstreams_by_id[VM], self.clock.now()
         )
@@ -73,10 +73,10 @@
 
 
 def test_vm_that_returned_between_list_readings_is_used_by_all_entry_vms(clock):
-    """Callers were refused for want of slots while every VM of the service was up.
-    A wave drained and rebooted each VM between two readings of the list. All entry
-    VMs had heard that the VMs leave, and none heard that they were back: each shut
-    the VMs of its own zone for 40 s, and no home granted slots of its zone."""
+    """Guards against refusals for lack of slots while every VM of a service is up. A
+    wave drains and reboots each VM between two readings of the VM list. If entry VMs
+    learn that the VMs leave but not that they returned, each one excludes the VMs of
+    its own zone for 40 s, and no home grants slots of its zone."""
     holder, near, far = (EntryVM(EntryVMId(f"e{each}"), clock) for each in range(3))
     holder.reports.note_leaving(VM, 0.0, "order to drain")
     holder.send_report(near)
--- a/packages/daemon/tests/callers/test_callers_page.py
+++ b/packages/daemon/tests/callers/test_callers_page.py
@@ -1,4 +1,4 @@
-"""Runs what docs/CALLERS.md shows, and holds its tables to the code."""
+"""Runs the examples of docs/CALLERS.md, and compares its tables with the code."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def parse_curl(line: str) -> argparse.Namespace:
-    """Read the few options of curl that the page uses."""
+    """Parse the curl options that the page uses."""
     parser = argparse.ArgumentParser()
     parser.add_argument("url")
     parser.add_argument("-i", action="store_true")
--- a/packages/daemon/tests/callers/test_claim_histories.py
+++ b/packages/daemon/tests/callers/test_claim_histories.py
@@ -38,7 +38,7 @@
 
 @dataclass
 class Sent:
-    """A request whose claim was granted, on its way to the upstream."""
+    """A request whose key was claimed and that is on its way to the upstream."""
 
     vm: int
     process: int
@@ -49,12 +49,12 @@
 
 
 class ClaimHistories(RuleBasedStateMachine):
-    """Callers repeat keys through three entry VMs, in any order of faults.
+    """Callers repeat keys through three entry VMs, with faults in any order.
 
-    The upstream runs what it is sent. Claims are written, answers recorded or
-    lost, processes killed, and the store goes down or loses requests and
-    replies. No key ever runs twice, a replay is the answer of the one run, and
-    what was refused as not run did not run.
+    The upstream runs each request it gets. Claims are written, answers are recorded
+    or lost, processes are killed, and the store goes down or loses requests and
+    replies. No key runs twice, a replay is the answer of the only run, and a
+    request that was refused as not run did not run.
     """
 
     sent = Bundle("sent")
@@ -210,8 +210,8 @@
 
 
 def test_refusals_of_claims_never_report_not_run():
-    """Only a conflict and an unreachable store are refused as not run; a claim
-    that may have run is never called that."""
+    """A request whose existing claim may have run is never refused as not run; an
+    abandoned claim is taken over instead."""
     for state in ClaimState:
         standing = Claim(
             attempt_id="a",
--- a/packages/daemon/tests/callers/test_slot_exchange.py
+++ b/packages/daemon/tests/callers/test_slot_exchange.py
@@ -40,12 +40,12 @@
 OWN_ZONE = ZoneId("a")
 OTHER_ZONE = ZoneId("b")
 Run = tuple[float, VMId, EntryVMId, int, float]
-"""End, upstream VM, entry VM with its process's number, begin."""
+"""End time, upstream VM, entry VM, number of its process, begin time."""
 
 
 @dataclass
 class SimulatedEntryVM:
-    """One process: its exchange of slots and the work it has running."""
+    """One entry VM process, with its slot exchange and what it knows of its peers."""
 
     id: EntryVMId
     state: CallerState
@@ -57,7 +57,7 @@
 
 
 class Fleet:
-    """Entry VMs under kills, freezes, cuts and slow messages.
+    """Simulated entry VMs with kills, freezes, partitions and slow messages.
 
     The upstream VMs are in one zone, the last ``borrowers`` entry VMs in another.
     """
@@ -134,7 +134,7 @@
             self.most_running = max(self.most_running, running)
 
     def is_current(self, run: Run) -> bool:
-        """A killed process's connections are closed, which ends its work."""
+        """Return whether a run's process lives; killing it closes its connections."""
         return run[3] == self.generation[run[2]]
 
     def is_partitioned(self, sender: EntryVMId, receiver: EntryVMId) -> bool:
@@ -172,7 +172,7 @@
         self.start_runs(entry_vm, now)
 
     def start_runs(self, entry_vm: SimulatedEntryVM, now: float) -> None:
-        """Use every credit, with work of up to two seconds."""
+        """Use every granted slot for a run of up to two seconds."""
         running = [run for run in self.runs if run[2] == entry_vm.id]
         pool = entry_vm.state.get_pool(POOL)
         queue = fair_queue.get_partner_queue(pool, PARTNER)
@@ -196,7 +196,7 @@
             _, _, (sender, receiver, content) = heapq.heappop(self.undelivered)
             target = self.entry_vms[receiver]
             if now < target.frozen_until:
-                # The kernel keeps it until the process runs again.
+                # The kernel buffers the message until the process runs again.
                 heapq.heappush(
                     self.undelivered,
                     (target.frozen_until + TICK_SECONDS, self.rng.getrandbits(60),
@@ -217,7 +217,7 @@
             entry_vm.exchange.apply_reply(pending, message)
 
     def inject_fault(self) -> None:
-        """Bring about one random fault, or heal one."""
+        """Inject one random fault, or remove existing ones."""
         one, other = self.rng.sample(self.ids, 2)
         match self.rng.randrange(6):
             case 0:
@@ -248,10 +248,10 @@
 @pytest.mark.parametrize("entry_vms", [2, 3, 5])
 @pytest.mark.parametrize("seed", range(8))
 def test_no_upstream_gets_more_work_than_slots(seed, entry_vms):
-    """Entry VMs freeze, die, restart and lose each other in one direction or
-    both, while requests for slots are late or lost. Whoever believes to be
-    home grants; all grants together never pass the eight slots. After the
-    faults every slot comes back into use."""
+    """Entry VMs freeze, crash, restart and are partitioned from each other in one or
+    both directions, while requests for slots are delayed or lost. Several entry VMs
+    may act as home at once, but all grants together never exceed the eight slots.
+    After the faults every slot is used again."""
     fleet = Fleet(seed, entry_vms)
     for _ in range(1200):
         fleet.step()
@@ -271,7 +271,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_upstream_gets_more_work_than_slots_while_another_zone_borrows(seed):
-    """Guards against a new home that grants what its former one has lent."""
+    """Guards against a new home that grants slots lent by the previous home."""
     fleet = Fleet(seed, entry_vms=5, borrowers=2)
     for _ in range(1200):
         fleet.step()
@@ -281,9 +281,9 @@
 
 
 def test_leaving_upstream_gets_no_work_from_any_entry_vm_after_a_second():
-    """One entry VM alone sees that an upstream VM leaves, while the list goes
-    on to show it as live. The VM's home is told with the next wish for slots
-    and grants no more; soon nobody can send it anything."""
+    """Only one entry VM learns that an upstream VM is leaving, and the list still
+    shows it as live. The next request for slots informs the VM's home, which stops
+    granting; within a second no entry VM may send requests to the VM."""
     fleet = Fleet(seed=1, entry_vms=4)
     fleet.delays = [0.002]
     for _ in range(120):
@@ -300,10 +300,10 @@
 
 
 def test_stopping_last_entry_vm_of_a_zone_keeps_slots_for_requests_in_flight():
-    """A request was in flight when the only entry VM of its zone was told to end,
-    and its first try was given up. An entry VM that stops counts itself as gone, so
-    nobody was home of the zone's upstream VMs and no slot came for the second try:
-    the caller heard 503 with outcome unknown when its deadline had passed."""
+    """Guards against requests in flight that get no slot for a retry when the only
+    entry VM of a zone stops. If it did not count itself while stopping, the zone's
+    upstream VMs would have no home, and after its deadline the caller would get 503
+    with outcome unknown."""
     fleet = Fleet(seed=1, entry_vms=1)
     for _ in range(120):
         fleet.step()
@@ -316,7 +316,7 @@
 
 
 def test_entry_vm_keeps_slots_of_its_own_zone_while_others_borrow_from_it():
-    """Guards against a new home that takes its loans to other zones off twice."""
+    """Guards against a new home that subtracts its loans to other zones twice."""
     fleet = Fleet(seed=1, entry_vms=3, borrowers=2)
     fleet.delays = [0.002]
     home = fleet.entry_vms[fleet.ids[0]]
--- a/packages/daemon/tests/test_settings.py
+++ b/packages/daemon/tests/test_settings.py
@@ -83,10 +83,8 @@
 
 
 def test_all_errors_are_reported_together_before_any_port_opens(write, capsys):
-    """
-    An operator prepares an entry VM with three mistakes. One start shows all of
-    them, a line each, with exit status 2; nothing has listened meanwhile.
-    """
+    """Settings with three errors are reported in one start: one line per error and
+    exit status 2, before any port opens."""
     text = COMPLETE.replace('zone = "zone-a"\n', "").replace("peer.token", "no.token")
     path = write(text.replace("[caller]", "[caller]\nmax_waiting = -1"))
     assert main([str(path)]) == EXIT_SETTINGS
