--- a/packages/daemon/src/medlarspring_daemon/tasks.py
+++ b/packages/daemon/src/medlarspring_daemon/background_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of one service."""
+"""Runs, restarts and cancels the background tasks of a service."""
 
 from __future__ import annotations
 
@@ -16,8 +16,11 @@
 RESTART_SECONDS = 1.0
 
 
-class Tasks:
-    """Keeps tasks from being collected, and cancels them together."""
+class BackgroundTasks:
+    """Holds references to running tasks, and cancels them together.
+
+    Without a reference a task could be garbage-collected while it runs.
+    """
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
@@ -25,22 +28,22 @@
 
     def start(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """Run ``work`` until it ends or the service stops; a failure is logged."""
-        task = asyncio.ensure_future(self._guard(work))
+        task = asyncio.ensure_future(self._run_logged(work))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    def keep(self, run: Callable[[], Awaitable[None]]) -> asyncio.Task[Any]:
-        """Run ``run`` until the service stops, again after a failure.
+    def run_with_restart(self, run: Callable[[], Awaitable[None]]) -> asyncio.Task[Any]:
+        """Run ``run`` until the service stops; restart it when it ends or fails.
 
-        A loop that ended by a defect would leave a daemon that answers callers
-        but no longer watches or renews, and nobody would notice. Logged and
-        started again, the duty goes on and the event shows the defect.
+        If a loop ended because of a defect, the daemon would still answer callers
+        but would silently stop watching or renewing. Restarting the loop keeps the
+        service working, and the logged event shows the defect.
         """
         return self.start(self._repeat(run))
 
     async def cancel(self) -> None:
-        """Cancel all tasks and wait for their end."""
+        """Cancel all tasks and wait until they have ended."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -48,14 +51,14 @@
 
     async def _repeat(self, run: Callable[[], Awaitable[None]]) -> None:
         while True:
-            await self._guard(run())
+            await self._run_logged(run())
             await asyncio.sleep(RESTART_SECONDS)
 
-    async def _guard(self, work: Awaitable[Any]) -> None:
+    async def _run_logged(self, work: Awaitable[Any]) -> None:
         try:
             await work
         except Exception:
             self._log.error(Event.TASK_FAILED, trace=traceback.format_exc())
 
 
-__all__ = ["Tasks"]
+__all__ = ["BackgroundTasks"]
--- a/packages/daemon/src/medlarspring_daemon/callers/claims.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys: taken before a run, completed after it."""
+"""Claims idempotency keys before a run and records its outcome after it."""
 
 from __future__ import annotations
 
@@ -34,43 +34,45 @@
     from medlarspring_tables import Seconds
     from medlarspring_tables.requests import CallerRequest
 
-WRITES_PER_SECOND_OF_FLEET = 200.0
-"""Calls that all entry VMs together spend on claims under load."""
-RECORD_WAIT_SECONDS = 0.25
-"""An answer waits so long for its record; then it goes out, and the record
-follows in the background."""
-FIRST_PAUSE_SECONDS = 0.1
-MAX_PAUSE_SECONDS = 5.0
-CLAIM_PAUSES = (0.05, 0.2, 0.5, 0.5)
-"""Waits after the writes of one claim; after the last it is given up."""
-MAX_OPEN_RECORDS = 2000
-"""Records that wait for the store; beyond them no key is claimed."""
+FLEET_WRITES_PER_SECOND = 200.0
+"""Store calls per second for claims under load, over all entry VMs."""
+RECORD_TIMEOUT_SECONDS = 0.25
+"""Longest time that a response waits for its record.
+
+After that it is sent, and the record is written in the background.
+"""
+MIN_RETRY_DELAY_SECONDS = 0.1
+MAX_RETRY_DELAY_SECONDS = 5.0
+CLAIM_RETRY_DELAYS = (0.05, 0.2, 0.5, 0.5)
+"""Delays in seconds after each write of one claim; after the last it is given up."""
+MAX_PENDING_RECORDS = 2000
+"""Records that may wait for the store; above this limit no key is claimed."""
 
 
 @dataclass(slots=True, frozen=True)
-class Ticket:
-    """The right to one run, held by this process."""
+class ClaimedRun:
+    """A claim of this process, which entitles it to run the request once."""
 
     key: str
     claim: Claim
     revision: Revision
 
 
-class ClaimBook:
-    """Claims and completes keys; one instance per process."""
+class ClaimManager:
+    """Claims keys and records their outcomes; one instance per process."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
         self._commits = GroupCommit(node.store, node.clock, self._choose_interval)
         self._digest_by_key: dict[str, str] = {}
-        """Keys that this process is at work on, to the request's digest."""
+        """Digest of the request by key, for the keys this process is handling."""
         self._lease_id: LeaseId | None = None
         self._lease_until = float("-inf")
         self._lease_lock = asyncio.Lock()
         self._records: set[asyncio.Task[bool]] = set()
 
     async def stop(self, timeout: Seconds) -> None:
-        """Let records that are still being written finish."""
+        """Wait for the pending records up to ``timeout``, then cancel them."""
         if self._records:
             await asyncio.wait(self._records, timeout=timeout)
         for record in self._records:
@@ -78,13 +80,13 @@
 
     async def claim(
         self, request: CallerRequest
-    ) -> Result[Ticket | ClaimedAnswer, Refusal]:
-        """Return the right to run, or the recorded answer, or why neither."""
+    ) -> Result[ClaimedRun | ClaimedAnswer, Refusal]:
+        """Return the claimed run, the recorded answer, or a refusal."""
         assert request.key is not None
         key = claims.get_claim_key(request.partner_id, request.key)
         digest = claims.digest_request(request)
-        if len(self._records) >= MAX_OPEN_RECORDS:
-            return self._refuse(request, f"{len(self._records)} records wait for it")
+        if len(self._records) >= MAX_PENDING_RECORDS:
+            return self._refuse(request, f"{len(self._records)} records are pending")
         running = self._digest_by_key.get(key)
         if running is not None:
             if running == digest:
@@ -94,24 +96,31 @@
         claimed = False
         try:
             answer = await self._claim(request, key, digest)
-            claimed = is_successful(answer) and isinstance(answer.unwrap(), Ticket)
+            claimed = is_successful(answer) and isinstance(answer.unwrap(), ClaimedRun)
             return answer
         finally:
             if not claimed:
                 self._digest_by_key.pop(key, None)
 
-    async def complete(self, ticket: Ticket, answer: ClaimedAnswer | None) -> None:
-        """Record that the run ended; None if its outcome is not known."""
+    async def complete(
+        self, claimed_run: ClaimedRun, answer: ClaimedAnswer | None
+    ) -> None:
+        """Record the end of the run; ``answer`` is None if its outcome is unknown."""
         state = ClaimState.UNKNOWN if answer is None else ClaimState.DONE
-        await self._record(ticket, _end(ticket.claim, state, answer))
+        await self._record(
+            claimed_run, _create_final_claim(claimed_run.claim, state, answer)
+        )
 
-    async def abandon(self, ticket: Ticket) -> None:
-        """Record that the request was certainly not run."""
-        await self._record(ticket, _end(ticket.claim, ClaimState.ABANDONED, None))
+    async def abandon(self, claimed_run: ClaimedRun) -> None:
+        """Record that the request did not run."""
+        await self._record(
+            claimed_run,
+            _create_final_claim(claimed_run.claim, ClaimState.ABANDONED, None),
+        )
 
     async def _claim(
         self, request: CallerRequest, key: str, digest: str
-    ) -> Result[Ticket | ClaimedAnswer, Refusal]:
+    ) -> Result[ClaimedRun | ClaimedAnswer, Refusal]:
         lease = await self._get_lease()
         if not is_successful(lease):
             return self._refuse(request, lease.failure().message())
@@ -123,30 +132,32 @@
             incarnation=self._node.incarnation,
             deadline_wall=clock.wall() + request.deadline - clock.now(),
         )
-        return await self._write_until_known(request, key, claim, lease.unwrap())
+        return await self._write_until_confirmed(request, key, claim, lease.unwrap())
 
-    async def _write_until_known(
+    async def _write_until_confirmed(
         self, request: CallerRequest, key: str, claim: Claim, lease_id: LeaseId
-    ) -> Result[Ticket | ClaimedAnswer, Refusal]:
-        """Write the claim until the store says what stands under the key.
+    ) -> Result[ClaimedRun | ClaimedAnswer, Refusal]:
+        """Write until the store confirms which claim the key has or retries run out.
 
-        A write whose reply was lost is written again under the same attempt
-        id: it either succeeds or finds our own claim, so the lost reply
-        neither loses nor doubles the run.
+        A write whose reply was lost is repeated with the same attempt id. It
+        either succeeds or finds the claim of this process, so that a lost reply
+        neither drops the run nor causes a second one.
         """
         expected = Revision(0)
         perhaps_written = False
         fault = ""
-        for pause in CLAIM_PAUSES:
+        for pause in CLAIM_RETRY_DELAYS:
             written = await self._write(key, claim, expected, lease_id)
             if is_successful(written):
                 committed = written.unwrap()
                 if committed.succeeded:
-                    return Success(Ticket(key, claim, committed.revision))
+                    return Success(ClaimedRun(key, claim, committed.revision))
                 found = committed.read_by_key.get(key)
-                judged = None if found is None else self._judge(found, claim)
-                if judged is not None:
-                    return judged
+                decision = (
+                    None if found is None else self._decide_on_existing(found, claim)
+                )
+                if decision is not None:
+                    return decision
                 expected = Revision(0) if found is None else found.mod_revision
                 continue
             fault = written.failure().message()
@@ -158,13 +169,13 @@
                 break
             await asyncio.sleep(pause)
         if perhaps_written:
-            self._abandon_later(Ticket(key, claim, expected))
+            self._schedule_abandon(ClaimedRun(key, claim, expected))
         return self._refuse(request, fault, perhaps_written=perhaps_written)
 
     def _refuse(
         self, request: CallerRequest, fault: str, *, perhaps_written: bool = False
-    ) -> Result[Ticket | ClaimedAnswer, Refusal]:
-        """Log why a key is not claimed, and refuse its request."""
+    ) -> Result[ClaimedRun | ClaimedAnswer, Refusal]:
+        """Log why a key was not claimed, and return the refusal of its request."""
         waited = self._node.clock.now() - request.arrived_at
         self._node.log.warning(
             Event.CLAIM_UNANSWERED,
@@ -174,25 +185,25 @@
             waited_ms=round(waited * 1_000),
             perhaps_written=perhaps_written,
         )
-        return Failure(_STORE_UNREACHABLE)
+        return Failure(_STORE_UNREACHABLE_REFUSAL)
 
-    def _judge(
+    def _decide_on_existing(
         self, found: Entry, claim: Claim
-    ) -> Result[Ticket | ClaimedAnswer, Refusal] | None:
-        """Judge the claim that stands; None if it may be taken over."""
-        standing = msgspec.json.decode(found.value, type=Claim)
+    ) -> Result[ClaimedRun | ClaimedAnswer, Refusal] | None:
+        """Return the result for an existing claim; None if it may be taken over."""
+        existing = msgspec.json.decode(found.value, type=Claim)
         digest = claim.request_digest
-        verdict = claims.judge_claim(standing, claim.attempt_id, digest)
+        verdict = claims.judge_claim(existing, claim.attempt_id, digest)
         match verdict:
             case claims.Verdict.OURS:
-                return Success(Ticket(found.key, claim, found.mod_revision))
+                return Success(ClaimedRun(found.key, claim, found.mod_revision))
             case claims.Verdict.REPLAY:
-                assert standing.answer is not None
-                return Success(standing.answer)
+                assert existing.answer is not None
+                return Success(existing.answer)
             case claims.Verdict.TAKE_OVER:
                 return None
         wall = self._node.clock.wall()
-        return Failure(claims.refuse_claimed(standing, digest, wall))
+        return Failure(claims.refuse_claimed(existing, digest, wall))
 
     async def _write(
         self, key: str, claim: Claim, expected: Revision, lease_id: LeaseId | None
@@ -205,57 +216,61 @@
             )
         )
 
-    async def _record(self, ticket: Ticket, ended: Claim) -> None:
-        """Write the end of a claim, waiting for it only a short while."""
-        record = self._start(self._write_end(ticket, ended))
-        await asyncio.wait({record}, timeout=RECORD_WAIT_SECONDS)
-
-    def _abandon_later(self, ticket: Ticket) -> None:
-        """Give back a claim that may or may not have reached the store."""
-        digest = ticket.claim.request_digest
-        ended = _end(ticket.claim, ClaimState.ABANDONED, None)
-        record = self._start(self._write_end(ticket, ended))
-        # The key stays this process's until the record is written.
+    async def _record(self, claimed_run: ClaimedRun, final_claim: Claim) -> None:
+        """Write the final claim, waiting ``RECORD_TIMEOUT_SECONDS`` at most."""
+        record = self._start_record(self._write_end(claimed_run, final_claim))
+        await asyncio.wait({record}, timeout=RECORD_TIMEOUT_SECONDS)
+
+    def _schedule_abandon(self, claimed_run: ClaimedRun) -> None:
+        """Abandon, in the background, a claim that may have reached the store."""
+        digest = claimed_run.claim.request_digest
+        final_claim = _create_final_claim(claimed_run.claim, ClaimState.ABANDONED, None)
+        record = self._start_record(self._write_end(claimed_run, final_claim))
+        # The key remains reserved by this process until the record is written.
         asyncio.get_running_loop().call_soon(
-            self._digest_by_key.setdefault, ticket.key, digest
+            self._digest_by_key.setdefault, claimed_run.key, digest
+        )
+        record.add_done_callback(
+            lambda _: self._digest_by_key.pop(claimed_run.key, None)
         )
-        record.add_done_callback(lambda _: self._digest_by_key.pop(ticket.key, None))
 
-    def _start(self, record: Coroutine[None, None, bool]) -> asyncio.Task[bool]:
+    def _start_record(self, record: Coroutine[None, None, bool]) -> asyncio.Task[bool]:
         task = asyncio.create_task(record)
         self._records.add(task)
         task.add_done_callback(self._records.discard)
         return task
 
-    async def _write_end(self, ticket: Ticket, ended: Claim) -> bool:
-        """Repeat until the store says what stands; True if the end does."""
-        expected = ticket.revision
-        pause = FIRST_PAUSE_SECONDS
+    async def _write_end(self, claimed_run: ClaimedRun, final_claim: Claim) -> bool:
+        """Retry until the store confirms; return whether the final claim is stored."""
+        expected = claimed_run.revision
+        pause = MIN_RETRY_DELAY_SECONDS
         lease_id = self._lease_id
         try:
             while True:
-                written = await self._write(ticket.key, ended, expected, lease_id)
+                written = await self._write(
+                    claimed_run.key, final_claim, expected, lease_id
+                )
                 if not is_successful(written):
                     await asyncio.sleep(pause)
-                    pause = min(2 * pause, MAX_PAUSE_SECONDS)
+                    pause = min(2 * pause, MAX_RETRY_DELAY_SECONDS)
                     continue
                 committed = written.unwrap()
                 if committed.succeeded:
                     return True
-                found = committed.read_by_key.get(ticket.key)
+                found = committed.read_by_key.get(claimed_run.key)
                 if found is None:
                     return False
-                standing = msgspec.json.decode(found.value, type=Claim)
-                if standing.attempt_id != ticket.claim.attempt_id:
+                existing = msgspec.json.decode(found.value, type=Claim)
+                if existing.attempt_id != claimed_run.claim.attempt_id:
                     return False
-                if standing.state is not ClaimState.CLAIMED:
-                    return standing == ended
+                if existing.state is not ClaimState.CLAIMED:
+                    return existing == final_claim
                 expected = found.mod_revision
         finally:
-            self._digest_by_key.pop(ticket.key, None)
+            self._digest_by_key.pop(claimed_run.key, None)
 
     async def _get_lease(self) -> Result[LeaseId, StoreError]:
-        """Return the lease of this period; it is never renewed."""
+        """Return the lease of the current period; leases are never renewed."""
         async with self._lease_lock:
             now = self._node.clock.now()
             if self._lease_id is not None and now < self._lease_until:
@@ -267,17 +282,19 @@
             return granted
 
     def _choose_interval(self) -> Seconds:
-        """Return the time between calls that keeps the fleet in its budget."""
+        """Return the call interval that keeps the fleet within its write budget."""
         vm_list = self._node.vm_list
         entry_vms = 1 if vm_list is None else max(1, len(vm_list.entry_vms_by_id))
-        return entry_vms / WRITES_PER_SECOND_OF_FLEET
+        return entry_vms / FLEET_WRITES_PER_SECOND
 
 
-def _end(claim: Claim, state: ClaimState, answer: ClaimedAnswer | None) -> Claim:
+def _create_final_claim(
+    claim: Claim, state: ClaimState, answer: ClaimedAnswer | None
+) -> Claim:
     return msgspec.structs.replace(claim, state=state, answer=answer)
 
 
-_STORE_UNREACHABLE = Refusal(
+_STORE_UNREACHABLE_REFUSAL = Refusal(
     RefusalKind.STORE_UNREACHABLE,
     Outcome.UNKNOWN,
     "The store does not answer, so it is not known whether the key has run; send it"
@@ -285,4 +302,4 @@
     retry_after=2.0,
 )
 
-__all__ = ["ClaimBook", "Ticket"]
+__all__ = ["ClaimManager", "ClaimedRun"]
--- a/packages/daemon/src/medlarspring_daemon/callers/answer.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/upstream_response.py
@@ -1,4 +1,4 @@
-"""Headers towards upstream VMs, and answers on their way to the caller."""
+"""Headers for requests to upstream VMs, and their responses for the caller."""
 
 from __future__ import annotations
 
@@ -23,14 +23,18 @@
     from medlarspring_tables import RequestId, Seconds
     from medlarspring_tables.requests import CallerRequest
 
-HELD_ANSWER_BYTES = 131_072
-"""Answers up to this size are held whole, so that a cut one can be told and
-a caller that reads slowly holds no slot."""
+BUFFERED_RESPONSE_BYTES = 131_072
+"""Responses up to this size are buffered completely.
 
-MAX_KEYED_ANSWER_BYTES = 8_388_608
-"""Answers to requests with a key are always held whole."""
-MAX_ANSWER_BYTES = 67_108_864
-WITHHELD_HEADERS = HOP_HEADERS | {
+A truncated response is then detected before it is passed on, and a caller that
+reads slowly does not occupy a slot.
+"""
+
+MAX_KEYED_RESPONSE_BYTES = 8_388_608
+"""Largest response to a request with a key; these are always buffered completely."""
+MAX_RESPONSE_BYTES = 67_108_864
+"""Largest response that is streamed to a caller."""
+UNFORWARDED_HEADERS = HOP_HEADERS | {
     "authorization",
     "content-length",
     "expect",
@@ -43,88 +47,88 @@
 
 
 @dataclass(slots=True)
-class HeldBody:
-    """The body of an answer, or its beginning."""
+class BufferedBody:
+    """The body of a response, or its first bytes if it exceeds the limit."""
 
     body: bytes
     complete: bool
 
 
 def create_upstream_headers(
-    request: web.BaseRequest, row: CallerRequest
+    request: web.BaseRequest, caller_request: CallerRequest
 ) -> CIMultiDict[str]:
-    """Return the headers that upstream VMs get, but for the time left."""
+    """Return the headers sent to upstream VMs, except ``Request-Timeout``."""
     headers: CIMultiDict[str] = CIMultiDict()
     for name, value in request.headers.items():
-        if name.lower() not in WITHHELD_HEADERS:
+        if name.lower() not in UNFORWARDED_HEADERS:
             headers.add(name, value)
-    headers.add("Request-Id", row.id)
-    headers.add("Partner-Id", row.partner_id)
+    headers.add("Request-Id", caller_request.id)
+    headers.add("Partner-Id", caller_request.partner_id)
     return headers
 
 
-async def hold_answer(
+async def buffer_response(
     answer: aiohttp.ClientResponse, limit: int, timeout: Seconds
-) -> Result[HeldBody, UpstreamFault]:
-    """Read an answer's body up to a limit."""
+) -> Result[BufferedBody, UpstreamFault]:
+    """Read a response body up to ``limit`` bytes."""
     length = answer.content_length
     if length is not None and length <= limit:
         body = await read_answer(answer, timeout)
-        return body.map(lambda whole: HeldBody(whole, complete=True))
-    held = bytearray()
+        return body.map(lambda whole: BufferedBody(whole, complete=True))
+    buffered = bytearray()
     try:
         async with asyncio.timeout(timeout):
             async for chunk in answer.content.iter_any():
-                held += chunk
-                if len(held) > limit:
-                    return Success(HeldBody(bytes(held), complete=False))
+                buffered += chunk
+                if len(buffered) > limit:
+                    return Success(BufferedBody(bytes(buffered), complete=False))
     except (aiohttp.ClientError, OSError, ValueError) as error:
         answer.close()
         return Failure(create_fault(error))
     except asyncio.CancelledError:
         answer.close()
         raise
-    return Success(HeldBody(bytes(held), complete=True))
+    return Success(BufferedBody(bytes(buffered), complete=True))
 
 
 def create_response(
-    answer: aiohttp.ClientResponse, body: bytes, row: CallerRequest
+    answer: aiohttp.ClientResponse, body: bytes, caller_request: CallerRequest
 ) -> web.Response:
-    """Return the answer to the caller for one that was held whole."""
+    """Return the response to the caller for a completely buffered one."""
     headers = copy_answer_headers(answer.headers)
-    headers["Request-Id"] = row.id
-    if row.method != "HEAD":
+    headers["Request-Id"] = caller_request.id
+    if caller_request.method != "HEAD":
         headers.popall("Content-Length", None)
     return web.Response(status=answer.status, headers=headers, body=body)
 
 
-async def stream_answer(
+async def stream_response(
     answer: aiohttp.ClientResponse,
-    begin: bytes,
+    prefix: bytes,
     request: web.BaseRequest,
     request_id: RequestId,
     timeout: Seconds,
 ) -> tuple[web.StreamResponse, bool]:
-    """Pass a large answer on as it comes; return whether it came whole."""
+    """Stream a large response to the caller; return whether it was complete."""
     headers = copy_answer_headers(answer.headers)
     headers["Request-Id"] = request_id
     response = web.StreamResponse(status=answer.status, headers=headers)
-    passed = len(begin)
+    bytes_sent = len(prefix)
     try:
         async with asyncio.timeout(timeout):
             await response.prepare(request)
-            if begin:
-                await response.write(begin)
+            if prefix:
+                await response.write(prefix)
             async for chunk in answer.content.iter_any():
-                passed += len(chunk)
-                if passed > MAX_ANSWER_BYTES:
-                    raise aiohttp.ClientPayloadError("the answer is too large")
+                bytes_sent += len(chunk)
+                if bytes_sent > MAX_RESPONSE_BYTES:
+                    raise aiohttp.ClientPayloadError("the response is too large")
                 await response.write(chunk)
             await response.write_eof()
     except (aiohttp.ClientError, TimeoutError, OSError):
-        # The status line is out, so no refusal can follow. Cutting the
-        # caller's connection before the end is the one sign left that the
-        # answer is not whole.
+        # The status line has been sent, so a refusal is no longer possible.
+        # Aborting the caller's connection is the only way left to signal that
+        # the response is incomplete.
         answer.close()
         if request.transport is not None:
             request.transport.abort()
@@ -136,11 +140,11 @@
 
 
 __all__ = [
-    "HELD_ANSWER_BYTES",
-    "MAX_KEYED_ANSWER_BYTES",
-    "HeldBody",
+    "BUFFERED_RESPONSE_BYTES",
+    "MAX_KEYED_RESPONSE_BYTES",
+    "BufferedBody",
     "create_response",
     "create_upstream_headers",
-    "hold_answer",
-    "stream_answer",
+    "buffer_response",
+    "stream_response",
 ]
--- a/packages/daemon/src/medlarspring_daemon/parts.py
+++ b/packages/daemon/src/medlarspring_daemon/components.py
@@ -1,4 +1,4 @@
-"""The parts of the daemon, in the order of their start."""
+"""Creates the components of the daemon in the order of their start."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from medlarspring_adapters.clock import Clock
     from medlarspring_adapters.store import Store
-    from medlarspring_daemon.node import Node, Part
+    from medlarspring_daemon.node import Component, Node
     from medlarspring_daemon.settings import Settings
 
 
@@ -33,8 +33,8 @@
     )
 
 
-def create_parts(node: Node) -> list[Part]:
-    """Return all services; the last one started is the first one stopped."""
+def create_components(node: Node) -> list[Component]:
+    """Return all services in start order; they are stopped in reverse order."""
     vm_list = create_vm_list_service(node)
     peers = create_peer_service(node)
     return [
@@ -48,9 +48,10 @@
         create_job_service(node),
         create_audit_trimmer(node),
         create_operator_service(node),
-        # Last, so that a shutdown lets callers finish while the rest still works.
+        # Last, so that on shutdown callers' requests finish while the other
+        # components still run.
         create_caller_service(node),
     ]
 
 
-__all__ = ["create_parts", "create_store"]
+__all__ = ["create_components", "create_store"]
--- a/packages/daemon/src/medlarspring_daemon/main.py
+++ b/packages/daemon/src/medlarspring_daemon/main.py
@@ -15,8 +15,8 @@
 from medlarspring_adapters.clock import SystemClock
 from medlarspring_adapters.events import Event, create_event_log
 from medlarspring_adapters.metrics import NoMetrics, StatsdMetrics
+from medlarspring_daemon.components import create_components, create_store
 from medlarspring_daemon.node import create_node
-from medlarspring_daemon.parts import create_parts, create_store
 from medlarspring_daemon.settings import read_settings
 from medlarspring_tables import EntryVMId, MedlarspringError
 
@@ -24,7 +24,7 @@
     from collections.abc import Sequence
 
     from medlarspring_adapters.metrics import Metrics
-    from medlarspring_daemon.node import Node, Part
+    from medlarspring_daemon.node import Component, Node
     from medlarspring_daemon.settings import Settings
 
 EXIT_SETTINGS = 2
@@ -33,7 +33,7 @@
 
 
 class PortUnavailable(MedlarspringError):
-    """A port of the settings can't be opened."""
+    """A port named in the settings can't be opened."""
 
     code = "port-unavailable"
 
@@ -42,7 +42,7 @@
         self.reason = reason
 
     def message(self) -> str:
-        """Say which port and what to do."""
+        """Return the reason and the remedy."""
         return (
             f"A port can't be opened ({self.reason}). End the process that uses it, or"
             " change the listen key of the settings."
@@ -50,26 +50,26 @@
 
 
 class DaemonService(aiomisc.Service):
-    """Starts the parts in order and stops them in reverse."""
+    """Starts the components in order and stops them in reverse order."""
 
-    def __init__(self, node: Node, parts: Sequence[Part]) -> None:
+    def __init__(self, node: Node, components: Sequence[Component]) -> None:
         super().__init__()
         self._node = node
-        self._parts = parts
-        self._started: list[Part] = []
+        self._components = components
+        self._started: list[Component] = []
 
     async def start(self) -> None:
-        """Start every part, then log the addresses of the open ports."""
-        for part in self._parts:
+        """Start every component, then log the addresses of the open ports."""
+        for component in self._components:
             try:
-                await part.start()
+                await component.start()
             except OSError as error:
                 raise PortUnavailable(error.strerror or str(error)) from error
-            self._started.append(part)
+            self._started.append(component)
         self._node.log.info(Event.LISTENING, **self._node.addresses)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Fail readiness at once, then let each part finish."""
+        """Fail the readiness check immediately, then stop each component."""
         self._node.stopping = True
         self._node.log.info(Event.STOPPING)
         while self._started:
@@ -95,7 +95,7 @@
         _create_metrics(settings),
         create_store(settings, clock),
     )
-    service = DaemonService(node, create_parts(node))
+    service = DaemonService(node, create_components(node))
     shutdown = settings.caller.drain_seconds + SHUTDOWN_MARGIN_SECONDS
     with aiomisc.entrypoint(
         service,
@@ -108,7 +108,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the daemon; returns its exit status."""
+    """Run the daemon and return its exit status."""
     parser = argparse.ArgumentParser(prog="medlarspringd", description=__doc__)
     parser.add_argument("settings", type=Path, help="settings file in TOML")
     parser.add_argument(
--- a/packages/daemon/src/medlarspring_daemon/settings_faults.py
+++ b/packages/daemon/src/medlarspring_daemon/settings_errors.py
@@ -1,4 +1,4 @@
-"""Tells what is wrong with settings: file, key, found, wanted and remedy."""
+"""Describes errors in settings: file, key, found and wanted value, and remedy."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """What a key takes, in words; belongs to the type of the key."""
+class ExpectedValue:
+    """Description of the values that a key accepts; annotates the key's type."""
 
     text: str
 
 
-class SettingsFaults(MedlarspringError):
-    """The settings cannot be used; lists every fault at once."""
+class SettingsError(MedlarspringError):
+    """The settings are invalid; ``faults`` lists every error."""
 
     code = "settings"
 
@@ -38,19 +38,19 @@
         self.faults = faults
 
     def message(self) -> str:
-        """Return one line a fault: file, key, found, wanted and remedy."""
+        """Return one line per error: file, key, found, wanted and remedy."""
         return "\n".join(self.faults)
 
 
-def describe_faults(
+def describe_errors(
     path: Path, model: type[BaseModel], error: ValidationError
 ) -> list[str]:
-    """Return one line for each fault that the models found."""
-    return [_describe_fault(path, model, fault) for fault in error.errors()]
+    """Return one line for each error that the models found."""
+    return [_describe_error(path, model, fault) for fault in error.errors()]
 
 
 def check_token(token_file: Path) -> str | None:
-    """Return what is wrong with a token file, or None."""
+    """Return a description of the error in a token file, or None if it is valid."""
     try:
         token = token_file.read_text(encoding="utf-8").strip()
     except OSError as error:
@@ -69,29 +69,29 @@
 
 
 def find_section(annotation: Any) -> type[BaseModel] | None:
-    """Return the model of a section's field, also of one that may be left out."""
+    """Return the model of a section's field, required or optional, or None."""
     for candidate in (annotation, *get_args(annotation)):
         if isinstance(candidate, type) and issubclass(candidate, BaseModel):
             return candidate
     return None
 
 
-def describe_wanted(field: FieldInfo) -> str:
-    """Return what a key takes, in words."""
+def describe_expected_value(field: FieldInfo) -> str:
+    """Return a description of the values that a key accepts."""
     section = find_section(field.annotation)
     if section is not None:
         return f"a section with {', '.join(section.model_fields)}"
-    texts = [item.text for item in field.metadata if isinstance(item, Wanted)]
+    texts = [item.text for item in field.metadata if isinstance(item, ExpectedValue)]
     return texts[0] if texts else "another value"
 
 
-def _describe_fault(path: Path, model: type[BaseModel], fault: ErrorDetails) -> str:
+def _describe_error(path: Path, model: type[BaseModel], fault: ErrorDetails) -> str:
     keys = [key for key in fault["loc"] if isinstance(key, str)]
     place = f"{path}: {'.'.join(map(str, fault['loc']))}"
     if fault["type"] == "extra_forbidden":
         return f"{place}: {_describe_unknown(model, keys)}"
     field = _find_field(model, keys)
-    wanted = describe_wanted(field) if field is not None else "another value"
+    wanted = describe_expected_value(field) if field is not None else "another value"
     if fault["type"] == "missing":
         remedy = f"add it under [{'.'.join(keys[:-1])}]" if keys[1:] else "add it"
         return f"{place}: found nothing, wanted {wanted}; {remedy}"
@@ -128,10 +128,10 @@
 
 
 __all__ = [
-    "SettingsFaults",
-    "Wanted",
+    "SettingsError",
+    "ExpectedValue",
     "check_token",
-    "describe_faults",
-    "describe_wanted",
+    "describe_errors",
+    "describe_expected_value",
     "find_section",
 ]
--- a/packages/daemon/tests/callers/conftest.py
+++ b/packages/daemon/tests/callers/conftest.py
@@ -1,4 +1,4 @@
-"""A caller port in this process, in front of small scripted upstream VMs."""
+"""Fixtures: an in-process caller port in front of scripted upstream VMs."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
     from multidict import CIMultiDict
 
-    from medlarspring_daemon.node import Node, Part
+    from medlarspring_daemon.node import Component, Node
 
     Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
     Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -62,12 +62,12 @@
 
 @dataclass
 class ScriptedUpstream:
-    """An upstream VM whose behaviour a test sets."""
+    """An upstream VM whose handler a test sets."""
 
     handler: Handler | None = None
     address: str = ""
     runs: list[str] = field(default_factory=list)
-    """Request ids in the order in which work began."""
+    """Request ids in the order in which their runs began."""
     running: int = 0
     most_running: int = 0
 
@@ -89,10 +89,10 @@
 
 @dataclass
 class EntryVM:
-    """One daemon's caller port with what a test needs to drive it."""
+    """One daemon's caller port, with an HTTP session that sends requests to it."""
 
     node: Node
-    part: Part
+    component: Component
     session: aiohttp.ClientSession
 
     @property
@@ -119,14 +119,14 @@
 
 @dataclass
 class Answer:
-    """What a caller got, whole."""
+    """The complete response that a caller received."""
 
     status: int
     headers: CIMultiDict[str]
     body: bytes
 
 
-class Bench:
+class CallerTestBed:
     """Starts upstream VMs and entry VMs, and stops them all."""
 
     def __init__(self, stack: AsyncExitStack) -> None:
@@ -151,7 +151,7 @@
         return upstream
 
     async def add_raw_upstream(self, script: Script, zone: str = "a") -> VMId:
-        """Add an upstream VM that speaks bytes: one call per connection."""
+        """Add an upstream VM whose ``script`` handles each connection's raw bytes."""
         server = await asyncio.start_server(script, "127.0.0.1", 0)
         self._stack.callback(server.close)
         address = "{}:{}".format(*server.sockets[0].getsockname())
@@ -183,11 +183,11 @@
         )
         node.config = self.config
         node.vm_list = self.vm_list
-        part = create_caller_service(node)
-        await part.start()
-        self._stack.push_async_callback(part.stop)
+        component = create_caller_service(node)
+        await component.start()
+        self._stack.push_async_callback(component.stop)
         session = await self._stack.enter_async_context(aiohttp.ClientSession())
-        return EntryVM(node, part, session)
+        return EntryVM(node, component, session)
 
 
 def create_settings(name: str, **caller: object) -> Settings:
@@ -220,7 +220,7 @@
 
 
 def encode_answer(body: bytes, *, length: int | None = None, extra: str = "") -> bytes:
-    """Return an answer's bytes; ``length`` lies about the body."""
+    """Return the bytes of an answer; ``length`` overrides its Content-Length."""
     stated = len(body) if length is None else length
     return (
         b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%b\r\n" % (stated, extra.encode())
@@ -228,9 +228,9 @@
 
 
 @pytest.fixture
-async def bench() -> AsyncIterator[Bench]:
+async def bench() -> AsyncIterator[CallerTestBed]:
     async with AsyncExitStack() as stack:
-        yield Bench(stack)
+        yield CallerTestBed(stack)
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
--- a/packages/daemon/tests/callers/test_caller_forwarding.py
+++ b/packages/daemon/tests/callers/test_caller_forwarding.py
@@ -21,13 +21,15 @@
     return handler
 
 
-async def cut_short(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
+async def truncate_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
     await read_head(reader)
     writer.write(encode_answer(b"half", length=100))
     writer.close()
 
 
-async def cut_before_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
+async def close_before_answer(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+):
     await read_head(reader)
     writer.close()
 
@@ -46,7 +48,9 @@
     writer.close()
 
 
-async def answer_another(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
+async def answer_another_request(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+):
     await read_head(reader)
     writer.write(encode_answer(b"not yours", extra="Request-Id: other\r\n"))
 
@@ -58,21 +62,21 @@
     writer.write(encode_answer(b"", extra=f"X-Big: {'x' * 70_000}\r\n"))
 
 
-BROKEN = [
-    cut_short,
-    cut_before_answer,
+BROKEN_ANSWER_SCRIPTS = [
+    truncate_answer,
+    close_before_answer,
     answer_without_length,
     answer_malformed,
-    answer_another,
+    answer_another_request,
     answer_huge_headers,
 ]
 
 
-@pytest.mark.parametrize("script", BROKEN)
+@pytest.mark.parametrize("script", BROKEN_ANSWER_SCRIPTS)
 async def test_broken_answer_of_unrepeatable_work_is_an_unknown_outcome(bench, script):
-    """The upstream took a payment and its answer came broken. The caller must
-    not get the broken answer as a whole one, must not be told that nothing
-    ran, and the other upstream must not run the payment a second time."""
+    """An upstream received a payment and its answer is broken. The caller must
+    not get the broken answer as a complete one, the outcome must not be "not run",
+    and the other upstream must not run the payment a second time."""
     await bench.add_raw_upstream(script)
     entry_vm = await bench.start_entry_vm()
     answer = await entry_vm.ask(method="POST", data=b"pay")
@@ -80,10 +84,10 @@
     assert json.loads(answer.body)["outcome"] == "unknown"
 
 
-@pytest.mark.parametrize("script", BROKEN)
-async def test_broken_answer_of_repeatable_work_is_asked_for_again(bench, script):
+@pytest.mark.parametrize("script", BROKEN_ANSWER_SCRIPTS)
+async def test_broken_answer_of_repeatable_work_is_retried(bench, script):
     """A read got a broken answer from one upstream. It is sent again to the
-    other on a fresh connection, and the caller sees only the whole answer."""
+    other on a new connection, and the caller gets only the complete answer."""
     await bench.add_raw_upstream(script)
     good = await bench.add_upstream()
     entry_vm = await bench.start_entry_vm()
@@ -93,28 +97,30 @@
     assert good.runs
 
 
-async def test_cut_in_a_large_answer_cuts_the_caller_too(bench):
-    """An answer too large to be held is passed on as it comes, and breaks off
-    after the status went out. The caller's connection is cut, so that the half
-    answer is never taken for a whole one."""
+async def test_truncated_large_answer_aborts_the_callers_connection(bench):
+    """An answer too large for buffering is streamed, and breaks off after its status
+    was sent. The caller's connection is aborted, so that the truncated answer is
+    never taken for a complete one."""
 
-    async def cut_large(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
+    async def truncate_large_answer(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ):
         await read_head(reader)
         writer.write(encode_answer(b"x" * 300_000, length=400_000))
         await writer.drain()
         writer.close()
 
-    await bench.add_raw_upstream(cut_large)
+    await bench.add_raw_upstream(truncate_large_answer)
     entry_vm = await bench.start_entry_vm()
     with pytest.raises(aiohttp.ClientError):
         async with asyncio.timeout(5):
             await entry_vm.ask()
 
 
-async def test_second_answer_on_a_connection_reaches_nobody(bench):
-    """An upstream answers twice. The second answer lies on the pooled
-    connection when the next caller's request comes; reusing the connection
-    would give that caller the first one's answer."""
+async def test_second_answer_on_a_connection_is_discarded(bench):
+    """An upstream answers twice. The second answer is in the buffer of the pooled
+    connection when the next caller's request arrives; reusing the connection
+    would give that caller the answer to the first request."""
     connections = 0
 
     async def answer_twice(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
@@ -137,9 +143,9 @@
     assert connections == 5
 
 
-async def test_answer_after_the_deadline_reaches_nobody(bench):
-    """The first caller's deadline passes before the upstream answers. The
-    late answer must not meet the second caller's request on that connection."""
+async def test_answer_after_the_deadline_is_discarded(bench):
+    """The first caller's deadline passes before the upstream answers. The late
+    answer must not become the answer to the second caller's request."""
 
     async def answer_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
         while True:
@@ -157,27 +163,29 @@
     assert (await entry_vm.ask("/consent/next")).body == b"/next"
 
 
-async def test_pooled_connections_gone_silent_do_not_hurt_callers(bench):
-    """All open connections go silent for good while new ones work, as after a
-    firewall lost its table. Reads get their answers from a fresh connection
-    within their deadline, and unrepeatable work never meets a silent one."""
-    silent = False
+async def test_unresponsive_pooled_connections_do_not_fail_requests(bench):
+    """All open connections stop responding while new ones work, as after a firewall
+    lost its connection table. Reads are answered over a new connection within
+    their deadline, and unrepeatable work never uses an old connection."""
+    unresponsive = False
 
-    async def fall_silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
-        born_before = not silent
+    async def stop_answering(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ):
+        opened_before = not unresponsive
         while True:
             head = await read_head(reader)
-            if silent and born_before:
+            if unresponsive and opened_before:
                 await asyncio.sleep(30)
             if b"POST" in head:
                 await reader.readexactly(3)
             writer.write(encode_answer(b"ok"))
 
-    await bench.add_raw_upstream(fall_silent)
+    await bench.add_raw_upstream(stop_answering)
     entry_vm = await bench.start_entry_vm()
     warm = await asyncio.gather(*(entry_vm.ask() for _ in range(4)))
     assert {answer.status for answer in warm} == {200}
-    silent = True
+    unresponsive = True
     loop = asyncio.get_running_loop()
     began = loop.time()
     assert (await entry_vm.ask()).status == 200
@@ -190,9 +198,9 @@
 
 @pytest.mark.parametrize("method", ["PUT", "DELETE", "POST"])
 async def test_broken_connection_does_not_repeat_unrepeatable_work(bench, method):
-    """The upstream runs the request and its connection breaks before the
-    answer. The HTTP client library repeats PUT and DELETE by itself then; the
-    upstream would see two runs for one request."""
+    """The upstream runs the request and its connection breaks before the answer.
+    By default the HTTP client library repeats PUT and DELETE in this case, and the
+    upstream would run one request twice."""
     heads: list[bytes] = []
 
     async def run_and_break(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
@@ -207,9 +215,11 @@
     assert len(heads) == 1
 
 
-async def test_unrepeatable_work_goes_elsewhere_when_the_port_refuses(bench):
-    """The first upstream's process is gone and its port refuses. No byte was
-    sent, so even a payment may go to the next upstream."""
+async def test_unrepeatable_work_is_sent_to_another_upstream_when_the_port_refuses(
+    bench,
+):
+    """The first upstream's process has ended and its port refuses connections. No
+    byte was sent, so even a payment may be sent to the next upstream."""
     bench.list_vm("127.0.0.1:1")
     good = await bench.add_upstream()
     entry_vm = await bench.start_entry_vm()
@@ -219,7 +229,9 @@
 
 
 @pytest.mark.parametrize("state", ["full", "leaving"])
-async def test_refusal_before_running_sends_even_payments_elsewhere(bench, state):
+async def test_refusal_before_running_retries_even_payments_on_another_upstream(
+    bench, state
+):
     refusing = await bench.add_upstream(refuse_with(state))
     good = await bench.add_upstream()
     entry_vm = await bench.start_entry_vm()
@@ -230,7 +242,7 @@
         assert len(refusing.runs) == 1
 
 
-async def test_refusal_by_every_upstream_is_told_as_not_run(bench):
+async def test_refusal_by_every_upstream_is_reported_as_not_run(bench):
     for _ in range(2):
         await bench.add_upstream(refuse_with("full"))
     entry_vm = await bench.start_entry_vm()
@@ -240,9 +252,9 @@
     assert int(answer.headers["Retry-After"]) >= 1
 
 
-async def test_slot_of_given_up_work_stays_counted(bench):
-    """Callers give up on work that the upstream goes on with. Its slots are
-    still in use there; sending new work at once would run more than 8."""
+async def test_slot_of_abandoned_work_stays_in_use(bench):
+    """Callers give up on requests that the upstream continues to run. Their slots
+    are still in use; sending new work immediately would run more than 8 requests."""
 
     async def work(request: web.BaseRequest) -> web.Response:
         await asyncio.sleep(0.6)
@@ -261,9 +273,9 @@
     assert upstream.most_running <= 8
 
 
-async def test_caller_that_leaves_frees_its_place(bench):
-    """Callers leave while their requests wait or run. The requests that wait
-    are never sent, and the queue goes on for those who stayed."""
+async def test_requests_of_disconnected_callers_leave_the_queue(bench):
+    """Callers disconnect while their requests wait. These requests are never sent,
+    and the requests of the other callers are still served."""
     release = asyncio.Event()
 
     async def work(request: web.BaseRequest) -> web.Response:
--- a/packages/daemon/tests/callers/test_caller_limits.py
+++ b/packages/daemon/tests/callers/test_caller_limits.py
@@ -57,9 +57,9 @@
 @pytest.mark.parametrize(
     "begin", [HEAD, HEAD + b"Content-Length: 10\r\n\r\nhalf", b"GET "]
 )
-async def test_caller_that_sends_too_slowly_is_told_so(bench, begin):
-    """A caller begins a request and stalls. It is answered and cut off; its
-    connection would be held for ever otherwise, and no slot is taken."""
+async def test_caller_that_sends_too_slowly_is_refused(bench, begin):
+    """A caller begins a request and stalls. It is refused with status 408 and uses no
+    slot; without the limit its connection would stay open indefinitely."""
     upstream = await bench.add_upstream()
     entry_vm = await bench.start_entry_vm(body_seconds=0.3)
     reader, writer = await connect(entry_vm)
@@ -71,7 +71,7 @@
     writer.close()
 
 
-async def test_connections_above_the_cap_are_turned_away_at_once(bench):
+async def test_connections_above_the_limit_are_refused_immediately(bench):
     await bench.add_upstream()
     entry_vm = await bench.start_entry_vm(max_connections=2)
     held = [await connect(entry_vm) for _ in range(2)]
@@ -83,10 +83,10 @@
         each.close()
 
 
-async def test_shutdown_cuts_nothing_and_serves_until_the_balancer_knows(bench):
-    """SIGTERM comes while a request runs and another is on its way. Readiness
-    fails at once; both requests get their whole answers, and the connection is
-    closed with the answer rather than under the next request."""
+async def test_shutdown_completes_requests_and_serves_until_the_balancer_reacts(bench):
+    """SIGTERM arrives while one request runs, and another is sent afterwards. The
+    readiness check fails immediately, both requests get complete answers, and the
+    last answer announces that the connection closes."""
     release = asyncio.Event()
 
     async def work(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
@@ -97,9 +97,9 @@
     await bench.add_raw_upstream(work)
     entry_vm = await bench.start_entry_vm()
     running = asyncio.create_task(entry_vm.ask())
-    await wait_until(lambda: entry_vm.part._in_flight == 1)
+    await wait_until(lambda: entry_vm.component._in_flight == 1)
     entry_vm.node.stopping = True
-    stopping = asyncio.create_task(entry_vm.part.stop())
+    stopping = asyncio.create_task(entry_vm.component.stop())
     assert (await entry_vm.ask("/readyz")).status == 503
     late = asyncio.create_task(entry_vm.ask())
     await asyncio.sleep(0.1)
@@ -111,8 +111,8 @@
 
 
 async def test_keyed_run_is_recorded_before_the_process_ends(bench):
-    """The caller of a payment leaves and SIGTERM comes while it runs. The
-    process ends only after the run and its record."""
+    """A caller disconnects while its payment runs, and SIGTERM arrives. The process
+    ends only after the run has ended and its outcome is recorded."""
     release = asyncio.Event()
 
     async def work(reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
@@ -126,7 +126,7 @@
     asked = asyncio.create_task(first.ask(**pay))
     await asyncio.sleep(0.2)
     asked.cancel()
-    stopping = asyncio.create_task(first.part.stop())
+    stopping = asyncio.create_task(first.component.stop())
     await asyncio.sleep(0.2)
     release.set()
     await stopping
--- a/packages/daemon/tests/callers/test_callers_page.py
+++ b/packages/daemon/tests/callers/test_callers_page.py
@@ -1,4 +1,4 @@
-"""Runs what docs/CALLERS.md shows, and holds its tables to the code."""
+"""Runs the examples of docs/CALLERS.md, and compares its tables with the code."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def parse_curl(line: str) -> argparse.Namespace:
-    """Read the few options of curl that the page uses."""
+    """Parse the curl options that the page uses."""
     parser = argparse.ArgumentParser()
     parser.add_argument("url")
     parser.add_argument("-i", action="store_true")
@@ -62,7 +62,7 @@
     return web.Response(body=await request.read())
 
 
-async def test_each_example_gets_the_answer_that_the_page_promises(bench):
+async def test_each_example_gets_the_documented_answer(bench):
     await bench.add_upstream(answer_slowly)
     entry_vm = await bench.start_entry_vm()
     caller = entry_vm.node.addresses["caller"]
--- a/packages/daemon/tests/callers/test_slot_exchange.py
+++ b/packages/daemon/tests/callers/test_slot_exchange.py
@@ -11,7 +11,7 @@
 from medlarspring_adapters.clock import ManualClock
 from medlarspring_adapters.events import create_event_log
 from medlarspring_adapters.metrics import NoMetrics
-from medlarspring_daemon.callers.slot_exchange import Asking, SlotExchange
+from medlarspring_daemon.callers.slot_exchange import PendingSlotRequest, SlotExchange
 from medlarspring_daemon.callers.state import CallerState
 from medlarspring_daemon.node import create_node
 from medlarspring_systems import fair_queue
@@ -40,12 +40,12 @@
 OWN_ZONE = ZoneId("a")
 OTHER_ZONE = ZoneId("b")
 Run = tuple[float, VMId, EntryVMId, int, float]
-"""End, upstream VM, entry VM with its process's number, begin."""
+"""End time, upstream VM, entry VM, number of its process, begin time."""
 
 
 @dataclass
 class SimulatedEntryVM:
-    """One process: its exchange of slots and the work it has running."""
+    """One entry VM process, with its slot exchange and what it knows of its peers."""
 
     id: EntryVMId
     state: CallerState
@@ -57,7 +57,7 @@
 
 
 class Fleet:
-    """Entry VMs under kills, freezes, cuts and slow messages.
+    """Simulated entry VMs with kills, freezes, partitions and slow messages.
 
     The upstream VMs are in one zone, the last ``borrowers`` entry VMs in another.
     """
@@ -87,11 +87,13 @@
             self.vm_list.entry_vms_by_id[entry_vm_id] = ListedEntryVM(
                 entry_vm_id, "10.0.1.1:1", zone_id, RegionId("c")
             )
-        self.cuts: set[tuple[EntryVMId, EntryVMId]] = set()
-        self.mail: list[tuple[float, int, object]] = []
+        self.partitions: set[tuple[EntryVMId, EntryVMId]] = set()
+        self.undelivered: list[tuple[float, int, object]] = []
         self.runs: list[Run] = []
         self.most_running = 0
-        self.open_calls: dict[int, tuple[float, SimulatedEntryVM, Asking]] = {}
+        self.open_calls: dict[
+            int, tuple[float, SimulatedEntryVM, PendingSlotRequest]
+        ] = {}
         self.delays = [0.001, 0.01, 0.05, 0.2, 2.5]
         self.generation = dict.fromkeys(self.ids, 0)
         self.entry_vms = {each: self.start(each) for each in self.ids}
@@ -118,12 +120,12 @@
         self.clock.advance(TICK_SECONDS)
         now = self.clock.now()
         self.runs = [run for run in self.runs if run[0] > now and self.is_current(run)]
-        self.hear(now)
+        self.update_heard_peers(now)
         self.deliver(now)
-        for call, (ends, entry_vm, asking) in list(self.open_calls.items()):
+        for call, (ends, entry_vm, pending) in list(self.open_calls.items()):
             if now >= max(ends, entry_vm.frozen_until):
                 del self.open_calls[call]
-                entry_vm.exchange.note_failure(asking)
+                entry_vm.exchange.handle_call_failure(pending)
         for entry_vm in self.entry_vms.values():
             if entry_vm.alive and now >= entry_vm.frozen_until:
                 self.act(entry_vm, now)
@@ -132,21 +134,21 @@
             self.most_running = max(self.most_running, running)
 
     def is_current(self, run: Run) -> bool:
-        """A killed process's connections are closed, which ends its work."""
+        """Return whether a run's process lives; killing it closes its connections."""
         return run[3] == self.generation[run[2]]
 
-    def is_cut(self, sender: EntryVMId, receiver: EntryVMId) -> bool:
-        return (sender, receiver) in self.cuts
+    def is_partitioned(self, sender: EntryVMId, receiver: EntryVMId) -> bool:
+        return (sender, receiver) in self.partitions
 
-    def hear(self, now: float) -> None:
+    def update_heard_peers(self, now: float) -> None:
         for entry_vm in self.entry_vms.values():
             for other in self.entry_vms.values():
-                if other is entry_vm or self.is_cut(other.id, entry_vm.id):
+                if other is entry_vm or self.is_partitioned(other.id, entry_vm.id):
                     continue
                 if other.alive and now >= other.frozen_until:
                     entry_vm.heard_at[other.id] = now
                     entry_vm.refused_at.pop(other.id, None)
-                elif not other.alive and not self.is_cut(entry_vm.id, other.id):
+                elif not other.alive and not self.is_partitioned(entry_vm.id, other.id):
                     entry_vm.refused_at[other.id] = now
             peers = entry_vm.state.node.peers
             if now < entry_vm.frozen_until:
@@ -159,18 +161,18 @@
             }
 
     def act(self, entry_vm: SimulatedEntryVM, now: float) -> None:
-        for asking in entry_vm.exchange.list_due():
-            if asking.home == entry_vm.id:
-                reply = entry_vm.exchange.answer(asking.request)
-                entry_vm.exchange.take_reply(asking, reply)
+        for pending in entry_vm.exchange.list_due():
+            if pending.home == entry_vm.id:
+                reply = entry_vm.exchange.answer(pending.request)
+                entry_vm.exchange.apply_reply(pending, reply)
             else:
                 call = self.rng.getrandbits(60)
-                self.open_calls[call] = (now + CALL_SECONDS, entry_vm, asking)
-                self.post(entry_vm.id, asking.home, (call, asking.request))
+                self.open_calls[call] = (now + CALL_SECONDS, entry_vm, pending)
+                self.post(entry_vm.id, pending.home, (call, pending.request))
         self.start_runs(entry_vm, now)
 
     def start_runs(self, entry_vm: SimulatedEntryVM, now: float) -> None:
-        """Use every credit, with work of up to two seconds."""
+        """Use every granted slot for a run of up to two seconds."""
         running = [run for run in self.runs if run[2] == entry_vm.id]
         pool = entry_vm.state.get_pool(POOL)
         queue = fair_queue.get_partner_queue(pool, PARTNER)
@@ -185,18 +187,18 @@
 
     def post(self, sender: EntryVMId, receiver: EntryVMId, content: object) -> None:
         delay = self.rng.choice(self.delays)
-        letter = (sender, receiver, content)
+        delivery = (sender, receiver, content)
         due = self.clock.now() + delay
-        heapq.heappush(self.mail, (due, self.rng.getrandbits(60), letter))
+        heapq.heappush(self.undelivered, (due, self.rng.getrandbits(60), delivery))
 
     def deliver(self, now: float) -> None:
-        while self.mail and self.mail[0][0] <= now:
-            _, _, (sender, receiver, content) = heapq.heappop(self.mail)
+        while self.undelivered and self.undelivered[0][0] <= now:
+            _, _, (sender, receiver, content) = heapq.heappop(self.undelivered)
             target = self.entry_vms[receiver]
             if now < target.frozen_until:
-                # The kernel keeps it until the process runs again.
+                # The kernel buffers the message until the process runs again.
                 heapq.heappush(
-                    self.mail,
+                    self.undelivered,
                     (target.frozen_until + TICK_SECONDS, self.rng.getrandbits(60),
                      (sender, receiver, content)),
                 )  # fmt: skip
@@ -204,18 +206,18 @@
             self.receive(sender, target, content)
 
     def receive(self, sender: EntryVMId, target: SimulatedEntryVM, content) -> None:
-        if self.is_cut(sender, target.id) or not target.alive:
+        if self.is_partitioned(sender, target.id) or not target.alive:
             return
         call, message = content
         if isinstance(message, peer_pb2.SlotRequest):
             reply = target.exchange.answer(message)
             self.post(target.id, sender, (call, reply))
         elif call in self.open_calls:
-            _, entry_vm, asking = self.open_calls.pop(call)
-            entry_vm.exchange.take_reply(asking, message)
+            _, entry_vm, pending = self.open_calls.pop(call)
+            entry_vm.exchange.apply_reply(pending, message)
 
-    def hurt(self) -> None:
-        """Bring about one random fault, or heal one."""
+    def inject_fault(self) -> None:
+        """Inject one random fault, or remove existing ones."""
         one, other = self.rng.sample(self.ids, 2)
         match self.rng.randrange(6):
             case 0:
@@ -228,14 +230,14 @@
             case 2 if not self.entry_vms[one].alive:
                 self.entry_vms[one] = self.start(one)
             case 3:
-                self.cuts.add((one, other))
+                self.partitions.add((one, other))
             case 4:
-                self.cuts |= {(one, other), (other, one)}
+                self.partitions |= {(one, other), (other, one)}
             case 5:
-                self.cuts.clear()
+                self.partitions.clear()
 
     def heal(self) -> None:
-        self.cuts.clear()
+        self.partitions.clear()
         self.delays = [0.002]
         for each in self.ids:
             self.entry_vms[each].frozen_until = 0.0
@@ -246,15 +248,15 @@
 @pytest.mark.parametrize("entry_vms", [2, 3, 5])
 @pytest.mark.parametrize("seed", range(8))
 def test_no_upstream_gets_more_work_than_slots(seed, entry_vms):
-    """Entry VMs freeze, die, restart and lose each other in one direction or
-    both, while requests for slots are late or lost. Whoever believes to be
-    home grants; all grants together never pass the eight slots. After the
-    faults every slot comes back into use."""
+    """Entry VMs freeze, crash, restart and are partitioned from each other in one or
+    both directions, while requests for slots are delayed or lost. Several entry VMs
+    may act as home at once, but all grants together never exceed the eight slots.
+    After the faults every slot is used again."""
     fleet = Fleet(seed, entry_vms)
     for _ in range(1200):
         fleet.step()
         if fleet.rng.random() < 0.03:
-            fleet.hurt()
+            fleet.inject_fault()
     assert fleet.most_running <= SLOTS
     fleet.heal()
     for _ in range(200):
@@ -269,19 +271,19 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_upstream_gets_more_work_than_slots_while_another_zone_borrows(seed):
-    """Guards against a new home that grants what its former one has lent."""
+    """Guards against a new home that grants slots lent by the previous home."""
     fleet = Fleet(seed, entry_vms=5, borrowers=2)
     for _ in range(1200):
         fleet.step()
         if fleet.rng.random() < 0.03:
-            fleet.hurt()
+            fleet.inject_fault()
     assert fleet.most_running <= SLOTS
 
 
-def test_sign_of_leaving_stops_work_everywhere_within_a_second():
-    """One entry VM alone sees that an upstream VM leaves, while the list goes
-    on to show it as live. The VM's home is told with the next wish for slots
-    and grants no more; soon nobody can send it anything."""
+def test_leaving_upstream_gets_no_work_from_any_entry_vm_after_a_second():
+    """Only one entry VM learns that an upstream VM is leaving, and the list still
+    shows it as live. The next request for slots informs the VM's home, which stops
+    granting; within a second no entry VM may send requests to the VM."""
     fleet = Fleet(seed=1, entry_vms=4)
     fleet.delays = [0.002]
     for _ in range(120):
@@ -297,11 +299,11 @@
         assert entry_vm.state.upstreams.upstreams_by_id[leaving].credit == 0
 
 
-def test_last_entry_vm_of_a_zone_has_slots_for_what_is_in_flight_while_it_stops():
-    """A request was in flight when the only entry VM of its zone was told to end,
-    and its first try was given up. An entry VM that stops counts itself as gone, so
-    nobody was home of the zone's upstream VMs and no slot came for the second try:
-    the caller heard 503 with outcome unknown when its deadline had passed."""
+def test_stopping_last_entry_vm_of_a_zone_keeps_slots_for_requests_in_flight():
+    """Guards against requests in flight that get no slot for a retry when the only
+    entry VM of a zone stops. If it did not count itself while stopping, the zone's
+    upstream VMs would have no home, and after its deadline the caller would get 503
+    with outcome unknown."""
     fleet = Fleet(seed=1, entry_vms=1)
     for _ in range(120):
         fleet.step()
@@ -314,14 +316,14 @@
 
 
 def test_entry_vm_keeps_slots_of_its_own_zone_while_others_borrow_from_it():
-    """Guards against a new home that takes its loans to other zones off twice."""
+    """Guards against a new home that subtracts its loans to other zones twice."""
     fleet = Fleet(seed=1, entry_vms=3, borrowers=2)
     fleet.delays = [0.002]
     home = fleet.entry_vms[fleet.ids[0]]
     for _ in range(70):
         fleet.step()
     for other in fleet.ids[1:]:
-        fleet.cuts |= {(home.id, other), (other, home.id)}
+        fleet.partitions |= {(home.id, other), (other, home.id)}
     usable = []
     for _ in range(40):
         fleet.step()
