--- a/packages/bench/src/medlarspring_bench/experiment/mechanisms.py
+++ b/packages/bench/src/medlarspring_bench/experiment/mechanisms.py
@@ -63,7 +63,7 @@
     Mechanism(
         "arrivals-at-takeover",
         job_feed.JobFeed,
-        "_find_arrival",
+        "_find_arrival_time",
         _arrive_now,
         "a controller that loads jobs in the middle of a turn",
     ),
@@ -78,14 +78,14 @@
     Mechanism(
         "reserve",
         pool_needs,
-        "TIGHT_PART",
+        "LOW_SLACK_SIZE_RATIO",
         0.0,
         "the first second and a half of a turn of short jobs",
     ),
     Mechanism(
         "kept-need",
         pool_sizing,
-        "NEED_SECONDS",
+        "NEED_WINDOW_SECONDS",
         0.0,
         "demand that falls for a moment and rises again",
     ),
