--- a/packages/bench/src/medlarspring_bench/measure/requests_entry_vm.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_entry_vm.py
@@ -72,14 +72,14 @@
             return
         usable = self.state.count_usable_slots(POOL, now)
         queue = fair_queue.get_partner_queue(pool, request.partner_id)
-        room = admission.WaitingRoom(MAX_WAITING, pool.waiting, queue.waiting)
+        room = admission.QueueOccupancy(MAX_WAITING, pool.waiting, queue.waiting)
         refusal = admission.check_admission(pool, request, usable, room, now)
         if refusal is not None:
             self.fleet.note_refused(request)
             return
         fair_queue.enqueue(pool, request)
         self.exchange.want(POOL)
-        left = request.deadline - now - admission.expect_service(pool)
+        left = request.deadline - now - admission.estimate_service_time(pool)
         self.fleet.at(max(0.0, left), lambda: self._expire(request))
 
     def pump(self) -> None:
--- a/packages/cli/src/medlarspring_cli/commands/table_export.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_export.py
@@ -9,7 +9,7 @@
 from medlarspring_adapters.operator_api import TableAnswer
 from medlarspring_cli.commands.operator_command import OperatorCommand
 from medlarspring_cli.errors import UsageFault
-from medlarspring_systems.table_csv import write_sheet
+from medlarspring_systems.table_csv import format_csv
 
 
 class TableExportCommand(OperatorCommand):
@@ -29,7 +29,7 @@
         if self.wants_json:
             self.print_json(shown.table)
             return 0
-        sheet = write_sheet(shown.table)
+        sheet = format_csv(shown.table)
         path = self.option("output")
         if path is None:
             self.print_text(sheet.rstrip("\n"))
--- a/packages/cli/src/medlarspring_cli/commands/table_republish.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_republish.py
@@ -4,7 +4,7 @@
 
 from medlarspring_adapters.operator_api import EditAnswer
 from medlarspring_cli.commands.edit_command import EDIT_OPTIONS, EditCommand
-from medlarspring_systems.table_republish import Republish
+from medlarspring_systems.table_republish import RepublishRequest
 
 
 class TableRepublishCommand(EditCommand):
@@ -17,7 +17,7 @@
 
     def act(self) -> int:
         """Ask the daemon to write the table that it has in force."""
-        wish = Republish(
+        wish = RepublishRequest(
             id=self.create_edit_id(),
             operator=self.find_operator(),
             note=self.option("note") or "",
--- a/packages/daemon/src/medlarspring_daemon/callers/claims.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/claims.py
@@ -89,7 +89,7 @@
         if running is not None:
             if running == digest:
                 return Failure(claims.IN_PROGRESS)
-            return Failure(claims.promise_nothing(claims.KEY_CONFLICT))
+            return Failure(claims.with_unknown_outcome(claims.KEY_CONFLICT))
         self._digest_by_key[key] = digest
         claimed = False
         try:
@@ -182,17 +182,17 @@
         """Judge the claim that stands; None if it may be taken over."""
         standing = msgspec.json.decode(found.value, type=Claim)
         digest = claim.request_digest
-        verdict = claims.judge_claim(standing, claim.attempt_id, digest)
+        verdict = claims.evaluate_claim(standing, claim.attempt_id, digest)
         match verdict:
-            case claims.Verdict.OURS:
+            case claims.ClaimDecision.OWN_CLAIM:
                 return Success(Ticket(found.key, claim, found.mod_revision))
-            case claims.Verdict.REPLAY:
+            case claims.ClaimDecision.REPLAY:
                 assert standing.answer is not None
                 return Success(standing.answer)
-            case claims.Verdict.TAKE_OVER:
+            case claims.ClaimDecision.TAKE_OVER:
                 return None
         wall = self._node.clock.wall()
-        return Failure(claims.refuse_claimed(standing, digest, wall))
+        return Failure(claims.build_claim_refusal(standing, digest, wall))
 
     async def _write(
         self, key: str, claim: Claim, expected: Revision, lease_id: LeaseId | None
--- a/packages/daemon/src/medlarspring_daemon/callers/dispatch.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/dispatch.py
@@ -163,7 +163,7 @@
         now: Seconds,
     ) -> Turn:
         upstream.in_use += 1
-        upstream_health.begin_work(upstream)
+        upstream_health.mark_probe(upstream)
         fair_queue.begin(pool, request.partner_id, now)
         return Turn(request, upstream, pool, now)
 
@@ -174,7 +174,7 @@
         if not any(takes_new_work(upstream, now) for upstream in upstreams):
             return _NO_UPSTREAM
         usable = self._state.count_usable_slots(request.pool_id, now)
-        room = admission.WaitingRoom(
+        room = admission.QueueOccupancy(
             self._max_waiting,
             len(self._waiters),
             self._waiting_by_partner[request.partner_id],
@@ -213,7 +213,7 @@
         elif answer.done() and not answer.cancelled():
             turn = answer.result().value_or(None)
             if turn is not None:
-                upstream_health.note_no_verdict(turn.upstream)
+                upstream_health.end_inconclusive_probe(turn.upstream)
                 self.release(turn)
 
     def _add_waiter(self, request: CallerRequest, waiter: Waiter) -> None:
@@ -231,7 +231,7 @@
     def _start_timer(
         self, pool: PoolQueue, request: CallerRequest, now: Seconds
     ) -> asyncio.TimerHandle:
-        left = request.deadline - now - admission.expect_service(pool)
+        left = request.deadline - now - admission.estimate_service_time(pool)
         loop = asyncio.get_running_loop()
         return loop.call_later(max(0.0, left), self._expire, pool, request)
 
--- a/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
@@ -135,7 +135,7 @@
         if now >= upstream.credit_until or now >= row.deadline:
             # The process was frozen or held up since the slot was given. The
             # slot may be another's by now, so it must not be used.
-            upstream_health.note_no_verdict(upstream)
+            upstream_health.end_inconclusive_probe(upstream)
             self._dispatcher.release(turn)
             return Failure(AttemptFailure(_SLOT_LAPSED, not_run=True))
         linger = retry.choose_linger(turn.pool)
@@ -164,7 +164,7 @@
             linger = 0.0
             return result
         except asyncio.CancelledError:
-            upstream_health.note_no_verdict(upstream)
+            upstream_health.end_inconclusive_probe(upstream)
             raise
         finally:
             self._dispatcher.release(turn, linger)
@@ -184,7 +184,7 @@
             self._reports.note_leaving(turn.upstream.id, 0.0, "answer")
         if answer.status == REFUSES and state is not None:
             answer.close()
-            upstream_health.note_no_verdict(turn.upstream)
+            upstream_health.end_inconclusive_probe(turn.upstream)
             if state != "leaving":
                 turn.upstream.credit_until = min(turn.upstream.credit_until, now)
             return Failure(AttemptFailure(_UPSTREAM_REFUSED, not_run=True))
@@ -208,7 +208,7 @@
             )
         config = self._node.config
         if config is not None:
-            retry.earn(budget, config.fleet.retry_percent)
+            retry.add_retry_tokens(budget, config.fleet.retry_percent)
         return Success(passed)
 
     async def _pass_large(
@@ -239,9 +239,11 @@
         upstreams = self._state.list_upstreams(turn.pool.pool_id)
         now = self._node.clock.now()
         if ok:
-            aside = upstream_health.note_success(turn.upstream, upstreams, latency, now)
+            aside = upstream_health.record_success(
+                turn.upstream, upstreams, latency, now
+            )
         else:
-            aside = upstream_health.note_failure(turn.upstream, upstreams, now)
+            aside = upstream_health.record_failure(turn.upstream, upstreams, now)
         if aside:
             self._node.log.warning(
                 Event.UPSTREAM_SET_ASIDE,
@@ -252,7 +254,7 @@
 
     def _judge_fault(self, turn: Turn, fault: UpstreamFault) -> AttemptFailure:
         if fault.old_connection:
-            upstream_health.note_no_verdict(turn.upstream)
+            upstream_health.end_inconclusive_probe(turn.upstream)
         else:
             self._judge_answer(turn, ok=False, latency=0.0)
         not_run = fault.reached is Reached.NO
--- a/packages/daemon/src/medlarspring_daemon/callers/keyed.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/keyed.py
@@ -10,7 +10,7 @@
 from returns.result import Failure, Result, Success
 
 from medlarspring_daemon.callers.claims import ClaimBook, Ticket
-from medlarspring_systems.claims import keep_answer
+from medlarspring_systems.claims import build_claimed_answer
 from medlarspring_tables.requests import Outcome
 
 if TYPE_CHECKING:
@@ -68,7 +68,9 @@
             response = answer.unwrap()
             assert isinstance(response, web.Response)
             assert isinstance(response.body, bytes)
-            kept = keep_answer(response.status, response.headers.items(), response.body)
+            kept = build_claimed_answer(
+                response.status, response.headers.items(), response.body
+            )
             await self._book.complete(ticket, kept)
         elif answer.failure().outcome is Outcome.NOT_RUN:
             await self._book.abandon(ticket)
--- a/packages/daemon/src/medlarspring_daemon/callers/reports.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/reports.py
@@ -57,7 +57,7 @@
         elapsed = now - self._reported_at.get(peer, now)
         self._reported_at[peer] = now
         for usage in report.usage:
-            fair_queue.take_peer_usage(
+            fair_queue.record_peer_usage(
                 self._state.get_pool(PoolId(usage.pool)),
                 peer,
                 PartnerId(usage.partner),
--- a/packages/daemon/src/medlarspring_daemon/callers/service.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/service.py
@@ -26,7 +26,7 @@
 from medlarspring_daemon.callers.records import CallerRecords
 from medlarspring_daemon.callers.reports import CallerReports
 from medlarspring_daemon.callers.state import CallerState
-from medlarspring_systems.claims import promise_nothing
+from medlarspring_systems.claims import with_unknown_outcome
 from medlarspring_systems.routing import count_idle_connections
 
 if TYPE_CHECKING:
@@ -140,7 +140,7 @@
         if not is_successful(read):
             refusal = read.failure()
             if names_key(request):
-                refusal = promise_nothing(refusal)
+                refusal = with_unknown_outcome(refusal)
             return self._refuse(refusal, request_id)
         row = read.unwrap()
         exchange = Exchange(row, create_upstream_headers(request, row), request)
--- a/packages/daemon/src/medlarspring_daemon/callers/slot_exchange.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/slot_exchange.py
@@ -14,7 +14,7 @@
 from medlarspring_adapters import peer_pb2
 from medlarspring_daemon.callers.slot_home import SlotHome
 from medlarspring_systems import slots
-from medlarspring_systems.leaving import keep_floor, takes_new_work
+from medlarspring_systems.leaving import restore_emptied_pool, takes_new_work
 from medlarspring_tables import EntryVMId, PoolId, VMId, ZoneId
 from medlarspring_tables.slots import EntryVMView, Vote
 
@@ -106,7 +106,7 @@
             self._state.refresh()
             self._renewed_all_at = self._renewed_at = self._hurried_at = now
             for upstreams in by_pool.values():
-                keep_floor(upstreams, now)
+                restore_emptied_pool(upstreams, now)
             return list(self._state.upstreams.upstreams_by_id.values())
         if now - self._renewed_at >= self._policy.renew_seconds:
             self._renewed_at = self._hurried_at = now
@@ -204,7 +204,7 @@
         for upstream in upstreams:
             group = groups.get(upstream.zone_id)
             if group is None:
-                group = slots.list_group(upstream.zone_id, views)
+                group = slots.list_voters(upstream.zone_id, views)
                 groups[upstream.zone_id] = group
             home = slots.choose_home(upstream.id, group)
             if any(view.id == self._node.id for view in group):
--- a/packages/daemon/src/medlarspring_daemon/callers/slot_home.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/slot_home.py
@@ -76,8 +76,8 @@
                 parts_by_pool[key] = parts
             ledger = self._table.ledgers_by_vm.setdefault(upstream.id, SlotLedger())
             if wish.backs and echoed_at is not None:
-                slots.take_vote(ledger, asker, echoed_at)
-            group = slots.list_group(upstream.zone_id, views)
+                slots.record_vote(ledger, asker, echoed_at)
+            group = slots.list_voters(upstream.zone_id, views)
             capacity = slots.count_capacity(
                 ledger,
                 upstream.slots,
@@ -91,7 +91,7 @@
             granted = slots.grant(
                 ledger,
                 asker,
-                slots.Wish(upstream.id, wish.in_use, wish.held),
+                slots.SlotDemand(upstream.id, wish.in_use, wish.held),
                 target=target.get(asker, 0) if takes_new_work(upstream, now) else 0,
                 capacity=capacity,
                 dead=dead,
@@ -102,7 +102,7 @@
                 vm=upstream.id,
                 slots=granted,
                 ttl_ms=int(self._policy.grant_seconds * 1000),
-                foreign=slots.count_foreign(ledger, group, now, self._policy),
+                foreign=slots.count_lent_outside(ledger, group, now, self._policy),
             )
         return reply
 
@@ -140,7 +140,7 @@
                 counts[PartnerId(usage.partner)] = usage.waiting + usage.running
         for pool_id, counts in counts_by_pool.items():
             asker = EntryVMId(request.sender)
-            slot_shares.take_demand(self._table, pool_id, asker, counts, now)
+            slot_shares.record_demand(self._table, pool_id, asker, counts, now)
 
     def _divide(self, upstream: Upstream, now: Seconds) -> dict[EntryVMId, float]:
         config = self._node.config
--- a/packages/daemon/src/medlarspring_daemon/callers/state.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/state.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from medlarspring_systems import fair_queue
-from medlarspring_systems.routing import adopt_vm_list
+from medlarspring_systems.routing import update_upstreams
 from medlarspring_tables import ZoneId
 from medlarspring_tables.requests import PoolQueue
 from medlarspring_tables.upstreams import UpstreamTable
@@ -37,20 +37,20 @@
         node = self.node
         if node.vm_list is not self._vm_list and node.vm_list is not None:
             self._vm_list = node.vm_list
-            adopt_vm_list(self.upstreams, node.vm_list)
+            update_upstreams(self.upstreams, node.vm_list)
             self.own_pools = frozenset(
                 upstream.pool_id
                 for upstream in self.upstreams.upstreams_by_id.values()
                 if upstream.zone_id == self.zone_id
             )
             for pool in self.pools_by_id.values():
-                fair_queue.keep_peers(pool, node.vm_list.entry_vms_by_id)
+                fair_queue.remove_departed_peers(pool, node.vm_list.entry_vms_by_id)
             for listener in self.list_listeners:
                 listener(node.vm_list)
         if node.config is not self._config and node.config is not None:
             self._config = node.config
             for pool in self.pools_by_id.values():
-                fair_queue.adopt_config(pool, node.config)
+                fair_queue.apply_partner_config(pool, node.config)
 
     def get_pool(self, pool_id: PoolId) -> PoolQueue:
         """Return the queue of a pool, creating it at first use."""
@@ -59,7 +59,7 @@
             pool = PoolQueue(pool_id)
             self.pools_by_id[pool_id] = pool
             if self._config is not None:
-                fair_queue.adopt_config(pool, self._config)
+                fair_queue.apply_partner_config(pool, self._config)
         return pool
 
     def list_upstreams(self, pool_id: PoolId) -> list[Upstream]:
--- a/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
@@ -15,12 +15,12 @@
 from medlarspring_systems.backoff import plan_retry
 from medlarspring_systems.distribution import (
     Distribution,
+    OfferResult,
     Source,
-    Verdict,
-    choose_fetch,
+    choose_fetch_peer,
     is_watcher,
+    offer_pending,
     offer_table,
-    release_held,
 )
 from medlarspring_tables import ConfigTable, Revision, ZoneId
 
@@ -47,7 +47,7 @@
         self._lost = False
         self._short_watches = 0
         self.is_watching = False
-        self._store_state: Verdict | None = None
+        self._store_state: OfferResult | None = None
         self.distribution = Distribution()
         node.offer_table = self.take_accepted
         node.status_sources.append(self._find)
@@ -92,10 +92,10 @@
         """Until a table is in force, see whether the peers were asked."""
         while self.distribution.in_force is None:
             self.distribution.peers_asked = self._peers.has_asked_zone()
-            held = self.distribution.held
-            verdict = release_held(self.distribution, self._node.clock.now())
-            if held is not None and verdict is not None:
-                self._settle(verdict, held, Source.STORE)
+            pending_table = self.distribution.pending_table
+            verdict = offer_pending(self.distribution, self._node.clock.now())
+            if pending_table is not None and verdict is not None:
+                self._settle(verdict, pending_table, Source.STORE)
             await asyncio.sleep(TICK_SECONDS / 5)
         await asyncio.Event().wait()
 
@@ -192,7 +192,7 @@
             known = Revision(0)
             if self.distribution.in_force is not None:
                 known = self.distribution.in_force.revision
-            chosen = choose_fetch(
+            chosen = choose_fetch_peer(
                 known,
                 self._peers.heard_by_id,
                 ZoneId(self._node.settings.entry_vm.zone),
@@ -222,7 +222,7 @@
     def _take_absent(self) -> None:
         """The store has no table: a new fleet, or one that was emptied."""
         if self.distribution.in_force is None:
-            self._note_store(Verdict.SAME, Event.STORE_HAS_NO_TABLE, Revision(0))
+            self._note_store(OfferResult.SAME, Event.STORE_HAS_NO_TABLE, Revision(0))
             return
         self._offer(ConfigTable(), Source.STORE)
 
@@ -230,14 +230,14 @@
         now = self._node.clock.now()
         self._settle(offer_table(self.distribution, table, source, now), table, source)
 
-    def _settle(self, verdict: Verdict, table: ConfigTable, source: Source) -> None:
-        if source is Source.STORE and verdict is Verdict.OLDER:
+    def _settle(self, verdict: OfferResult, table: ConfigTable, source: Source) -> None:
+        if source is Source.STORE and verdict is OfferResult.OLDER:
             self._note_store(verdict, Event.STORE_TABLE_OLDER, table.revision)
-        elif source is Source.STORE and verdict is Verdict.DIVERGED:
+        elif source is Source.STORE and verdict is OfferResult.DIVERGED:
             self._note_store(verdict, Event.STORE_TABLE_DIVERGED, table.revision)
         elif source is Source.STORE:
             self._store_state = verdict
-        if verdict is not Verdict.TAKEN:
+        if verdict is not OfferResult.ACCEPTED:
             return
         self._node.config = table
         self._node.log.info(
@@ -246,7 +246,9 @@
         for listener in self._node.config_listeners:
             listener(table)
 
-    def _note_store(self, verdict: Verdict, event: Event, revision: Revision) -> None:
+    def _note_store(
+        self, verdict: OfferResult, event: Event, revision: Revision
+    ) -> None:
         """Log a state of the store's table once, not at each read."""
         if self._store_state is verdict:
             return
--- a/packages/daemon/src/medlarspring_daemon/configuration/table_editor.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/table_editor.py
@@ -27,7 +27,7 @@
 )
 from medlarspring_daemon.configuration.stored_table import StoredTable, decode_stored
 from medlarspring_systems.table_edit import AcceptedChange, TableEdit, apply_edit
-from medlarspring_systems.table_republish import Republish, republish
+from medlarspring_systems.table_republish import RepublishRequest, republish
 from medlarspring_tables import ConfigTable, MedlarspringError, Revision
 from medlarspring_tables.audit import format_audit_key
 
@@ -117,7 +117,7 @@
         return await self._accept_in_turn(change)
 
     async def republish(
-        self, wish: Republish, origin: str
+        self, wish: RepublishRequest, origin: str
     ) -> Result[AcceptedChange, MedlarspringError]:
         """Put the table in force back into a store that holds an older one."""
         in_force = self._table_in_force()
--- a/packages/daemon/src/medlarspring_daemon/configuration/table_routes.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/table_routes.py
@@ -19,9 +19,9 @@
     read_body,
     unwrap_or_refuse,
 )
-from medlarspring_systems.table_csv import plan_import, read_sheet, write_sheet
+from medlarspring_systems.table_csv import format_csv, parse_csv, plan_import
 from medlarspring_systems.table_edit import TableEdit
-from medlarspring_systems.table_republish import Republish
+from medlarspring_systems.table_republish import RepublishRequest
 from medlarspring_tables import EditId
 
 if TYPE_CHECKING:
@@ -57,7 +57,7 @@
 
     async def _export(self, request: web.Request) -> web.Response:
         shown = await self._read()
-        return web.Response(text=write_sheet(shown.table), content_type="text/csv")
+        return web.Response(text=format_csv(shown.table), content_type="text/csv")
 
     async def _edit(self, request: web.Request) -> web.Response:
         edit = await read_body(request, TableEdit)
@@ -67,7 +67,7 @@
         return self._answer_change(edit.id, edit.operator, result)
 
     async def _republish(self, request: web.Request) -> web.Response:
-        wish = await read_body(request, Republish)
+        wish = await read_body(request, RepublishRequest)
         result = await self._editor.republish(wish, self._describe_origin(request))
         return self._answer_change(wish.id, wish.operator, result)
 
@@ -110,7 +110,7 @@
             text = (await request.read()).decode("utf-8")
         except UnicodeDecodeError:
             raise Refusal(BadRequest("The sheet is not UTF-8; save it so.")) from None
-        sheet = unwrap_or_refuse(read_sheet(text))
+        sheet = unwrap_or_refuse(parse_csv(text))
         stored = unwrap_or_refuse(await self._editor.read())
         rows = plan_import(stored.table, sheet)
         if not rows:
--- a/packages/daemon/src/medlarspring_daemon/fleet/vm_list_service.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/vm_list_service.py
@@ -10,7 +10,7 @@
 from medlarspring_adapters.events import Event
 from medlarspring_adapters.vm_list import create_vm_list_client
 from medlarspring_daemon.tasks import Tasks
-from medlarspring_systems.vm_list_view import VMListView, take_answer
+from medlarspring_systems.vm_list_view import VMListView, apply_answer
 
 if TYPE_CHECKING:
     from medlarspring_adapters.vm_list import VMListClient
@@ -59,7 +59,7 @@
             self._node.log.info(Event.VM_LIST_BACK)
         self._lost = False
         vm_list = answer.unwrap()
-        if not take_answer(self._view, vm_list):
+        if not apply_answer(self._view, vm_list):
             vms = len(vm_list.vms_by_id)
             self._node.log.warning(Event.VM_LIST_DOUBTFUL, vms=vms)
             return
--- a/packages/daemon/src/medlarspring_daemon/jobs/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/controller.py
@@ -32,7 +32,7 @@
 )
 from medlarspring_systems.placement import place_jobs
 from medlarspring_systems.preemption import plan_preemptions
-from medlarspring_systems.size_beliefs import correct_attempt_size
+from medlarspring_systems.size_estimates import correct_attempt_size
 from medlarspring_tables import AttemptState, JobId, JobTables, Revision
 
 if TYPE_CHECKING:
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_answers.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_answers.py
@@ -28,7 +28,9 @@
         """Learn from one report."""
         ...
 
-    def note_bytes(self, sent: peer_pb2.Report, received: peer_pb2.Report) -> None:
+    def record_exchange_bytes(
+        self, sent: peer_pb2.Report, received: peer_pb2.Report
+    ) -> None:
         """Count what one exchange took."""
         ...
 
@@ -47,7 +49,7 @@
         """Take a peer's report and return the own one."""
         self._taker.take_report(report)
         reply = self._reports.build(EntryVMId(report.sender))
-        self._taker.note_bytes(reply, report)
+        self._taker.record_exchange_bytes(reply, report)
         return reply
 
     def grant_slots(self, request: peer_pb2.SlotRequest) -> peer_pb2.SlotReply:
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_service.py
@@ -22,7 +22,12 @@
 from medlarspring_daemon.membership.peer_reports import ReportBuilder, to_heartbeat
 from medlarspring_daemon.tasks import Tasks
 from medlarspring_systems import membership
-from medlarspring_systems.exchange import ExchangePlan, forget, list_due, note_bytes
+from medlarspring_systems.exchange import (
+    ExchangePlan,
+    forget,
+    list_due,
+    record_exchange_bytes,
+)
 from medlarspring_tables import EntryVMId, Member, MemberTable, Revision, ZoneId
 
 if TYPE_CHECKING:
@@ -178,7 +183,7 @@
         """Learn from one report, unless it is late or sent twice."""
         now = self._node.clock.now()
         heartbeat = to_heartbeat(report)
-        is_news, changes = membership.take_heartbeat(self.members, heartbeat, now)
+        is_news, changes = membership.apply_heartbeat(self.members, heartbeat, now)
         self._log_changes(changes)
         if not is_news:
             return
@@ -188,12 +193,14 @@
         if heartbeat.table_revision > known:
             self.news.set()
 
-    def note_bytes(self, sent: peer_pb2.Report, received: peer_pb2.Report) -> None:
+    def record_exchange_bytes(
+        self, sent: peer_pb2.Report, received: peer_pb2.Report
+    ) -> None:
         """Count what one exchange took."""
         exchanged = sent.ByteSize() + received.ByteSize() + FRAMING_BYTES
         self.bytes_exchanged += exchanged
         self.calls += 1
-        note_bytes(self._plan, exchanged)
+        record_exchange_bytes(self._plan, exchanged)
 
     async def _run(self) -> None:
         while True:
@@ -204,12 +211,12 @@
         now = self._node.clock.now()
         gap = now - self._ticked_at
         self._ticked_at = now
-        if gap > membership.FREEZE_SECONDS:
-            membership.note_freeze(self.members, gap, now)
+        if gap > membership.PAUSE_SECONDS:
+            membership.correct_for_pause(self.members, gap, now)
             self._node.log.warning(Event.FROZEN, seconds=round(gap, 3))
         vm_list = self._node.vm_list
         if vm_list is not None and vm_list is not self._list_taken:
-            membership.take_list(self.members, vm_list, now)
+            membership.apply_listed_members(self.members, vm_list, now)
             self._list_taken = vm_list
         self._log_changes(membership.tick(self.members, now))
         for member in list_due(self._plan, self.members, now, self._node.rng):
@@ -240,7 +247,7 @@
         if not isinstance(answer, Success):
             return
         reply = answer.unwrap()
-        self.note_bytes(report, reply)
+        self.record_exchange_bytes(report, reply)
         if reply.sender != member.id:
             # The platform gave the address to a new VM before its list says so.
             # Whoever had it is gone; waiting for its silence would keep its
--- a/packages/daemon/tests/callers/test_claim_histories.py
+++ b/packages/daemon/tests/callers/test_claim_histories.py
@@ -151,7 +151,7 @@
         if not self.is_alive(sent):
             return
         self.run_at_upstream(sent)
-        kept = claims.keep_answer(200, (), self.answers[sent.key])
+        kept = claims.build_claimed_answer(200, (), self.answers[sent.key])
         self.runner.run(self.books[sent.vm].complete(sent.ticket, kept))
 
     @rule(sent=consumes(sent))
@@ -220,8 +220,8 @@
             state=state,
         )
         if state is ClaimState.ABANDONED:
-            verdict = claims.judge_claim(standing, "b", "d")
-            assert verdict is claims.Verdict.TAKE_OVER
+            verdict = claims.evaluate_claim(standing, "b", "d")
+            assert verdict is claims.ClaimDecision.TAKE_OVER
             continue
-        refusal = claims.refuse_claimed(standing, "d", 1000.0)
+        refusal = claims.build_claim_refusal(standing, "d", 1000.0)
         assert refusal.outcome is not Outcome.NOT_RUN
--- a/packages/daemon/tests/test_table_editor.py
+++ b/packages/daemon/tests/test_table_editor.py
@@ -14,7 +14,7 @@
 from medlarspring_daemon.operators.audit_reader import read_audit
 from medlarspring_systems.audit import AuditFilter
 from medlarspring_systems.table_edit import RowAction, RowEdit, TableEdit
-from medlarspring_systems.table_republish import Republish
+from medlarspring_systems.table_republish import RepublishRequest
 from medlarspring_tables import ConfigTable, EditId, Revision, RowKind
 
 
@@ -235,7 +235,7 @@
     put = Put(TABLE_KEY, msgspec.json.encode(backup))
     await store.commit(Transaction(expects=(), writes=(put,)))
 
-    wish = Republish(id=EditId("back"), operator="asha")
+    wish = RepublishRequest(id=EditId("back"), operator="asha")
     change = (await desk.editor.republish(wish, "test")).unwrap()
     assert change.revision == 4
     assert {row.id for row in change.record.changes} == {"a", "b", "c"}
@@ -243,7 +243,7 @@
     assert again.record is None
     assert (await desk.accept(add_pool("d"))).unwrap().revision == 5
 
-    other = Republish(id=EditId("other"), operator="asha")
+    other = RepublishRequest(id=EditId("other"), operator="asha")
     refusal = (await desk.editor.republish(other, "test")).failure()
     assert refusal.code == "store-current"
 
--- a/packages/systems/src/medlarspring_systems/admission.py
+++ b/packages/systems/src/medlarspring_systems/admission.py
@@ -18,19 +18,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class WaitingRoom:
+class QueueOccupancy:
     """How many requests wait in this process, over all services."""
 
-    places: int
-    taken: int
-    taken_by_partner: int
+    max_waiting: int
+    total_waiting: int
+    partner_waiting: int
 
 
 def check_admission(
     pool: PoolQueue,
     request: CallerRequest,
     usable_slots: int,
-    room: WaitingRoom,
+    occupancy: QueueOccupancy,
     now: Seconds,
 ) -> Refusal | None:
     """Return why a request that would have to wait is refused, if it is.
@@ -41,14 +41,14 @@
     queue = get_partner_queue(pool, request.partner_id)
     wait = estimate_wait(pool, queue, request.urgency, usable_slots)
     if (
-        not _is_full(pool, queue, room)
-        and now + wait + expect_service(pool) <= request.deadline
+        not _is_full(pool, queue, occupancy)
+        and now + wait + estimate_service_time(pool) <= request.deadline
     ):
         return None
     return refuse_for_load(pool, queue, wait)
 
 
-def expect_service(pool: PoolQueue) -> Seconds:
+def estimate_service_time(pool: PoolQueue) -> Seconds:
     """Return the time within which most requests are answered once sent.
 
     Begun with the mean time left, nearly half would miss their deadline, and
@@ -110,24 +110,24 @@
     )
 
 
-def _is_full(pool: PoolQueue, queue: PartnerQueue, room: WaitingRoom) -> bool:
+def _is_full(pool: PoolQueue, queue: PartnerQueue, occupancy: QueueOccupancy) -> bool:
     """Whether the partner's part of the places is taken, or all of them are.
 
     Each partner's part goes by weight, so that one partner's flood over all
     services never takes the places of the others.
     """
-    if room.taken >= room.places:
+    if occupancy.total_waiting >= occupancy.max_waiting:
         return True
     part = queue.weight / max(pool.total_weight, queue.weight)
-    bound = max(MIN_WAITING_PER_PARTNER, int(room.places * part))
-    return room.taken_by_partner >= bound
+    bound = max(MIN_WAITING_PER_PARTNER, int(occupancy.max_waiting * part))
+    return occupancy.partner_waiting >= bound
 
 
 __all__ = [
-    "WaitingRoom",
+    "QueueOccupancy",
     "check_admission",
     "estimate_wait",
-    "expect_service",
+    "estimate_service_time",
     "is_over_share",
     "refuse_for_load",
 ]
--- a/packages/systems/src/medlarspring_systems/audit.py
+++ b/packages/systems/src/medlarspring_systems/audit.py
@@ -19,7 +19,7 @@
 KEPT_REVISIONS = 20_000
 """Records of this many table revisions are kept, unless they are too old."""
 KEPT_SECONDS = 90 * 86_400.0
-KEPT_WHATEVER_AGE = 1_000
+ALWAYS_KEPT_REVISIONS = 1_000
 """Records of this many table revisions stay, however old they seem to be."""
 MAX_DELETES = 50
 """Records that one write removes; the store bounds a transaction."""
@@ -71,7 +71,7 @@
         return True
     # An entry VM whose clock is wrong by months would take the whole trail for
     # too old. What it can remove is bounded: the newest records always stay.
-    if record.revision > newest - KEPT_WHATEVER_AGE:
+    if record.revision > newest - ALWAYS_KEPT_REVISIONS:
         return False
     return record.at < now - KEPT_SECONDS
 
@@ -104,14 +104,14 @@
     """
     expired = [key for key, each in page.items() if has_expired(each, newest, now)]
     keys = tuple(expired[:MAX_DELETES])
-    is_passed = len(keys) == len(page) and mark.next_page < page_start(newest)
-    if not keys and not is_passed:
+    is_page_done = len(keys) == len(page) and mark.next_page < page_start(newest)
+    if not keys and not is_page_done:
         return None
     following = Revision(mark.next_page + PAGE_REVISIONS)
     return Trim(
         keys=keys,
         mark=TrimMark(
-            next_page=following if is_passed else mark.next_page,
+            next_page=following if is_page_done else mark.next_page,
             removed=mark.removed + len(keys),
         ),
     )
--- a/packages/systems/src/medlarspring_systems/claims.py
+++ b/packages/systems/src/medlarspring_systems/claims.py
@@ -28,14 +28,14 @@
 GRACE_SECONDS = 30.0
 """After the deadline and this time a claim without outcome is given up on."""
 MAX_KEPT_BODY_BYTES = 16_384
-KEPT_HEADERS = frozenset({"content-type", "location", "etag"})
+REPLAYED_HEADERS = frozenset({"content-type", "location", "etag"})
 IN_PROGRESS_RETRY_SECONDS = 1.0
 
 
-class Verdict(Enum):
+class ClaimDecision(Enum):
     """What to do about a claim that was found."""
 
-    OURS = "ours"
+    OWN_CLAIM = "ours"
     """The claim is this attempt's own: an earlier reply was lost."""
     REPLAY = "replay"
     TAKE_OVER = "take-over"
@@ -56,20 +56,20 @@
     return digest.hexdigest()
 
 
-def judge_claim(found: Claim, attempt_id: str, request_digest: str) -> Verdict:
+def evaluate_claim(found: Claim, attempt_id: str, request_digest: str) -> ClaimDecision:
     """Say what a request may do about the claim that stands."""
     if found.attempt_id == attempt_id:
-        return Verdict.OURS
+        return ClaimDecision.OWN_CLAIM
     if found.request_digest != request_digest:
-        return Verdict.REFUSE
+        return ClaimDecision.REFUSE
     if found.state is ClaimState.ABANDONED:
-        return Verdict.TAKE_OVER
+        return ClaimDecision.TAKE_OVER
     if found.answer is not None and found.answer.body is not None:
-        return Verdict.REPLAY
-    return Verdict.REFUSE
+        return ClaimDecision.REPLAY
+    return ClaimDecision.REFUSE
 
 
-def refuse_claimed(found: Claim, request_digest: str, wall: Seconds) -> Refusal:
+def build_claim_refusal(found: Claim, request_digest: str, wall: Seconds) -> Refusal:
     """Return the refusal for a claim that allows neither run nor replay."""
     if found.request_digest != request_digest:
         return KEY_CONFLICT
@@ -80,21 +80,23 @@
     return IN_PROGRESS
 
 
-def keep_answer(
+def build_claimed_answer(
     status: int, headers: Iterable[tuple[str, str]], body: bytes
 ) -> ClaimedAnswer:
     """Return what is kept of an answer for replays."""
     # Lower case also makes a plain string of the HTTP library's own kind of
     # string, which the store's codec does not know.
     kept = tuple(
-        (name.lower(), value) for name, value in headers if name.lower() in KEPT_HEADERS
+        (name.lower(), value)
+        for name, value in headers
+        if name.lower() in REPLAYED_HEADERS
     )
     if len(body) > MAX_KEPT_BODY_BYTES:
         return ClaimedAnswer(status=status, headers=kept)
     return ClaimedAnswer(status=status, headers=kept, body=body)
 
 
-def promise_nothing(refusal: Refusal) -> Refusal:
+def with_unknown_outcome(refusal: Refusal) -> Refusal:
     """Return a refusal of a key that was not looked up in the store.
 
     Only the store knows whether the key ran through another entry VM. Told "not
@@ -135,11 +137,11 @@
     "LEASE_PERIOD_SECONDS",
     "LEASE_SECONDS",
     "MAX_KEPT_BODY_BYTES",
-    "Verdict",
+    "ClaimDecision",
     "digest_request",
     "get_claim_key",
-    "judge_claim",
-    "keep_answer",
-    "promise_nothing",
-    "refuse_claimed",
+    "evaluate_claim",
+    "build_claimed_answer",
+    "with_unknown_outcome",
+    "build_claim_refusal",
 ]
--- a/packages/systems/src/medlarspring_systems/distribution.py
+++ b/packages/systems/src/medlarspring_systems/distribution.py
@@ -39,15 +39,15 @@
     PEER = "peer"
 
 
-class Verdict(Enum):
+class OfferResult(Enum):
     """What became of a table that was offered."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     SAME = "same"
     OLDER = "older"
     DIVERGED = "diverged"
     """Same revision, other content: the store was restored and edited anew."""
-    HELD = "held"
+    PENDING = "held"
     """Kept until peers were asked, at a cold start."""
 
 
@@ -63,7 +63,7 @@
     store_answered_at: Seconds | None = None
     store_older_since: Seconds | None = None
     """Since when the store has had an older or other table; for status."""
-    held: ConfigTable | None = None
+    pending_table: ConfigTable | None = None
     started_at: Seconds = 0.0
     peers_asked: bool = False
     """Whether each listed peer of the zone has answered or failed once."""
@@ -71,7 +71,7 @@
 
 def offer_table(
     distribution: Distribution, table: ConfigTable, source: Source, now: Seconds
-) -> Verdict:
+) -> OfferResult:
     """Put a table in force if it is newer than that in force.
 
     A lagging replica and a restored backup give well-formed answers that are
@@ -81,43 +81,45 @@
     if source is Source.STORE:
         distribution.store_revision = table.revision
         distribution.store_answered_at = now
-    verdict = _judge(distribution, table, source, now)
+    result = _compare_with_in_force(distribution, table, source, now)
     if source is Source.STORE:
-        _note_store(distribution, verdict, now)
-    if verdict is not Verdict.TAKEN:
-        return verdict
+        _update_store_older_since(distribution, result, now)
+    if result is not OfferResult.ACCEPTED:
+        return result
     distribution.in_force = table
     distribution.in_force_at = now
     distribution.source = source
-    distribution.held = None
-    return verdict
+    distribution.pending_table = None
+    return result
 
 
-def _judge(
+def _compare_with_in_force(
     distribution: Distribution, table: ConfigTable, source: Source, now: Seconds
-) -> Verdict:
+) -> OfferResult:
     in_force = distribution.in_force
     if in_force is None:
-        if source is Source.STORE and not may_start(distribution, now):
-            distribution.held = table
-            return Verdict.HELD
-        return Verdict.TAKEN
+        if source is Source.STORE and not may_use_store_table(distribution, now):
+            distribution.pending_table = table
+            return OfferResult.PENDING
+        return OfferResult.ACCEPTED
     if table.revision < in_force.revision:
-        return Verdict.OLDER
+        return OfferResult.OLDER
     if table.revision > in_force.revision:
-        return Verdict.TAKEN
-    return Verdict.SAME if table == in_force else Verdict.DIVERGED
+        return OfferResult.ACCEPTED
+    return OfferResult.SAME if table == in_force else OfferResult.DIVERGED
 
 
-def _note_store(distribution: Distribution, verdict: Verdict, now: Seconds) -> None:
-    if verdict not in (Verdict.OLDER, Verdict.DIVERGED):
+def _update_store_older_since(
+    distribution: Distribution, result: OfferResult, now: Seconds
+) -> None:
+    if result not in (OfferResult.OLDER, OfferResult.DIVERGED):
         distribution.store_older_since = None
         return
     if distribution.store_older_since is None:
         distribution.store_older_since = now
 
 
-def may_start(distribution: Distribution, now: Seconds) -> bool:
+def may_use_store_table(distribution: Distribution, now: Seconds) -> bool:
     """Return whether the store's word is enough for a process without a table.
 
     A new process has nothing to compare with, and the replica it asks may lag
@@ -129,19 +131,19 @@
     return now - distribution.started_at >= COLD_START_GRACE_SECONDS
 
 
-def release_held(distribution: Distribution, now: Seconds) -> Verdict | None:
+def offer_pending(distribution: Distribution, now: Seconds) -> OfferResult | None:
     """Offer the table held at a cold start once peers were asked."""
-    held = distribution.held
-    if held is None or not may_start(distribution, now):
+    pending_table = distribution.pending_table
+    if pending_table is None or not may_use_store_table(distribution, now):
         return None
-    distribution.held = None
-    return offer_table(distribution, held, Source.STORE, now)
+    distribution.pending_table = None
+    return offer_table(distribution, pending_table, Source.STORE, now)
 
 
 def is_watcher(
     own_id: EntryVMId,
     zone_id: ZoneId,
-    steady_in_zone: Iterable[Member],
+    stable_in_zone: Iterable[Member],
 ) -> bool:
     """Return whether this process should watch the store for its zone.
 
@@ -151,14 +153,14 @@
     """
     fit = [
         member.id
-        for member in steady_in_zone
+        for member in stable_in_zone
         if member.store_failing < STORE_FAILING_SECONDS
     ]
     ranked = rank(f"watch/{zone_id}", [own_id, *fit])
     return own_id in ranked[:WATCHERS_PER_ZONE]
 
 
-def choose_fetch(
+def choose_fetch_peer(
     known: Revision,
     heard_by_id: Mapping[EntryVMId, Member],
     own_zone_id: ZoneId,
@@ -180,10 +182,10 @@
 __all__ = [
     "Distribution",
     "Source",
-    "Verdict",
-    "choose_fetch",
+    "OfferResult",
+    "choose_fetch_peer",
     "is_watcher",
-    "may_start",
+    "may_use_store_table",
     "offer_table",
-    "release_held",
+    "offer_pending",
 ]
--- a/packages/systems/src/medlarspring_systems/exchange.py
+++ b/packages/systems/src/medlarspring_systems/exchange.py
@@ -18,16 +18,16 @@
 REMOTE_INTERVAL_SECONDS = 2.0
 MAX_REMOTE_INTERVAL_SECONDS = 4.0
 """Two and a half of them are the silence that counts as a loss across zones."""
-OVERDUE = 1.5
+OVERDUE_INTERVALS = 1.5
 """The side that does not call does so after so many silent intervals."""
-REACH_INTERVALS = 8
+MAX_CALL_INTERVALS = 8
 """Each side calls at least so seldom, so that a one-way cut is noticed."""
-UNHEARD_FACTOR = 3.0
+UNHEARD_INTERVAL_FACTOR = 3.0
 """Peers that are not heard are tried so much more seldom."""
 JITTER = 0.1
 BYTES_PER_SECOND = 6_000.0
 """Of the 8 KB/s a node may spend; the rest is for the table itself."""
-ZONE_PART = 0.5
+ZONE_BYTES_SHARE = 0.5
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
     """Both directions with framing; a moving average of what was measured."""
 
 
-def note_bytes(plan: ExchangePlan, exchanged: int) -> None:
+def record_exchange_bytes(plan: ExchangePlan, exchanged: int) -> None:
     """Learn what one exchange took."""
     plan.bytes_per_exchange += 0.05 * (exchanged - plan.bytes_per_exchange)
 
@@ -56,10 +56,10 @@
         if now < plan.next_at_by_id.get(member.id, 0.0):
             continue
         interval = near if member.zone_id == table.own_zone_id else remote
-        if not _is_ours_to_call(table, member, interval, now):
+        if not _should_call(table, member, interval, now):
             continue
         if member.state is not MemberState.ALIVE:
-            interval *= UNHEARD_FACTOR
+            interval *= UNHEARD_INTERVAL_FACTOR
         spread = rng.uniform(1 - JITTER, 1 + JITTER)
         plan.next_at_by_id[member.id] = now + interval * spread
         due.append(member)
@@ -72,7 +72,7 @@
         del plan.next_at_by_id[member_id]
 
 
-def _is_ours_to_call(
+def _should_call(
     table: MemberTable, member: Member, interval: Seconds, now: Seconds
 ) -> bool:
     """Return whether this side of the pair should call.
@@ -85,11 +85,11 @@
     pair = sorted([table.own_id, member.id])
     if rank("/".join(pair), pair)[0] == table.own_id:
         return True
-    if now - member.heard_at > OVERDUE * interval:
+    if now - member.heard_at > OVERDUE_INTERVALS * interval:
         return True
     if member.reached_at is None:
         return True
-    return now - member.reached_at > REACH_INTERVALS * interval
+    return now - member.reached_at > MAX_CALL_INTERVALS * interval
 
 
 def _plan_intervals(plan: ExchangePlan, table: MemberTable) -> tuple[Seconds, Seconds]:
@@ -105,7 +105,7 @@
     remote = len(table.members_by_id) - near
     near_bytes = near * plan.bytes_per_exchange
     near_interval = _clamp(
-        near_bytes / (ZONE_PART * BYTES_PER_SECOND),
+        near_bytes / (ZONE_BYTES_SHARE * BYTES_PER_SECOND),
         ZONE_INTERVAL_SECONDS,
         MAX_ZONE_INTERVAL_SECONDS,
     )
@@ -122,4 +122,4 @@
     return min(max(value, low), high)
 
 
-__all__ = ["ExchangePlan", "forget", "list_due", "note_bytes"]
+__all__ = ["ExchangePlan", "forget", "list_due", "record_exchange_bytes"]
--- a/packages/systems/src/medlarspring_systems/fair_queue.py
+++ b/packages/systems/src/medlarspring_systems/fair_queue.py
@@ -30,7 +30,7 @@
     )
     from medlarspring_tables.requests import CallerRequest
 
-MEMORY_SECONDS = 2.0
+USAGE_DECAY_SECONDS = 2.0
 """Time constant with which past use fades."""
 
 MAX_UNIT_EXPONENT = 200.0
@@ -39,7 +39,7 @@
 SMOOTHING = 0.05
 """Weight of one request in the smoothed service time."""
 
-PEER_SILENCE_SECONDS = 12.0
+PEER_USAGE_TIMEOUT_SECONDS = 12.0
 """A peer's waiting and running count for nothing after this silence; longer
 than the time in which unchanged figures are repeated."""
 
@@ -52,12 +52,12 @@
     queue = pool.queues_by_partner.get(partner_id)
     if queue is None:
         queue = PartnerQueue(partner_id)
-        _adopt_row(queue, pool.rows_by_partner.get(partner_id))
+        _apply_partner_row(queue, pool.rows_by_partner.get(partner_id))
         pool.queues_by_partner[partner_id] = queue
     return queue
 
 
-def adopt_config(pool: PoolQueue, config: ConfigTable) -> None:
+def apply_partner_config(pool: PoolQueue, config: ConfigTable) -> None:
     """Take over weights and limits of the table in force.
 
     Queues are made only for partners that ask: hundreds of partners in dozens
@@ -66,10 +66,10 @@
     pool.rows_by_partner = config.partners_by_id
     pool.total_weight = sum(row.weight for row in config.partners_by_id.values())
     for partner_id, queue in pool.queues_by_partner.items():
-        _adopt_row(queue, config.partners_by_id.get(partner_id))
+        _apply_partner_row(queue, config.partners_by_id.get(partner_id))
 
 
-def _adopt_row(queue: PartnerQueue, row: PartnerRow | None) -> None:
+def _apply_partner_row(queue: PartnerQueue, row: PartnerRow | None) -> None:
     if row is not None:
         queue.weight = row.weight
         queue.limit_percent = row.limit_percent
@@ -176,7 +176,7 @@
         usage.waiting + usage.running
         for (_, partner_id), usage in pool.peer_usage.items()
         if partner_id == queue.partner_id
-        and now - usage.reported_at < PEER_SILENCE_SECONDS
+        and now - usage.reported_at < PEER_USAGE_TIMEOUT_SECONDS
     )
     if not elsewhere:
         return max(1, int(allowed))
@@ -233,7 +233,7 @@
     """
     if pool.units_since is None:
         pool.units_since = now
-    exponent = (now - pool.units_since) / MEMORY_SECONDS
+    exponent = (now - pool.units_since) / USAGE_DECAY_SECONDS
     if exponent > MAX_UNIT_EXPONENT:
         _rebase(pool, exponent, now)
         exponent = 0.0
@@ -247,7 +247,7 @@
     pool.units_since = now
 
 
-def take_peer_usage(
+def record_peer_usage(
     pool: PoolQueue,
     peer: EntryVMId,
     partner_id: PartnerId,
@@ -267,12 +267,12 @@
         return
     # After a cut of minutes the whole use comes in one report. Only what is
     # recent counts, or the partner would be starved for long gone use.
-    recent = used * min(1.0, MEMORY_SECONDS / elapsed)
+    recent = used * min(1.0, USAGE_DECAY_SECONDS / elapsed)
     queue = get_partner_queue(pool, partner_id)
     queue.used += to_units(pool, recent, usage.reported_at)
 
 
-def keep_peers(pool: PoolQueue, peers: Collection[EntryVMId]) -> None:
+def remove_departed_peers(pool: PoolQueue, peers: Collection[EntryVMId]) -> None:
     """Forget peers that the VM list no longer shows."""
     pool.peer_usage = {
         key: usage for key, usage in pool.peer_usage.items() if key[0] in peers
@@ -280,17 +280,17 @@
 
 
 __all__ = [
-    "MEMORY_SECONDS",
-    "adopt_config",
+    "USAGE_DECAY_SECONDS",
+    "apply_partner_config",
     "begin",
     "count_allowed",
     "count_slot_time",
     "enqueue",
     "finish",
     "get_partner_queue",
-    "keep_peers",
+    "remove_departed_peers",
     "pick_next",
     "remove",
-    "take_peer_usage",
+    "record_peer_usage",
     "to_units",
 ]
--- a/packages/systems/src/medlarspring_systems/job_lifecycle.py
+++ b/packages/systems/src/medlarspring_systems/job_lifecycle.py
@@ -10,7 +10,7 @@
 from medlarspring_systems.job_records import put_job
 from medlarspring_systems.preemption import StopAttempt, mark_stopping
 from medlarspring_systems.quarantine import record_failure, record_success
-from medlarspring_systems.size_beliefs import learn_use, raise_least
+from medlarspring_systems.size_estimates import raise_minimum_size, record_peak_use
 from medlarspring_tables import AttemptState, JobState
 
 if TYPE_CHECKING:
@@ -65,10 +65,10 @@
     if job is None or job.attempt is None:
         return None
     if peak is not None and end in REPRESENTATIVE_ENDS:
-        learn_use(tables, job, peak)
+        record_peak_use(tables, job, peak)
     ended = _apply_end(tables, job, end, now)
     if peak is not None and end is AttemptEnd.OUT_OF_MEMORY:
-        ended = replace(ended, least=raise_least(job, peak))
+        ended = replace(ended, least=raise_minimum_size(job, peak))
     if ended.state in FINAL_STATES:
         ended = replace(ended, ended_at=now)
     if checkpoint:
--- a/packages/systems/src/medlarspring_systems/leaving.py
+++ b/packages/systems/src/medlarspring_systems/leaving.py
@@ -10,13 +10,13 @@
     from medlarspring_tables import PoolId, Seconds, VMId
     from medlarspring_tables.upstreams import Upstream, UpstreamTable
 
-LEAVING_MEMORY_SECONDS = 40.0
+LEAVING_SIGNAL_SECONDS = 40.0
 """How long a sign holds against a list that still says live: longer than the
 list lags. After it the list is right, and the VM is back."""
 SAME_RETURN_SECONDS = 1.0
 """Reports of one return differ by their time on the way; the first stands, or peers
 that repeat it would make it ever newer. No VM drains and comes back in less."""
-FLOOR_SECONDS = 5.0
+MIN_SIGNAL_SECONDS = 5.0
 """When signs alone shut a whole pool, those older than this are dropped."""
 
 
@@ -25,7 +25,7 @@
     if upstream.listed_leaving:
         return False
     since = upstream.leaving_since
-    return since is None or now - since >= LEAVING_MEMORY_SECONDS
+    return since is None or now - since >= LEAVING_SIGNAL_SECONDS
 
 
 def note_leaving(table: UpstreamTable, vm_id: VMId, age: Seconds, now: Seconds) -> bool:
@@ -37,12 +37,12 @@
     if since <= upstream.returned_at:
         return False
     known = upstream.leaving_since
-    if known is not None and now - known < LEAVING_MEMORY_SECONDS:
+    if known is not None and now - known < LEAVING_SIGNAL_SECONDS:
         # The earliest sign stands: peers that repeat each other's news must
         # not keep a returned VM out for ever.
         upstream.leaving_since = min(known, since)
         return False
-    if age >= LEAVING_MEMORY_SECONDS:
+    if age >= LEAVING_SIGNAL_SECONDS:
         return False
     upstream.leaving_since = since
     return True
@@ -62,9 +62,9 @@
         # A VM that moved is used once the list shows it in its new pool.
         return False
     returned_at = now - age
-    if returned_at < upstream.told_returned_at + SAME_RETURN_SECONDS:
+    if returned_at < upstream.reported_returned_at + SAME_RETURN_SECONDS:
         return False
-    upstream.told_returned_at = returned_at
+    upstream.reported_returned_at = returned_at
     upstream.returned_at = max(upstream.returned_at, returned_at)
     since = upstream.leaving_since
     if since is None or since >= returned_at or upstream.listed_leaving:
@@ -79,13 +79,13 @@
     Told for as long as a peer may remember a sign from before.
     """
     return [
-        (upstream, now - upstream.told_returned_at)
+        (upstream, now - upstream.reported_returned_at)
         for upstream in table.upstreams_by_id.values()
-        if now - upstream.told_returned_at < LEAVING_MEMORY_SECONDS
+        if now - upstream.reported_returned_at < LEAVING_SIGNAL_SECONDS
     ]
 
 
-def note_listed(upstream: Upstream, now: Seconds, *, leaving: bool) -> None:
+def apply_listed_state(upstream: Upstream, now: Seconds, *, leaving: bool) -> None:
     """Take over what a new list says of a VM."""
     if leaving and upstream.leaving_since is None:
         # Told to peers too, whose own copy of the list may be older.
@@ -96,7 +96,7 @@
     upstream.listed_leaving = leaving
 
 
-def keep_floor(pool: Sequence[Upstream], now: Seconds) -> None:
+def restore_emptied_pool(pool: Sequence[Upstream], now: Seconds) -> None:
     """Never let signs alone empty a pool.
 
     VMs that were drained and came back between two readings of the list are
@@ -107,7 +107,7 @@
         return
     for upstream in pool:
         since = upstream.leaving_since
-        if since is None or upstream.listed_leaving or now - since < FLOOR_SECONDS:
+        if since is None or upstream.listed_leaving or now - since < MIN_SIGNAL_SECONDS:
             continue
         upstream.leaving_since = None
         upstream.returned_at = now
@@ -119,17 +119,17 @@
         (upstream.id, now - upstream.leaving_since)
         for upstream in table.upstreams_by_id.values()
         if upstream.leaving_since is not None
-        and now - upstream.leaving_since < LEAVING_MEMORY_SECONDS
+        and now - upstream.leaving_since < LEAVING_SIGNAL_SECONDS
     ]
 
 
 __all__ = [
-    "LEAVING_MEMORY_SECONDS",
-    "keep_floor",
+    "LEAVING_SIGNAL_SECONDS",
+    "restore_emptied_pool",
     "list_leaving",
     "list_returned",
     "note_leaving",
-    "note_listed",
+    "apply_listed_state",
     "note_returned",
     "takes_new_work",
 ]
--- a/packages/systems/src/medlarspring_systems/membership.py
+++ b/packages/systems/src/medlarspring_systems/membership.py
@@ -28,14 +28,14 @@
 """A member not heard for so long gets no duties, before it counts as silent."""
 FORGET_SECONDS = 60.0
 """A member that is neither listed nor heard for so long is forgotten."""
-FREEZE_SECONDS = 1.5
+PAUSE_SECONDS = 1.5
 """Two ticks further apart than this mean that this process did not run."""
-CALM_SECONDS = 60.0
+STABLE_SECONDS = 60.0
 """A member that stayed heard for so long is forgiven its falls."""
-TOLERATED_FALLS = 1
+TOLERATED_SILENCES = 1
 HOLD_DOWN_SECONDS = 5.0
 MAX_HOLD_DOWN_SECONDS = 60.0
-FORMER_INCARNATIONS = 4
+MAX_FORMER_INCARNATIONS = 4
 ONE_WAY_SECONDS = 60.0
 """A heard member that no call reached for so long is cut off in one direction."""
 
@@ -78,7 +78,7 @@
     heard: tuple[EntryVMId, ...] = ()
 
 
-def take_list(table: MemberTable, vm_list: VMList, now: Seconds) -> None:
+def apply_listed_members(table: MemberTable, vm_list: VMList, now: Seconds) -> None:
     """Learn addresses from the list; it never says that a process is alive."""
     for known in table.members_by_id.values():
         known.listed = known.id in vm_list.entry_vms_by_id
@@ -99,7 +99,7 @@
         member.zone_id = listed.zone_id
 
 
-def take_heartbeat(
+def apply_heartbeat(
     table: MemberTable, heartbeat: Heartbeat, now: Seconds
 ) -> tuple[bool, list[MemberChange]]:
     """Learn from a report; return whether it is news, and what changed.
@@ -123,28 +123,28 @@
         return False, []
     changes: list[MemberChange] = []
     if heartbeat.incarnation != member.incarnation:
-        changes = _take_incarnation(member, heartbeat.incarnation)
+        changes = _apply_incarnation(member, heartbeat.incarnation)
     elif heartbeat.sequence <= member.sequence:
         return False, []
-    _take_facts(table, member, heartbeat, now)
+    _apply_facts(table, member, heartbeat, now)
     if heartbeat.leaving:
         return True, changes + _change(
             member, MemberState.LEAVING, MemberEvent.LEFT, now
         )
-    return True, changes + _become_alive(member, now, replaced=bool(changes))
+    return True, changes + _mark_alive(member, now, replaced=bool(changes))
 
 
-def _take_incarnation(member: Member, incarnation: int) -> list[MemberChange]:
+def _apply_incarnation(member: Member, incarnation: int) -> list[MemberChange]:
     replaced = member.incarnation != 0
     if replaced:
         former = (*member.former_incarnations, member.incarnation)
-        member.former_incarnations = former[-FORMER_INCARNATIONS:]
+        member.former_incarnations = former[-MAX_FORMER_INCARNATIONS:]
     member.incarnation = incarnation
     member.sequence = 0
     return [MemberChange(member.id, MemberEvent.REPLACED)] if replaced else []
 
 
-def _take_facts(
+def _apply_facts(
     table: MemberTable, member: Member, heartbeat: Heartbeat, now: Seconds
 ) -> None:
     member.sequence = heartbeat.sequence
@@ -160,12 +160,10 @@
         member.peer_address = heartbeat.peer_address
 
 
-def _become_alive(
-    member: Member, now: Seconds, *, replaced: bool
-) -> list[MemberChange]:
+def _mark_alive(member: Member, now: Seconds, *, replaced: bool) -> list[MemberChange]:
     if member.state is MemberState.ALIVE:
-        if member.falls and now - member.changed_at > CALM_SECONDS:
-            member.falls = 0
+        if member.silence_count and now - member.changed_at > STABLE_SECONDS:
+            member.silence_count = 0
         return []
     if member.state is MemberState.LISTED:
         event = MemberEvent.JOINED
@@ -183,11 +181,11 @@
     return and lose them seconds later, and every move is a gap in that work. The
     wait doubles with each fall, so that the work stays where it is.
     """
-    if member.falls <= TOLERATED_FALLS:
+    if member.silence_count <= TOLERATED_SILENCES:
         return
-    doublings = member.falls - TOLERATED_FALLS - 1
+    doublings = member.silence_count - TOLERATED_SILENCES - 1
     wait = min(HOLD_DOWN_SECONDS * 2**doublings, MAX_HOLD_DOWN_SECONDS)
-    member.steady_at = now + wait
+    member.held_down_until = now + wait
 
 
 def _change(
@@ -221,9 +219,9 @@
     changes: list[MemberChange] = []
     for member in list(table.members_by_id.values()):
         if member.state is MemberState.ALIVE and _is_silent(table, member, now):
-            member.falls += 1
+            member.silence_count += 1
             changes += _change(member, MemberState.SILENT, MemberEvent.SILENT, now)
-        changes += _note_direction(member, now)
+        changes += _update_one_way(member, now)
         if _is_forgettable(member, now):
             del table.members_by_id[member.id]
             changes.append(MemberChange(member.id, MemberEvent.FORGOTTEN))
@@ -238,7 +236,7 @@
     return now - member.heard_at > limit
 
 
-def _note_direction(member: Member, now: Seconds) -> list[MemberChange]:
+def _update_one_way(member: Member, now: Seconds) -> list[MemberChange]:
     """Notice a cut in one direction, which either side alone takes for health."""
     one_way = False
     if member.state is MemberState.ALIVE and now - member.changed_at > ONE_WAY_SECONDS:
@@ -261,14 +259,14 @@
     return now - member.changed_at > FORGET_SECONDS
 
 
-def note_freeze(table: MemberTable, gap: Seconds, now: Seconds) -> None:
+def correct_for_pause(table: MemberTable, gap: Seconds, now: Seconds) -> None:
     """Learn that this process did not run for ``gap`` seconds.
 
     All peers look silent after a freeze although it was this process that did
     not listen. Without the correction it would take over every duty of its zone
     at once. The silence of others counts only while this process ran.
     """
-    table.thawed_at = now
+    table.last_pause_at = now
     for member in table.members_by_id.values():
         member.changed_at = min(member.changed_at + gap, now)
         if member.heard_at is not None:
@@ -310,7 +308,7 @@
         member.id
         for member in table.members_by_id.values()
         if member.state is MemberState.ALIVE
-        and now >= member.steady_at
+        and now >= member.held_down_until
         and now - (member.heard_at or 0.0) <= DUTY_SILENCE_SECONDS
         and (not own_zone_only or member.zone_id == table.own_zone_id)
     ]
@@ -323,9 +321,9 @@
     "list_heard",
     "list_steady",
     "list_zone",
-    "note_freeze",
+    "correct_for_pause",
     "note_refused",
-    "take_heartbeat",
-    "take_list",
+    "apply_heartbeat",
+    "apply_listed_members",
     "tick",
 ]
--- a/packages/systems/src/medlarspring_systems/placement.py
+++ b/packages/systems/src/medlarspring_systems/placement.py
@@ -19,7 +19,7 @@
     is_within_share,
     reserve_worker,
 )
-from medlarspring_systems.size_beliefs import believe_size
+from medlarspring_systems.size_estimates import estimate_size
 from medlarspring_tables import Attempt, AttemptState, JobState
 
 if TYPE_CHECKING:
@@ -76,7 +76,7 @@
 def explain_waiting(tables: JobTables, job: Job, now: Seconds) -> Blocked | None:
     """Return why a waiting job cannot start now; None if it can."""
     round_ = create_round(tables, now)
-    size = believe_size(tables, job, round_.largest)
+    size = estimate_size(tables, job, round_.largest)
     result = check_placement(tables, job, size, round_)
     return result if isinstance(result, Blocked) else None
 
@@ -127,7 +127,7 @@
         job = tables.jobs_by_id.get(queue_entry[1])
         if job is None or job.state is not JobState.WAITING:
             continue
-        size = believe_size(tables, job, round_.largest)
+        size = estimate_size(tables, job, round_.largest)
         result = check_placement(tables, job, size, round_)
         if not isinstance(result, Blocked):
             start = _start(tables, job, size, result, round_.now)
--- a/packages/systems/src/medlarspring_systems/placement_rules.py
+++ b/packages/systems/src/medlarspring_systems/placement_rules.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from medlarspring_systems.job_records import is_preemptible
-from medlarspring_systems.size_beliefs import believe_size
+from medlarspring_systems.size_estimates import estimate_size
 from medlarspring_tables import NO_SIZE, JobUrgency, Size
 
 if TYPE_CHECKING:
@@ -225,7 +225,7 @@
             continue
         job = tables.jobs_by_id.get(worker.reserved_for)
         if job is not None and not is_preemptible(job):
-            total = total.plus(believe_size(tables, job, worker.capacity))
+            total = total.plus(estimate_size(tables, job, worker.capacity))
     return total
 
 
--- a/packages/systems/src/medlarspring_systems/preemption.py
+++ b/packages/systems/src/medlarspring_systems/preemption.py
@@ -9,7 +9,7 @@
 
 from medlarspring_systems.job_records import put_job
 from medlarspring_systems.placement_rules import dominant_share, is_within_share
-from medlarspring_systems.size_beliefs import believe_size
+from medlarspring_systems.size_estimates import estimate_size
 from medlarspring_tables import AttemptState, JobState, JobUrgency
 
 if TYPE_CHECKING:
@@ -81,7 +81,7 @@
 def _preempt_for(tables: JobTables, job: Job, now: Seconds) -> list[StopAttempt]:
     best: tuple[float, str, Worker, list[Job]] | None = None
     for worker in tables.workers_by_id.values():
-        size = believe_size(tables, job, worker.capacity)
+        size = estimate_size(tables, job, worker.capacity)
         if not _is_preemption_target(worker, now) or not size.fits_in(worker.capacity):
             continue
         victims = _choose_victims(tables, job, worker, size)
--- a/packages/systems/src/medlarspring_systems/retry.py
+++ b/packages/systems/src/medlarspring_systems/retry.py
@@ -11,7 +11,7 @@
 
 MAX_ATTEMPTS = 3
 MAX_TOKENS = 50.0
-FIRST_TOKENS = 5.0
+INITIAL_TOKENS = 5.0
 """Retries allowed before the first success, so that a quiet service has some."""
 
 MIN_GIVE_UP_SECONDS = 0.25
@@ -25,10 +25,10 @@
 class RetryBudget:
     """Tokens for retries of requests that may have run; earned by successes."""
 
-    tokens: float = FIRST_TOKENS
+    tokens: float = INITIAL_TOKENS
 
 
-def earn(budget: RetryBudget, retry_percent: float) -> None:
+def add_retry_tokens(budget: RetryBudget, retry_percent: float) -> None:
     """Add what one success earns."""
     budget.tokens = min(MAX_TOKENS, budget.tokens + retry_percent / 100.0)
 
@@ -77,12 +77,12 @@
     if not request.repeatable or attempts > 0 or budget.tokens < 1.0:
         return remaining
     usual = pool.service_seconds + SPREADS_TO_GIVE_UP * pool.service_spread
-    patience = max(usual, MIN_GIVE_UP_SECONDS)
-    if patience > remaining * MAX_PART_OF_REMAINING:
+    timeout = max(usual, MIN_GIVE_UP_SECONDS)
+    if timeout > remaining * MAX_PART_OF_REMAINING:
         # Too little time is left for two tries. Cutting the first one short
         # would throw away work that is about to be done, and its slot with it.
         return remaining
-    return patience
+    return timeout
 
 
 def choose_linger(pool: PoolQueue) -> Seconds:
@@ -98,6 +98,6 @@
     "RetryBudget",
     "choose_header_timeout",
     "choose_linger",
-    "earn",
+    "add_retry_tokens",
     "may_retry",
 ]
--- a/packages/systems/src/medlarspring_systems/routing.py
+++ b/packages/systems/src/medlarspring_systems/routing.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.leaving import note_listed, takes_new_work
+from medlarspring_systems.leaving import apply_listed_state, takes_new_work
 from medlarspring_tables.fleet import ListedState
 from medlarspring_tables.upstreams import Upstream, UpstreamTable
 
@@ -21,15 +21,15 @@
     )
 
 
-UNPROBED_SECONDS = 5.0
+NON_REPEATABLE_PROBE_DELAY_SECONDS = 5.0
 """A service without repeatable requests would never get a VM back otherwise."""
 
 
-def adopt_vm_list(table: UpstreamTable, vm_list: VMList) -> None:
+def update_upstreams(table: UpstreamTable, vm_list: VMList) -> None:
     """Bring the table in line with a new list; what is in use stays counted."""
     known = table.upstreams_by_id
     table.upstreams_by_id = {
-        listed.id: _adopt(known.get(listed.id), listed, vm_list.read_at)
+        listed.id: _update_upstream(known.get(listed.id), listed, vm_list.read_at)
         for listed in vm_list.vms_by_id.values()
     }
     by_pool: dict[PoolId, list[Upstream]] = {}
@@ -38,7 +38,9 @@
     table.upstreams_by_pool = by_pool
 
 
-def _adopt(known: Upstream | None, listed: ListedVM, read_at: Seconds) -> Upstream:
+def _update_upstream(
+    known: Upstream | None, listed: ListedVM, read_at: Seconds
+) -> Upstream:
     upstream = known
     if (
         upstream is None
@@ -59,7 +61,7 @@
     upstream.zone_id = listed.zone_id
     upstream.slots = listed.slots
     upstream.connections = listed.connections
-    note_listed(upstream, read_at, leaving=listed.state is ListedState.LEAVING)
+    apply_listed_state(upstream, read_at, leaving=listed.state is ListedState.LEAVING)
     return upstream
 
 
@@ -95,9 +97,9 @@
             continue
         if upstream.id in excluded or not takes_new_work(upstream, now):
             continue
-        if upstream.set_aside_until is not None:
-            waited = now - upstream.set_aside_until
-            least = 0.0 if repeatable else UNPROBED_SECONDS
+        if upstream.ejected_until is not None:
+            waited = now - upstream.ejected_until
+            least = 0.0 if repeatable else NON_REPEATABLE_PROBE_DELAY_SECONDS
             if upstream.probing or waited < least:
                 continue
         rank = (
@@ -111,4 +113,4 @@
     return best
 
 
-__all__ = ["adopt_vm_list", "choose_upstream", "count_idle_connections"]
+__all__ = ["update_upstreams", "choose_upstream", "count_idle_connections"]
--- a/packages/systems/src/medlarspring_systems/size_beliefs.py
+++ b/packages/systems/src/medlarspring_systems/size_estimates.py
@@ -16,23 +16,25 @@
 """Too little processor time only slows a job down."""
 MEMORY_QUANTILE = 0.95
 """Too little memory ends a job, so memory leaves more room."""
-ROOM = 1.15
+HEADROOM = 1.15
 """Set aside this much more than the quantile of what was seen."""
 MIN_RATIO = 0.05
 MAX_RATIO = 12.0
-NOTHING_SEEN = SizeEstimate()
+DEFAULT_ESTIMATE = SizeEstimate()
 """Until a few attempts of a kind were seen, the declaration holds."""
 
 
-def believe_size(tables: JobTables, job: Job, largest: Size) -> Size:
+def estimate_size(tables: JobTables, job: Job, largest: Size) -> Size:
     """Return what to set aside for a job, never more than a whole worker.
 
     Accelerators are whole devices that a job opens itself: the declaration
     holds.
     """
-    belief = tables.estimates_by_kind.get((job.partner_id, job.kind), NOTHING_SEEN)
-    cpus = job.declared.cpus * belief.cpu_ratio
-    memory_gb = job.declared.memory_gb * belief.memory_ratio
+    estimate = tables.estimates_by_kind.get(
+        (job.partner_id, job.kind), DEFAULT_ESTIMATE
+    )
+    cpus = job.declared.cpus * estimate.cpu_ratio
+    memory_gb = job.declared.memory_gb * estimate.memory_ratio
     return Size(
         min(max(cpus, job.least.cpus), largest.cpus),
         min(max(memory_gb, job.least.memory_gb), largest.memory_gb),
@@ -40,7 +42,7 @@
     )
 
 
-def raise_least(job: Job, peak: Size) -> Size:
+def raise_minimum_size(job: Job, peak: Size) -> Size:
     """Return the least to set aside after an attempt ran out of memory.
 
     Placed again with the same size, the job would be ended again and again
@@ -48,20 +50,22 @@
     even when the reported peak is cut off at the worker's limit.
     """
     assert job.attempt is not None
-    memory = max(peak.memory_gb * ROOM, job.attempt.size.memory_gb * 2)
+    memory = max(peak.memory_gb * HEADROOM, job.attempt.size.memory_gb * 2)
     return Size(job.least.cpus, max(memory, job.least.memory_gb))
 
 
-def learn_use(tables: JobTables, job: Job, peak: Size) -> None:
+def record_peak_use(tables: JobTables, job: Job, peak: Size) -> None:
     """Remember the largest use seen of one attempt that ran for a while."""
     key = (job.partner_id, job.kind)
-    belief = tables.estimates_by_kind.setdefault(key, SizeEstimate())
-    _remember(belief.cpu_ratios, peak.cpus, job.declared.cpus)
-    _remember(belief.memory_ratios, peak.memory_gb, job.declared.memory_gb)
-    if len(belief.cpu_ratios) >= MIN_OBSERVATIONS:
-        belief.cpu_ratio = _quantile(belief.cpu_ratios, CPU_QUANTILE) * ROOM
-    if len(belief.memory_ratios) >= MIN_OBSERVATIONS:
-        belief.memory_ratio = _quantile(belief.memory_ratios, MEMORY_QUANTILE) * ROOM
+    estimate = tables.estimates_by_kind.setdefault(key, SizeEstimate())
+    _add_ratio(estimate.cpu_ratios, peak.cpus, job.declared.cpus)
+    _add_ratio(estimate.memory_ratios, peak.memory_gb, job.declared.memory_gb)
+    if len(estimate.cpu_ratios) >= MIN_OBSERVATIONS:
+        estimate.cpu_ratio = _quantile(estimate.cpu_ratios, CPU_QUANTILE) * HEADROOM
+    if len(estimate.memory_ratios) >= MIN_OBSERVATIONS:
+        estimate.memory_ratio = (
+            _quantile(estimate.memory_ratios, MEMORY_QUANTILE) * HEADROOM
+        )
 
 
 def correct_attempt_size(job: Job, used: Size) -> Size | None:
@@ -77,12 +81,12 @@
         return None
     return Size(
         max(size.cpus, used.cpus),
-        max(size.memory_gb, used.memory_gb * ROOM),
+        max(size.memory_gb, used.memory_gb * HEADROOM),
         size.accelerators,
     )
 
 
-def _remember(ratios: deque[float], used: float, declared: float) -> None:
+def _add_ratio(ratios: deque[float], used: float, declared: float) -> None:
     if declared > 0:
         ratios.append(min(max(used / declared, MIN_RATIO), MAX_RATIO))
 
@@ -92,4 +96,9 @@
     return ordered[min(int(len(ordered) * quantile), len(ordered) - 1)]
 
 
-__all__ = ["believe_size", "correct_attempt_size", "learn_use", "raise_least"]
+__all__ = [
+    "estimate_size",
+    "correct_attempt_size",
+    "record_peak_use",
+    "raise_minimum_size",
+]
--- a/packages/systems/src/medlarspring_systems/slot_shares.py
+++ b/packages/systems/src/medlarspring_systems/slot_shares.py
@@ -15,13 +15,13 @@
     from medlarspring_tables import EntryVMId, PartnerId, PoolId, Seconds, VMId
     from medlarspring_tables.slots import HomeTable
 
-FADE_SECONDS = 1.0
+DEMAND_DECAY_SECONDS = 1.0
 """Time constant with which demand that is gone fades."""
-NO_DEMAND = 0.5
+MIN_DEMAND = 0.5
 ROUNDING = 1e-9
 
 
-def take_demand(
+def record_demand(
     table: HomeTable,
     pool_id: PoolId,
     asker: EntryVMId,
@@ -37,11 +37,11 @@
     counts: dict[PartnerId, float] = dict(count_by_partner)
     former = demand.get(asker)
     if former is not None:
-        kept = math.exp((former.told_at - now) / FADE_SECONDS)
+        kept = math.exp((former.reported_at - now) / DEMAND_DECAY_SECONDS)
         for partner_id, before in former.count_by_partner.items():
             count = counts.get(partner_id, 0.0)
             faded = count + kept * (before - count)
-            if count < before and faded > NO_DEMAND:
+            if count < before and faded > MIN_DEMAND:
                 counts[partner_id] = faded
     demand[asker] = AskerDemand(counts, now)
 
@@ -61,26 +61,26 @@
     """
     demand = table.demand_by_pool.get(pool_id, {})
     fresh = {
-        asker: told
-        for asker, told in demand.items()
-        if now < told.told_at + policy.grant_seconds
+        asker: asker_demand
+        for asker, asker_demand in demand.items()
+        if now < asker_demand.reported_at + policy.grant_seconds
     }
     if len(fresh) < len(demand):
         table.demand_by_pool[pool_id] = fresh
     total_by_partner: dict[PartnerId, float] = {}
-    for told in fresh.values():
-        for partner_id, count in told.count_by_partner.items():
+    for asker_demand in fresh.values():
+        for partner_id, count in asker_demand.count_by_partner.items():
             total = total_by_partner.get(partner_id, 0.0)
             total_by_partner[partner_id] = total + count
     share_by_partner = divide_fairly(total_by_partner, weights_by_partner, pool_slots)
     return {
         asker: sum(
             share_by_partner[partner_id] * count / total_by_partner[partner_id]
-            for partner_id, count in told.count_by_partner.items()
+            for partner_id, count in asker_demand.count_by_partner.items()
             if count
         )
         / max(1, pool_slots)
-        for asker, told in fresh.items()
+        for asker, asker_demand in fresh.items()
     }
 
 
@@ -91,24 +91,24 @@
 ) -> dict[PartnerId, float]:
     """Divide slots by weight, giving nobody more than it asks for (max-min)."""
     shares = dict.fromkeys(demand, 0.0)
-    open_partners = [partner for partner, count in demand.items() if count]
+    unsatisfied = [partner for partner, count in demand.items() if count]
     left = slots
-    while open_partners and left > 0.0:
-        total = sum(weights.get(partner, 1.0) for partner in open_partners)
+    while unsatisfied and left > 0.0:
+        total = sum(weights.get(partner, 1.0) for partner in unsatisfied)
         level = left / total
-        full = [
+        satisfied = [
             partner
-            for partner in open_partners
+            for partner in unsatisfied
             if demand[partner] <= level * weights.get(partner, 1.0)
         ]
-        if not full:
-            for partner in open_partners:
+        if not satisfied:
+            for partner in unsatisfied:
                 shares[partner] = level * weights.get(partner, 1.0)
             break
-        for partner in full:
+        for partner in satisfied:
             shares[partner] = demand[partner]
             left -= demand[partner]
-        open_partners = [partner for partner in open_partners if partner not in full]
+        unsatisfied = [partner for partner in unsatisfied if partner not in satisfied]
     return shares
 
 
@@ -142,4 +142,4 @@
     return int.from_bytes(weigh(first, second), "big") / float(1 << 8 * HASH_BYTES)
 
 
-__all__ = ["divide_fairly", "divide_pool", "round_parts", "take_demand"]
+__all__ = ["divide_fairly", "divide_pool", "round_parts", "record_demand"]
--- a/packages/systems/src/medlarspring_systems/slots.py
+++ b/packages/systems/src/medlarspring_systems/slots.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wish:
+class SlotDemand:
     """What one entry VM asks for of one upstream VM."""
 
     vm_id: VMId
@@ -59,7 +59,7 @@
     """Home's time that the asker echoed, if the asker backs this home."""
 
 
-def list_group(zone_id: ZoneId, views: Sequence[EntryVMView]) -> list[EntryVMView]:
+def list_voters(zone_id: ZoneId, views: Sequence[EntryVMView]) -> list[EntryVMView]:
     """Return the entry VMs that may back a home for a zone's upstream VMs.
 
     Those that are not heard but may live belong to it: they may be serving on
@@ -147,7 +147,7 @@
     return now < holding.vote_at + policy.vote_seconds
 
 
-def count_foreign(
+def count_lent_outside(
     ledger: SlotLedger,
     group: Sequence[EntryVMView],
     now: Seconds,
@@ -165,7 +165,7 @@
 def grant(
     ledger: SlotLedger,
     asker: EntryVMId,
-    wish: Wish,
+    demand: SlotDemand,
     *,
     target: int,
     capacity: int,
@@ -185,12 +185,12 @@
     )
     granted = max(0, min(target, capacity - others))
     holding = get_holding(ledger, asker)
-    holding.reserved = max(granted, wish.held, wish.in_use)
+    holding.reserved = max(granted, demand.held, demand.in_use)
     holding.until = now + policy.grant_seconds
     return granted
 
 
-def take_vote(ledger: SlotLedger, voter: EntryVMId, echoed_at: Seconds) -> None:
+def record_vote(ledger: SlotLedger, voter: EntryVMId, echoed_at: Seconds) -> None:
     """Count a vote from the home's time that the voter echoed."""
     holding = get_holding(ledger, voter)
     if holding.vote_at is None or echoed_at > holding.vote_at:
@@ -210,13 +210,13 @@
 
 __all__ = [
     "SlotPolicy",
-    "Wish",
+    "SlotDemand",
     "choose_home",
     "count_capacity",
-    "count_foreign",
+    "count_lent_outside",
     "get_holding",
     "grant",
-    "list_group",
+    "list_voters",
     "move_vote",
-    "take_vote",
+    "record_vote",
 ]
--- a/packages/systems/src/medlarspring_systems/table_csv.py
+++ b/packages/systems/src/medlarspring_systems/table_csv.py
@@ -34,7 +34,7 @@
 """One sheet for all kinds; a column that a kind doesn't have stays empty."""
 
 
-class SheetRow(Struct, frozen=True, kw_only=True):
+class CSVRow(Struct, frozen=True, kw_only=True):
     """One line of a sheet, its cells not yet checked."""
 
     kind: RowKind
@@ -45,7 +45,7 @@
     """Cells that aren't empty, by column."""
 
 
-class SheetUnreadable(TableError):
+class UnreadableCSV(TableError):
     """The sheet isn't a table; all faults are listed at once."""
 
     code = "sheet-unreadable"
@@ -61,7 +61,7 @@
         )
 
 
-def write_sheet(table: ConfigTable) -> str:
+def format_csv(table: ConfigTable) -> str:
     """Return the table as CSV, rows in the order of kind and id."""
     text = io.StringIO()
     writer = csv.DictWriter(text, COLUMNS, restval="", lineterminator="\n")
@@ -72,14 +72,14 @@
     return text.getvalue()
 
 
-def read_sheet(text: str) -> Result[list[SheetRow], SheetUnreadable]:
+def parse_csv(text: str) -> Result[list[CSVRow], UnreadableCSV]:
     """Read CSV; the columns may stand in any order, and unused ones may lack."""
     reader = csv.DictReader(io.StringIO(text.removeprefix("\ufeff")))
     header = reader.fieldnames or ()
     faults = _check_header(list(header))
     if faults:
-        return Failure(SheetUnreadable(faults))
-    rows_by_key: dict[tuple[RowKind, str], SheetRow] = {}
+        return Failure(UnreadableCSV(faults))
+    rows_by_key: dict[tuple[RowKind, str], CSVRow] = {}
     for cells in reader:
         place = f"line {reader.line_num}"
         if None in cells:
@@ -89,18 +89,18 @@
         if not any(filled.values()):
             continue
         row = _read_row(place, filled)
-        if not isinstance(row, SheetRow):
+        if not isinstance(row, CSVRow):
             faults.append(row)
             continue
         if (row.kind, row.id) in rows_by_key:
             faults.append(f"{place}: {row.kind.value} {row.id} stands twice; keep one")
         rows_by_key[row.kind, row.id] = row
     if faults:
-        return Failure(SheetUnreadable(faults))
+        return Failure(UnreadableCSV(faults))
     return Success(list(rows_by_key.values()))
 
 
-def plan_import(table: ConfigTable, sheet: list[SheetRow]) -> tuple[RowEdit, ...]:
+def plan_import(table: ConfigTable, csv_rows: list[CSVRow]) -> tuple[RowEdit, ...]:
     """Return the edits that turn the table into the sheet.
 
     Rows that the sheet lacks are removed, but for the one of the fleet. A cell
@@ -109,10 +109,10 @@
     rows = split_rows(table)
     edits = [
         edit
-        for row in sheet
+        for row in csv_rows
         if (edit := _plan_row(row, rows[row.kind].get(row.id))) is not None
     ]
-    kept = {(row.kind, row.id) for row in sheet} | {(RowKind.FLEET, FLEET_ROW_ID)}
+    kept = {(row.kind, row.id) for row in csv_rows} | {(RowKind.FLEET, FLEET_ROW_ID)}
     edits.extend(
         RowEdit(
             kind=kind,
@@ -127,7 +127,7 @@
     return tuple(edits)
 
 
-def _plan_row(row: SheetRow, current: ConfigRow | None) -> RowEdit | None:
+def _plan_row(row: CSVRow, current: ConfigRow | None) -> RowEdit | None:
     wanted = {**_defaults(row.kind), **row.cells}
     if current is None:
         return RowEdit(
@@ -180,7 +180,7 @@
     return faults
 
 
-def _read_row(place: str, cells: dict[str, str]) -> SheetRow | str:
+def _read_row(place: str, cells: dict[str, str]) -> CSVRow | str:
     kinds = [kind.value for kind in RowKind]
     if cells[KIND_COLUMN] not in kinds:
         return (
@@ -191,7 +191,7 @@
     if revision and not revision.isdecimal():
         return f"{place}: revision: found {revision!r}, wanted a whole number"
     kept = (KIND_COLUMN, ID_COLUMN, REVISION_COLUMN)
-    return SheetRow(
+    return CSVRow(
         kind=RowKind(cells[KIND_COLUMN]),
         id=cells[ID_COLUMN],
         revision=Revision(int(revision)) if revision else None,
@@ -225,9 +225,9 @@
 
 __all__ = [
     "COLUMNS",
-    "SheetRow",
-    "SheetUnreadable",
+    "CSVRow",
+    "UnreadableCSV",
     "plan_import",
-    "read_sheet",
-    "write_sheet",
+    "parse_csv",
+    "format_csv",
 ]
--- a/packages/systems/src/medlarspring_systems/table_republish.py
+++ b/packages/systems/src/medlarspring_systems/table_republish.py
@@ -21,7 +21,7 @@
     from collections.abc import Iterator
 
 
-class Republish(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class RepublishRequest(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """An operator's wish to put the table in force back."""
 
     id: EditId
@@ -48,7 +48,11 @@
 
 
 def republish(
-    stored: ConfigTable, in_force: ConfigTable, wish: Republish, at: float, origin: str
+    stored: ConfigTable,
+    in_force: ConfigTable,
+    request: RepublishRequest,
+    at: float,
+    origin: str,
 ) -> Result[AcceptedChange, TableError]:
     """Return the table in force as the store's next one.
 
@@ -56,24 +60,24 @@
     takes it and later edits go on from it. ``at`` is wall time.
     """
     for accepted in stored.recent_edits:
-        if accepted.id == wish.id:
+        if accepted.id == request.id:
             return Success(AcceptedChange(stored, accepted.revision))
     if stored.revision >= in_force.revision:
         return Failure(StoreIsCurrent(stored.revision, in_force.revision))
     revision = Revision(in_force.revision + 1)
-    recent = (*in_force.recent_edits, AcceptedEdit(id=wish.id, revision=revision))
+    recent = (*in_force.recent_edits, AcceptedEdit(id=request.id, revision=revision))
     table = msgspec.structs.replace(
         in_force, revision=revision, recent_edits=recent[-MAX_RECENT_EDITS:]
     )
     record = AuditRecord(
         revision=revision,
-        edit_id=wish.id,
+        edit_id=request.id,
         at=at,
-        operator=wish.operator,
+        operator=request.operator,
         origin=origin,
         action="table republish",
         changes=tuple(_list_changes(stored, in_force)),
-        note=wish.note,
+        note=request.note,
     )
     return Success(AcceptedChange(table, revision, record))
 
@@ -92,4 +96,4 @@
                 )
 
 
-__all__ = ["Republish", "StoreIsCurrent", "republish"]
+__all__ = ["RepublishRequest", "StoreIsCurrent", "republish"]
--- a/packages/systems/src/medlarspring_systems/vm_list_view.py
+++ b/packages/systems/src/medlarspring_systems/vm_list_view.py
@@ -17,10 +17,10 @@
     """The list in use, and how often a doubtful successor was seen."""
 
     current: VMList | None = None
-    doubtful_answers: int = 0
+    suspect_answers: int = 0
 
 
-def take_answer(view: VMListView, answer: VMList) -> bool:
+def apply_answer(view: VMListView, answer: VMList) -> bool:
     """Use the answer unless it is doubtful; return whether it is used.
 
     A list that is being rebuilt answers with few or no VMs, and taking it
@@ -28,20 +28,20 @@
     half of the upstream VMs is used only when it comes several times running;
     requests meanwhile find out by themselves which VMs are gone.
     """
-    if _is_doubtful(view.current, answer):
-        view.doubtful_answers += 1
-        if view.doubtful_answers < CONFIRMATIONS:
+    if _is_suspect(view.current, answer):
+        view.suspect_answers += 1
+        if view.suspect_answers < CONFIRMATIONS:
             return False
-    view.doubtful_answers = 0
+    view.suspect_answers = 0
     view.current = answer
     return True
 
 
-def _is_doubtful(current: VMList | None, answer: VMList) -> bool:
+def _is_suspect(current: VMList | None, answer: VMList) -> bool:
     if current is None or not current.vms_by_id:
         return False
     lost = current.vms_by_id.keys() - answer.vms_by_id.keys()
     return len(lost) > MAX_LOST_PART * len(current.vms_by_id)
 
 
-__all__ = ["VMListView", "take_answer"]
+__all__ = ["VMListView", "apply_answer"]
--- a/packages/systems/tests/test_audit.py
+++ b/packages/systems/tests/test_audit.py
@@ -3,9 +3,9 @@
 import pytest
 
 from medlarspring_systems.audit import (
+    ALWAYS_KEPT_REVISIONS,
     KEPT_REVISIONS,
     KEPT_SECONDS,
-    KEPT_WHATEVER_AGE,
     MAX_DELETES,
     AuditFilter,
     TrimMark,
@@ -77,12 +77,14 @@
     [
         (10, 5_000, 0),
         (91, 5_000, MAX_DELETES),
-        (91, KEPT_WHATEVER_AGE - 1, 0),
+        (91, ALWAYS_KEPT_REVISIONS - 1, 0),
         (1, KEPT_REVISIONS + 200, MAX_DELETES),
         (1, KEPT_REVISIONS + 20, 21),
     ],
 )
-def test_records_go_by_age_or_count_but_the_newest_stay(age_days, newest, removed):
+def test_records_expire_by_age_or_count_but_the_newest_are_kept(
+    age_days, newest, removed
+):
     """
     A page of 100 records is looked at. Old ones go, and those beyond the count;
     the newest thousand stay even if the clock says that they are years old.
@@ -92,7 +94,7 @@
     assert (len(trim.keys) if trim else 0) == removed
 
 
-def test_trim_walks_on_until_the_first_page_that_has_to_stay():
+def test_trim_continues_until_the_first_page_to_keep():
     old = NOW - KEPT_SECONDS - DAY
     pages = {0: create_page(0, 60, old), 100: {}, 200: create_page(200, 100, NOW)}
     mark, removed = TrimMark(), set()
--- a/packages/systems/tests/test_distribution.py
+++ b/packages/systems/tests/test_distribution.py
@@ -9,12 +9,12 @@
     STORE_FAILING_SECONDS,
     WATCHERS_PER_ZONE,
     Distribution,
+    OfferResult,
     Source,
-    Verdict,
-    choose_fetch,
+    choose_fetch_peer,
     is_watcher,
+    offer_pending,
     offer_table,
-    release_held,
 )
 from medlarspring_tables import (
     ConfigTable,
@@ -46,15 +46,15 @@
 @pytest.mark.parametrize(
     ("offered", "verdict"),
     [
-        (create_table(6), Verdict.TAKEN),
-        (create_table(5), Verdict.SAME),
-        (create_table(5, weight=2.0), Verdict.DIVERGED),
-        (create_table(4), Verdict.OLDER),
-        (ConfigTable(), Verdict.OLDER),
+        (create_table(6), OfferResult.ACCEPTED),
+        (create_table(5), OfferResult.SAME),
+        (create_table(5, weight=2.0), OfferResult.DIVERGED),
+        (create_table(4), OfferResult.OLDER),
+        (ConfigTable(), OfferResult.OLDER),
     ],
 )
 def test_only_a_higher_revision_is_put_in_force(
-    offered: ConfigTable, verdict: Verdict, source: Source
+    offered: ConfigTable, verdict: OfferResult, source: Source
 ):
     """
     A backup is restored, or a replica lags: the store answers with a table that
@@ -65,7 +65,7 @@
     assert offer_table(distribution, offered, source, 9.0) is verdict
     assert distribution.in_force is not None
     assert distribution.in_force.revision == max(5, offered.revision)
-    is_reported = verdict in (Verdict.OLDER, Verdict.DIVERGED)
+    is_reported = verdict in (OfferResult.OLDER, OfferResult.DIVERGED)
     assert (distribution.store_older_since == 9.0) == (
         is_reported and source is Source.STORE
     )
@@ -80,25 +80,28 @@
     assert distribution.store_older_since is None
 
 
-def test_new_process_asks_its_peers_before_it_believes_the_store():
+def test_new_process_asks_its_peers_before_using_the_stored_table():
     """
     A VM is replaced while the replica it asks lags. It has nothing to compare
     with, and its callers would see an accepted edit revert. It keeps the
     store's answer until a peer answered, but no longer than the grace.
     """
     distribution = Distribution(started_at=0.0)
-    assert offer_table(distribution, create_table(4), Source.STORE, 0.1) is Verdict.HELD
+    assert (
+        offer_table(distribution, create_table(4), Source.STORE, 0.1)
+        is OfferResult.PENDING
+    )
     assert distribution.in_force is None
-    assert release_held(distribution, 0.2) is None
+    assert offer_pending(distribution, 0.2) is None
     offer_table(distribution, create_table(5), Source.PEER, 0.3)
-    assert release_held(distribution, COLD_START_GRACE_SECONDS) is None
+    assert offer_pending(distribution, COLD_START_GRACE_SECONDS) is None
     assert distribution.in_force == create_table(5)
 
 
-def test_new_process_without_any_peer_believes_the_store_after_the_grace():
+def test_new_process_without_peers_uses_the_stored_table_after_the_grace():
     distribution = Distribution(started_at=0.0)
     offer_table(distribution, create_table(4), Source.STORE, 0.1)
-    assert release_held(distribution, COLD_START_GRACE_SECONDS) is Verdict.TAKEN
+    assert offer_pending(distribution, COLD_START_GRACE_SECONDS) is OfferResult.ACCEPTED
     assert distribution.in_force == create_table(4)
 
 
@@ -139,7 +142,7 @@
         ]
     }
     rng = random.Random(1)
-    chosen = {choose_fetch(Revision(5), members, ZONE, rng) for _ in range(50)}
+    chosen = {choose_fetch_peer(Revision(5), members, ZONE, rng) for _ in range(50)}
     assert chosen == {"near-1", "near-2"}
-    assert choose_fetch(Revision(6), members, ZONE, rng) == "far"
-    assert choose_fetch(Revision(9), members, ZONE, rng) is None
+    assert choose_fetch_peer(Revision(6), members, ZONE, rng) == "far"
+    assert choose_fetch_peer(Revision(9), members, ZONE, rng) is None
--- a/packages/systems/tests/test_distribution_histories.py
+++ b/packages/systems/tests/test_distribution_histories.py
@@ -20,9 +20,9 @@
     COLD_START_GRACE_SECONDS,
     Distribution,
     Source,
-    choose_fetch,
+    choose_fetch_peer,
+    offer_pending,
     offer_table,
-    release_held,
 )
 from medlarspring_systems.table_edit import RowAction, RowEdit, TableEdit, apply_edit
 from medlarspring_tables import (
@@ -95,7 +95,7 @@
     def wait(self, seconds: float) -> None:
         self.now += seconds
         for node in NODES:
-            release_held(self.nodes[node], self.now)
+            offer_pending(self.nodes[node], self.now)
 
     @rule(
         target=attempts,
@@ -178,7 +178,7 @@
         """A restarted process has asked the peers of its zone."""
         self.relay(node)
         self.nodes[node].peers_asked = True
-        release_held(self.nodes[node], self.now)
+        offer_pending(self.nodes[node], self.now)
 
     def offer(self, node: EntryVMId, table: ConfigTable, source: Source) -> None:
         offer_table(self.nodes[node], table, source, self.now)
@@ -196,7 +196,7 @@
             if other != node
         }
         known = find_revision(self.nodes[node])
-        chosen = choose_fetch(known, members, ZONE, self.rng)
+        chosen = choose_fetch_peer(known, members, ZONE, self.rng)
         if chosen is None:
             return False
         table = self.nodes[chosen].in_force
@@ -234,7 +234,7 @@
         if newest.revision == 0:
             return
         self.offer(NODES[0], newest, Source.STORE)
-        release_held(self.nodes[NODES[0]], self.now)
+        offer_pending(self.nodes[NODES[0]], self.now)
         for node in NODES[1:]:
             while self.relay(node):
                 pass
--- a/packages/systems/tests/test_exchange.py
+++ b/packages/systems/tests/test_exchange.py
@@ -10,7 +10,7 @@
     REMOTE_INTERVAL_SECONDS,
     ExchangePlan,
     list_due,
-    note_bytes,
+    record_exchange_bytes,
 )
 from medlarspring_systems.membership import tick
 from medlarspring_tables import EntryVMId, Member, MemberState, MemberTable, ZoneId
@@ -52,8 +52,8 @@
                 calls += 2 * (now >= WARM_UP_SECONDS)
                 member.heard_at = member.reached_at = now
                 tables[member.id].members_by_id[own].heard_at = now
-                note_bytes(plans[own], 300)
-                note_bytes(plans[member.id], 300)
+                record_exchange_bytes(plans[own], 300)
+                record_exchange_bytes(plans[member.id], 300)
     return calls / seconds / len(tables)
 
 
--- a/packages/systems/tests/test_fair_queue.py
+++ b/packages/systems/tests/test_fair_queue.py
@@ -26,7 +26,9 @@
 POOL = PoolId("consent")
 P, Q = PartnerId("p"), PartnerId("q")
 FLEET_SLOTS = 16
-ROOM = admission.WaitingRoom(places=1000, taken=0, taken_by_partner=0)
+OCCUPANCY = admission.QueueOccupancy(
+    max_waiting=1000, total_waiting=0, partner_waiting=0
+)
 
 
 def create_pool(limit_percent: float = 100.0, **weights: float) -> PoolQueue:
@@ -37,7 +39,7 @@
         )
         for name, weight in (weights or {"p": 1.0, "q": 1.0}).items()
     }
-    fair_queue.adopt_config(pool, ConfigTable(partners_by_id=rows))
+    fair_queue.apply_partner_config(pool, ConfigTable(partners_by_id=rows))
     return pool
 
 
@@ -104,19 +106,19 @@
     peer = EntryVMId("e2")
     for at, used in ((0.0, 10.0), (0.5, 12.0)):
         usage = PeerUsage(1, used, waiting=5, running=4, reported_at=at)
-        fair_queue.take_peer_usage(pool, peer, P, usage, elapsed=0.5)
+        fair_queue.record_peer_usage(pool, peer, P, usage, elapsed=0.5)
     fill(pool, p=20, q=20)
     assert serve(pool, 10, start=0.5) == {"q": 10}
 
 
-def test_long_gone_use_of_a_peer_starves_nobody():
+def test_old_usage_of_a_peer_does_not_starve_the_partner():
     """After a cut of minutes one report brings all the use since. Counted in
     full it would keep the partner out for minutes."""
     pool = create_pool()
     peer = EntryVMId("e2")
     for at, used in ((0.0, 0.0), (300.0, 3000.0)):
         usage = PeerUsage(1, used, waiting=0, running=0, reported_at=at)
-        fair_queue.take_peer_usage(pool, peer, P, usage, elapsed=300.0)
+        fair_queue.record_peer_usage(pool, peer, P, usage, elapsed=300.0)
     fill(pool, p=900, q=900)
     assert serve(pool, 200, start=300.0)["p"] > 0
 
@@ -126,7 +128,7 @@
     peer = EntryVMId("e2")
     for incarnation, used in ((1, 5.0), (2, 500.0), (2, 500.0)):
         usage = PeerUsage(incarnation, used, waiting=0, running=0, reported_at=1.0)
-        fair_queue.take_peer_usage(pool, peer, P, usage, elapsed=0.5)
+        fair_queue.record_peer_usage(pool, peer, P, usage, elapsed=0.5)
     assert fair_queue.get_partner_queue(pool, P).used == 0.0
 
 
@@ -165,7 +167,7 @@
     """A partner limited to a quarter has half of its demand at a peer."""
     pool = create_pool(limit_percent=25.0, p=1.0)
     usage = PeerUsage(1, 0.0, waiting=10, running=0, reported_at=0.0)
-    fair_queue.take_peer_usage(pool, EntryVMId("e2"), P, usage, elapsed=0.5)
+    fair_queue.record_peer_usage(pool, EntryVMId("e2"), P, usage, elapsed=0.5)
     fill(pool, p=10)
     for _ in range(2):
         request = fair_queue.pick_next(pool, FLEET_SLOTS, 0.0)
@@ -208,8 +210,8 @@
     pool = create_pool()
     fill(pool, p=waiting)
     request = create_request(P, deadline=deadline)
-    room = admission.WaitingRoom(1000, waiting, waiting)
-    refusal = admission.check_admission(pool, request, slots, room, now=0.0)
+    occupancy = admission.QueueOccupancy(1000, waiting, waiting)
+    refusal = admission.check_admission(pool, request, slots, occupancy, now=0.0)
     if kind is None:
         assert refusal is None
         return
@@ -224,26 +226,30 @@
     pool = create_pool()
     fill(pool, p=800)
     request = create_request(P, deadline=1.0)
-    refusal = admission.check_admission(pool, request, 8, ROOM, now=0.0)
+    refusal = admission.check_admission(pool, request, 8, OCCUPANCY, now=0.0)
     assert refusal is not None
     assert refusal.retry_after == pytest.approx(5.0, rel=0.02)
 
 
-def test_partner_over_its_share_is_told_so():
+def test_partner_over_its_share_gets_its_own_refusal():
     pool = create_pool()
     fill(pool, p=400, q=4)
     serve_only_p = [fair_queue.begin(pool, P, 0.0) for _ in range(8)]
     assert len(serve_only_p) == 8
     request = create_request(P, deadline=0.5)
-    refusal = admission.check_admission(pool, request, 8, ROOM, now=0.0)
+    refusal = admission.check_admission(pool, request, 8, OCCUPANCY, now=0.0)
     assert refusal is not None
     assert refusal.kind is RefusalKind.OVER_SHARE
 
 
-def test_flood_takes_no_places_of_others():
+def test_one_partners_flood_leaves_queue_capacity_for_others():
     pool = create_pool()
-    flood = admission.WaitingRoom(places=100, taken=50, taken_by_partner=50)
+    flood = admission.QueueOccupancy(
+        max_waiting=100, total_waiting=50, partner_waiting=50
+    )
     refused = admission.check_admission(pool, create_request(P), 8, flood, now=0.0)
     assert refused is not None
-    other = admission.WaitingRoom(places=100, taken=50, taken_by_partner=0)
+    other = admission.QueueOccupancy(
+        max_waiting=100, total_waiting=50, partner_waiting=0
+    )
     assert admission.check_admission(pool, create_request(Q), 8, other, 0.0) is None
--- a/packages/systems/tests/test_membership.py
+++ b/packages/systems/tests/test_membership.py
@@ -25,7 +25,7 @@
 
 def create_table(*listed: EntryVMId, zone: ZoneId = NEAR) -> MemberTable:
     table = MemberTable(OWN, NEAR)
-    membership.take_list(table, create_list(*listed, zone=zone), 0.0)
+    membership.apply_listed_members(table, create_list(*listed, zone=zone), 0.0)
     return table
 
 
@@ -44,7 +44,7 @@
 
 
 def hear(table: MemberTable, heartbeat: Heartbeat, now: float) -> list[MemberEvent]:
-    _, changes = membership.take_heartbeat(table, heartbeat, now)
+    _, changes = membership.apply_heartbeat(table, heartbeat, now)
     return [change.event for change in changes]
 
 
@@ -109,7 +109,7 @@
     assert membership.list_heard(table) == {}
 
 
-def test_replaced_process_cannot_push_its_successor_out():
+def test_late_report_of_a_replaced_process_is_ignored():
     """
     A process freezes, the platform starts another with the same id and address,
     and the first one thaws. Its reports carry the former incarnation and must
@@ -118,7 +118,7 @@
     table = create_table(PEER)
     hear(table, beat(90, incarnation=1), 0.0)
     assert hear(table, beat(1, incarnation=2), 1.0) == [MemberEvent.REPLACED]
-    is_news, _ = membership.take_heartbeat(table, beat(91, incarnation=1), 1.1)
+    is_news, _ = membership.apply_heartbeat(table, beat(91, incarnation=1), 1.1)
     assert not is_news
     assert table.members_by_id[PEER].incarnation == 2
 
@@ -135,19 +135,19 @@
     assert table.members_by_id[PEER].state is MemberState.ALIVE
 
 
-def test_own_freeze_is_not_taken_for_the_silence_of_all_others():
+def test_pause_of_this_process_does_not_mark_peers_silent():
     """
     This process is paused for a minute. On waking up every peer looks silent,
     and it would take over each watch and each pool of its zone at once.
     """
     table = create_table(PEER)
     hear(table, beat(1), 0.0)
-    membership.note_freeze(table, 60.0, 60.1)
+    membership.correct_for_pause(table, 60.0, 60.1)
     assert membership.tick(table, 60.1) == []
     assert membership.tick(table, 62.2) != []
 
 
-def test_flapping_member_gets_no_new_duties_for_a_growing_while():
+def test_flapping_member_is_held_down_for_increasing_times():
     """
     A link comes and goes every few seconds. Each return would move watches and
     pools back to the member, and each cut away again; it serves, but waits.
@@ -158,16 +158,16 @@
     for sequence in range(1, 6):
         hear(table, beat(sequence), now)
         assert PEER in membership.list_heard(table)
-        held_down.append(table.members_by_id[PEER].steady_at - now)
+        held_down.append(table.members_by_id[PEER].held_down_until - now)
         assert (PEER in membership.list_steady(table, now)) == (held_down[-1] <= 0)
         now += 3.0
         membership.tick(table, now)
     assert held_down[2:] == [5.0, 10.0, 20.0]
     assert max(held_down[:2]) <= 0
     hear(table, beat(6), now)
-    now += membership.CALM_SECONDS + 1
+    now += membership.STABLE_SECONDS + 1
     hear(table, beat(7), now)
-    assert table.members_by_id[PEER].falls == 0
+    assert table.members_by_id[PEER].silence_count == 0
 
 
 @pytest.mark.parametrize(
--- a/packages/systems/tests/test_slots.py
+++ b/packages/systems/tests/test_slots.py
@@ -37,7 +37,7 @@
     in_use: int = 0,
     dead: frozenset[EntryVMId] = frozenset(),
 ) -> int:
-    wish = slots.Wish(VM, in_use, held)
+    wish = slots.SlotDemand(VM, in_use, held)
     return slots.grant(
         ledger,
         asker,
@@ -59,14 +59,14 @@
         ([B, C], 100.0 + POLICY.vote_seconds, 2),
     ],
 )
-def test_home_grants_only_the_part_that_its_voters_stand_for(voters, now, expected):
+def test_home_grants_only_in_proportion_to_its_votes(voters, now, expected):
     ledger = SlotLedger()
     for voter in voters:
-        slots.take_vote(ledger, voter, 100.0)
+        slots.record_vote(ledger, voter, 100.0)
     assert capacity(ledger, see(A, B, C), now) == expected
 
 
-def test_new_home_waits_for_what_its_predecessor_left_running():
+def test_new_home_waits_for_work_granted_by_the_previous_home():
     """The former home is cut off with a holder that is not heard. What they
     have running is not known here, so nothing is granted until it has ended."""
     ledger = SlotLedger()
@@ -77,7 +77,7 @@
 
 def test_new_home_with_every_vote_leaves_what_was_lent_to_other_zones():
     ledger = SlotLedger()
-    slots.take_vote(ledger, B, 100.0)
+    slots.record_vote(ledger, B, 100.0)
     vote = Vote(home=A, blocked_until=100.0, foreign=3)
     counted = slots.count_capacity(
         ledger, 8, see(A, B), A, vote, now=100.5, policy=POLICY
@@ -147,12 +147,12 @@
     first request; it must find slots that are not lent out already."""
     table = HomeTable()
     for asker in (A, B):
-        slot_shares.take_demand(table, POOL, asker, {}, 1.0)
+        slot_shares.record_demand(table, POOL, asker, {}, 1.0)
     parts = slot_shares.divide_pool(table, POOL, {}, 16, 1.0, POLICY)
     idle = slot_shares.round_parts(VM, parts, 8)
     assert 1 <= idle[A] <= 2
     assert 1 <= idle[B] <= 2
-    slot_shares.take_demand(table, POOL, C, {PartnerId("p"): 1}, 1.0)
+    slot_shares.record_demand(table, POOL, C, {PartnerId("p"): 1}, 1.0)
     parts = slot_shares.divide_pool(table, POOL, {}, 16, 1.0, POLICY)
     for number in range(50):
         assert slot_shares.round_parts(VMId(f"vm-{number}"), parts, 8)[C] >= 1
@@ -185,9 +185,9 @@
 def test_parts_add_up_to_all_slots_of_each_vm():
     table = HomeTable()
     flood = {PartnerId("p"): 300}
-    slot_shares.take_demand(table, POOL, A, flood, 1.0)
+    slot_shares.record_demand(table, POOL, A, flood, 1.0)
     victim = {PartnerId("q"): 9, PartnerId("p"): 30}
-    slot_shares.take_demand(table, POOL, B, victim, 1.0)
+    slot_shares.record_demand(table, POOL, B, victim, 1.0)
     weights = {PartnerId("p"): 1.0, PartnerId("q"): 1.0}
     parts = slot_shares.divide_pool(table, POOL, weights, 16, 1.0, POLICY)
     rounded = [slot_shares.round_parts(VMId(f"vm-{n}"), parts, 8) for n in range(200)]
--- a/packages/systems/tests/test_table_csv.py
+++ b/packages/systems/tests/test_table_csv.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from medlarspring_systems.table_csv import plan_import, read_sheet, write_sheet
+from medlarspring_systems.table_csv import format_csv, parse_csv, plan_import
 from medlarspring_systems.table_edit import RowAction, TableEdit, apply_edit
 from medlarspring_tables import ConfigTable, EditId
 
-SHEET = """\
+CSV_TEXT = """\
 kind,id,weight,limit_percent,pool_id,wanted_vms,min_available,spare_percent
 fleet,fleet,,,,,,12.5
 pool,consent-vms,,,,8,6,
@@ -16,31 +16,31 @@
 """
 
 
-def import_sheet(table: ConfigTable, text: str, id: str) -> ConfigTable:  # noqa: A002
-    rows = plan_import(table, read_sheet(text).unwrap())
+def import_csv(table: ConfigTable, text: str, id: str) -> ConfigTable:  # noqa: A002
+    rows = plan_import(table, parse_csv(text).unwrap())
     edit = TableEdit(id=EditId(id), operator="asha", rows=rows)
     return apply_edit(table, edit, 0.0, "test").unwrap().table
 
 
 @pytest.fixture
 def table() -> ConfigTable:
-    return import_sheet(ConfigTable(), SHEET, "first")
+    return import_csv(ConfigTable(), CSV_TEXT, "first")
 
 
-def test_sheet_becomes_table_and_table_becomes_the_same_sheet(table):
+def test_csv_round_trips_through_the_table(table):
     assert table.fleet.spare_percent == 12.5
     assert table.partners_by_id["ardhi"].limit_percent == 40.0
-    sheet = read_sheet(write_sheet(table)).unwrap()
+    sheet = parse_csv(format_csv(table)).unwrap()
     assert plan_import(table, sheet) == ()
 
 
 def test_difference_names_only_what_changes(table):
-    text = write_sheet(table).replace("partner,ardhi,1,2,", "partner,ardhi,1,3,")
+    text = format_csv(table).replace("partner,ardhi,1,2,", "partner,ardhi,1,3,")
     text = text.replace(
         next(line for line in text.splitlines() if "bomba" in line),
         "partner,chombo,,1",
     )
-    edits = plan_import(table, read_sheet(text).unwrap())
+    edits = plan_import(table, parse_csv(text).unwrap())
     found = {(edit.id, edit.action): edit.fields for edit in edits}
     assert found["ardhi", RowAction.SET] == {"weight": "3"}
     assert found["chombo", RowAction.ADD]["weight"] == "1"
@@ -48,16 +48,16 @@
     assert len(found) == 3
 
 
-def test_sheet_written_before_another_operators_edit_meets_a_conflict(table):
+def test_import_of_a_csv_older_than_another_edit_conflicts(table):
     """
     An operator exports, a rival's weight is changed by another, and the first
     imports his sheet. Without the row revisions in the sheet the import would
     put the old weight back; with them it is refused and shows both rows.
     """
-    sheet = write_sheet(table).replace("partner,ardhi,1,2,", "partner,ardhi,1,5,")
-    raced = write_sheet(table).replace("partner,ardhi,1,2,", "partner,ardhi,1,4,")
-    after = import_sheet(table, raced, "raced")
-    rows = plan_import(after, read_sheet(sheet).unwrap())
+    sheet = format_csv(table).replace("partner,ardhi,1,2,", "partner,ardhi,1,5,")
+    raced = format_csv(table).replace("partner,ardhi,1,2,", "partner,ardhi,1,4,")
+    after = import_csv(table, raced, "raced")
+    rows = plan_import(after, parse_csv(sheet).unwrap())
     edit = TableEdit(id=EditId("late"), operator="juma", rows=rows)
     assert apply_edit(after, edit, 0.0, "test").failure().code == "row-conflict"
 
@@ -74,12 +74,12 @@
         ("kind,id\npartner,a,1,2\n", "line 2: found more cells than columns"),
     ],
 )
-def test_unreadable_sheet_is_refused_with_line_and_remedy(text, part):
-    refusal = read_sheet(text).failure()
+def test_unreadable_csv_is_refused_with_line_and_remedy(text, part):
+    refusal = parse_csv(text).failure()
     assert part in refusal.message()
     assert "medlarspring table export" in refusal.message()
 
 
-def test_sheet_saved_by_a_spreadsheet_is_read():
-    rows = read_sheet("\ufeffkind,id,weight\r\npartner, ardhi ,2\r\n,,\r\n").unwrap()
+def test_csv_saved_by_a_spreadsheet_is_read():
+    rows = parse_csv("\ufeffkind,id,weight\r\npartner, ardhi ,2\r\n,,\r\n").unwrap()
     assert [(row.id, row.cells) for row in rows] == [("ardhi", {"weight": "2"})]
--- a/packages/systems/tests/test_upstream_health.py
+++ b/packages/systems/tests/test_upstream_health.py
@@ -4,10 +4,10 @@
 
 from medlarspring_systems import leaving, retry, routing
 from medlarspring_systems.upstream_health import (
-    MAX_ASIDE_SECONDS,
-    begin_work,
-    note_failure,
-    note_success,
+    MAX_EJECTION_SECONDS,
+    mark_probe,
+    record_failure,
+    record_success,
 )
 from medlarspring_tables import (
     ListedState,
@@ -49,10 +49,10 @@
 def fail(table: UpstreamTable, index: int, times: int = 3, now: float = 0.0) -> None:
     pool = table.upstreams_by_pool[POOL]
     for _ in range(times):
-        note_failure(pool[index], pool, now)
+        record_failure(pool[index], pool, now)
 
 
-def test_failing_vm_is_set_aside_probed_and_brought_back():
+def test_failing_vm_is_ejected_probed_and_restored():
     table = create_table(2)
     pool = table.upstreams_by_pool[POOL]
     fail(table, 0)
@@ -61,9 +61,9 @@
     assert choose(table, now=1.5, repeatable=False) is pool[1]
     probed = choose(table, now=1.5)
     assert probed is pool[0]
-    begin_work(probed)
+    mark_probe(probed)
     assert choose(table, now=1.5) is pool[1]
-    note_success(probed, pool, 0.05, 1.6)
+    record_success(probed, pool, 0.05, 1.6)
     assert choose(table, now=1.6, repeatable=False) is pool[0]
 
 
@@ -78,7 +78,7 @@
     assert choose(table, repeatable=False) is pool[1]
 
 
-def test_service_without_reads_gets_its_vm_back_too():
+def test_non_repeatable_requests_probe_an_ejected_vm_after_a_delay():
     table = create_table(2)
     fail(table, 0)
     pool = table.upstreams_by_pool[POOL]
@@ -87,24 +87,24 @@
     assert choose(table, now=6.1, repeatable=False) is pool[0]
 
 
-def test_failed_probes_come_ever_more_rarely():
+def test_ejection_time_grows_with_each_failed_probe():
     table = create_table(2)
     pool = table.upstreams_by_pool[POOL]
     fail(table, 0)
     pauses = []
     for _ in range(8):
-        until = pool[0].set_aside_until
+        until = pool[0].ejected_until
         assert until is not None
-        begin_work(pool[0])
-        note_failure(pool[0], pool, until)
-        assert pool[0].set_aside_until is not None
-        pauses.append(pool[0].set_aside_until - until)
+        mark_probe(pool[0])
+        record_failure(pool[0], pool, until)
+        assert pool[0].ejected_until is not None
+        pauses.append(pool[0].ejected_until - until)
     assert pauses == sorted(pauses)
-    assert pauses[-1] == MAX_ASIDE_SECONDS
+    assert pauses[-1] == MAX_EJECTION_SECONDS
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 8])
-def test_bad_signal_never_empties_a_pool(count):
+def test_at_most_half_of_a_pool_is_ejected(count):
     """Every VM seems to fail at once, as when the service itself is broken.
     At least half of the pool goes on being tried."""
     table = create_table(count)
@@ -112,28 +112,28 @@
         for index in range(count):
             fail(table, index)
     pool = table.upstreams_by_pool[POOL]
-    kept = sum(1 for upstream in pool if upstream.set_aside_until is None)
+    kept = sum(1 for upstream in pool if upstream.ejected_until is None)
     assert kept >= count / 2
     assert choose(table) is not None
 
 
-def test_slow_vm_is_set_aside_against_its_pool():
+def test_vm_slower_than_its_pool_is_ejected():
     table = create_table(4)
     pool = table.upstreams_by_pool[POOL]
     for _ in range(20):
         for upstream in pool:
-            note_success(upstream, pool, 0.8 if upstream is pool[0] else 0.05, 0.0)
-    assert pool[0].set_aside_until is not None
-    assert all(upstream.set_aside_until is None for upstream in pool[1:])
+            record_success(upstream, pool, 0.8 if upstream is pool[0] else 0.05, 0.0)
+    assert pool[0].ejected_until is not None
+    assert all(upstream.ejected_until is None for upstream in pool[1:])
 
 
-def test_service_that_is_slow_as_a_whole_sets_nobody_aside():
+def test_uniformly_slow_pool_ejects_no_vm():
     table = create_table(4)
     pool = table.upstreams_by_pool[POOL]
     for _ in range(20):
         for upstream in pool:
-            note_success(upstream, pool, 2.0, 0.0)
-    assert all(upstream.set_aside_until is None for upstream in pool)
+            record_success(upstream, pool, 2.0, 0.0)
+    assert all(upstream.ejected_until is None for upstream in pool)
 
 
 def test_own_zone_goes_first_and_another_zone_when_it_is_short():
@@ -194,7 +194,7 @@
     request = create_request(repeatable=True)
     retries = 0
     for _ in range(1000):
-        retry.earn(budget, 10.0)
+        retry.add_retry_tokens(budget, 10.0)
         retries += retry.may_retry(
             budget, request, 1, 0.1, 0.0, certainly_not_run=False
         )
@@ -223,11 +223,11 @@
 
 def read_list(table: UpstreamTable, vm_list: VMList, at: float) -> Upstream:
     vm_list.read_at = at
-    routing.adopt_vm_list(table, vm_list)
+    routing.update_upstreams(table, vm_list)
     return table.upstreams_by_id[VMId("vm-0")]
 
 
-def test_sign_of_leaving_holds_against_the_lagging_list_and_ends_with_it():
+def test_leaving_signal_overrides_the_lagging_list_until_it_catches_up():
     table = UpstreamTable()
     read_list(table, list_vm(), 0.0)
     assert leaving.note_leaving(table, VMId("vm-0"), 0.0, 10.0)
@@ -239,7 +239,7 @@
     assert leaving.takes_new_work(back, 60.0)
 
 
-def test_vm_in_another_pool_is_not_shut_by_the_drain_before_its_move():
+def test_moved_vm_gets_work_in_its_new_pool_despite_the_earlier_drain():
     table = UpstreamTable()
     read_list(table, list_vm(), 0.0)
     leaving.note_leaving(table, VMId("vm-0"), 0.0, 10.0)
@@ -248,7 +248,7 @@
     assert leaving.takes_new_work(moved, 16.0)
 
 
-def test_signs_alone_never_empty_a_pool():
+def test_leaving_signals_alone_never_empty_a_pool():
     """A wave drained and rebooted every VM of a pool within one reading of the
     list, which shows all as live throughout. Nothing takes the signs back, and
     callers were refused for want of an upstream although all were live."""
@@ -256,9 +256,9 @@
     for number in range(2):
         leaving.note_leaving(table, VMId(f"vm-{number}"), 0.0, 10.0 + number)
     pool = table.upstreams_by_pool[POOL]
-    leaving.keep_floor(pool, 14.0)
+    leaving.restore_emptied_pool(pool, 14.0)
     assert choose(table, now=14.0) is None
-    leaving.keep_floor(pool, 15.5)
+    leaving.restore_emptied_pool(pool, 15.5)
     assert choose(table, now=15.5) is pool[0]
 
 
@@ -271,7 +271,7 @@
         pytest.param(ListedState.LIVE, PoolId("survey"), 3.0, False, id="moved"),
     ],
 )
-def test_return_ends_older_signs_of_leaving(state, pool, returned_ago, takes):
+def test_return_clears_older_leaving_signals(state, pool, returned_ago, takes):
     """A VM was drained and rebooted between two readings of the list, which shows
     it as live throughout. The entry VM that carried it out tells that it is back;
     before, the others gave it no work for as long as they remember a sign."""
@@ -283,7 +283,7 @@
     assert leaving.takes_new_work(upstream, 20.0) is takes
 
 
-def test_signs_from_before_a_return_are_no_news():
+def test_leaving_signals_from_before_a_return_are_ignored():
     table = UpstreamTable()
     read_list(table, list_vm(), 0.0)
     leaving.note_returned(table, VMId("vm-0"), POOL, 0.0, 20.0)
@@ -292,10 +292,10 @@
     assert leaving.list_returned(table, 22.0) == [
         (table.upstreams_by_id[VMId("vm-0")], 2.0)
     ]
-    assert not leaving.list_returned(table, 20.0 + leaving.LEAVING_MEMORY_SECONDS)
+    assert not leaving.list_returned(table, 20.0 + leaving.LEAVING_SIGNAL_SECONDS)
 
 
-def test_return_that_peers_tell_back_and_forth_keeps_its_time():
+def test_repeated_reports_of_one_return_keep_its_time():
     """Each report adds its time on the way to the age that it tells. Taken for a
     newer return, it would void the sign of a drain that began in between."""
     table = UpstreamTable()
--- a/packages/systems/tests/test_vm_list_view.py
+++ b/packages/systems/tests/test_vm_list_view.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from medlarspring_systems.vm_list_view import CONFIRMATIONS, VMListView, take_answer
+from medlarspring_systems.vm_list_view import CONFIRMATIONS, VMListView, apply_answer
 from medlarspring_tables import ListedVM, PoolId, RackId, RegionId, VMId, VMList, ZoneId
 
 
@@ -31,15 +31,15 @@
     Taken at once, every request would be refused for want of an upstream.
     """
     view = VMListView()
-    assert take_answer(view, create_list(10))
-    used = [take_answer(view, create_list(left)) for _ in range(tries)]
+    assert apply_answer(view, create_list(10))
+    used = [apply_answer(view, create_list(left)) for _ in range(tries)]
     assert used == [False] * (tries - 1) + [True]
     assert view.current == create_list(left)
 
 
-def test_doubt_ends_with_a_whole_answer():
+def test_complete_answer_resets_the_suspect_count():
     view = VMListView()
-    take_answer(view, create_list(10))
-    assert not take_answer(view, create_list(0))
-    assert take_answer(view, create_list(10))
-    assert not take_answer(view, create_list(0))
+    apply_answer(view, create_list(10))
+    assert not apply_answer(view, create_list(0))
+    assert apply_answer(view, create_list(10))
+    assert not apply_answer(view, create_list(0))
--- a/packages/tables/src/medlarspring_tables/members.py
+++ b/packages/tables/src/medlarspring_tables/members.py
@@ -56,9 +56,9 @@
     """Whether its last report named this process among those it hears."""
     one_way: bool = False
     """Heard, but it does not hear this process or cannot be called."""
-    falls: int = 0
+    silence_count: int = 0
     """Recent times that it went silent; forgotten after a calm spell."""
-    steady_at: Seconds = 0.0
+    held_down_until: Seconds = 0.0
     """Until then it is held down: serving, but given no new duties."""
 
 
@@ -69,7 +69,7 @@
     own_id: EntryVMId
     own_zone_id: ZoneId
     members_by_id: dict[EntryVMId, Member] = field(default_factory=dict)
-    thawed_at: Seconds | None = None
+    last_pause_at: Seconds | None = None
     """When this process last found that its own clock had jumped."""
 
 
--- a/packages/tables/src/medlarspring_tables/slots.py
+++ b/packages/tables/src/medlarspring_tables/slots.py
@@ -40,7 +40,7 @@
     """What one entry VM has running and waiting in one pool, by partner."""
 
     count_by_partner: dict[PartnerId, float] = field(default_factory=dict)
-    told_at: Seconds = 0.0
+    reported_at: Seconds = 0.0
 
 
 @dataclass(slots=True)
--- a/packages/tables/src/medlarspring_tables/upstreams.py
+++ b/packages/tables/src/medlarspring_tables/upstreams.py
@@ -24,7 +24,7 @@
     """First sign of leaving that this entry VM saw or was told of."""
     returned_at: Seconds = float("-inf")
     """When the list showed it live again, or was told so; older signs are void."""
-    told_returned_at: Seconds = float("-inf")
+    reported_returned_at: Seconds = float("-inf")
     """When the VM control showed that it serves again, to any entry VM."""
     in_use: int = 0
     """Slots held by requests of this entry VM, given-up ones included."""
@@ -36,9 +36,9 @@
     latency: Seconds = 0.0
     """Smoothed time to the answer's headers; 0 until the first answer."""
     answers: int = 0
-    set_aside_until: Seconds | None = None
+    ejected_until: Seconds | None = None
     """No work before this time; then one probe at a time."""
-    set_aside_count: int = 0
+    ejection_count: int = 0
     """Times set aside without a success between; lengthens the next one."""
     probing: bool = False
 
