--- a/packages/systems/src/medlarspring_systems/admission.py
+++ b/packages/systems/src/medlarspring_systems/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request may wait, and when a refused one should come back."""
+"""Admission control: whether a request may be queued, and when to retry it."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 MIN_RETRY_SECONDS = 1.0
 MIN_WAITING_PER_PARTNER = 16
-"""Each partner may have this many waiting, however small its weight."""
+"""Every partner may queue this many requests, whatever its weight."""
 
 
 @dataclass(slots=True, frozen=True)
 class QueueOccupancy:
-    """How many requests wait in this process, over all services."""
+    """Number of requests queued in this process, over all services."""
 
     max_waiting: int
     total_waiting: int
@@ -33,10 +33,10 @@
     occupancy: QueueOccupancy,
     now: Seconds,
 ) -> Refusal | None:
-    """Return why a request that would have to wait is refused, if it is.
+    """Return the refusal of a request that has to wait, or None if it may wait.
 
-    A request is refused at once when it would not be answered in time: it
-    would only take the place of one that can.
+    A request that cannot be answered before its deadline is refused at once,
+    because it would occupy queue capacity that another request can use.
     """
     queue = get_partner_queue(pool, request.partner_id)
     wait = estimate_wait(pool, queue, request.urgency, usable_slots)
@@ -51,14 +51,14 @@
 def estimate_service_time(pool: PoolQueue) -> Seconds:
     """Return the time within which most requests are answered once sent.
 
-    Begun with the mean time left, nearly half would miss their deadline, and
-    the slots they used would be lost when the service is short of them.
+    With only the mean service time left, nearly half of the requests would miss
+    their deadline and waste their slots while the service is short of slots.
     """
     return pool.service_seconds + pool.service_spread
 
 
 def refuse_for_load(pool: PoolQueue, queue: PartnerQueue, wait: Seconds) -> Refusal:
-    """Return the refusal of a request whose turn would come too late."""
+    """Return the refusal of a request that would get a slot too late."""
     retry_after = max(MIN_RETRY_SECONDS, wait)
     others = pool.waiting > queue.waiting
     if others and is_over_share(pool, queue):
@@ -81,8 +81,9 @@
 ) -> Seconds:
     """Return how long a new request would wait for a slot.
 
-    The partner is served at its share of the rate at least, and the whole
-    queue at the whole rate: the smaller of the two times holds.
+    This is the smaller of two times: to serve the partner's queue at the
+    partner's share of the service rate, and to serve the whole queue at the
+    whole rate.
     """
     rate = max(1, usable_slots) / max(pool.service_seconds, 0.001)
     if urgency is Urgency.URGENT:
@@ -97,7 +98,7 @@
 
 
 def is_over_share(pool: PoolQueue, queue: PartnerQueue) -> bool:
-    """Whether the partner has used more than its weight gives it."""
+    """Return whether the partner has used more than its weighted share."""
     used = sum(other.used for other in pool.queues_by_partner.values())
     return queue.used * _sum_active_weights(pool, queue) > used * queue.weight
 
@@ -111,10 +112,10 @@
 
 
 def _is_full(pool: PoolQueue, queue: PartnerQueue, occupancy: QueueOccupancy) -> bool:
-    """Whether the partner's part of the places is taken, or all of them are.
+    """Return whether the queue is full, either in total or for this partner.
 
-    Each partner's part goes by weight, so that one partner's flood over all
-    services never takes the places of the others.
+    Each partner may fill a part of the queue in proportion to its weight, so
+    that one partner's flood over all services leaves capacity for the others.
     """
     if occupancy.total_waiting >= occupancy.max_waiting:
         return True
--- a/packages/systems/src/medlarspring_systems/audit.py
+++ b/packages/systems/src/medlarspring_systems/audit.py
@@ -15,20 +15,20 @@
 
 PAGE_DIGITS = 2
 PAGE_REVISIONS = 10**PAGE_DIGITS
-"""Table revisions whose records are read in one store call."""
+"""Number of table revisions whose records are read in one store call."""
 KEPT_REVISIONS = 20_000
-"""Records of this many table revisions are kept, unless they are too old."""
+"""Records of this many newest table revisions are kept until they are too old."""
 KEPT_SECONDS = 90 * 86_400.0
 ALWAYS_KEPT_REVISIONS = 1_000
-"""Records of this many table revisions stay, however old they seem to be."""
+"""Records of this many newest table revisions are kept whatever their age."""
 MAX_DELETES = 50
-"""Records that one write removes; the store bounds a transaction."""
+"""Records removed by one write; the store limits the size of a transaction."""
 TRIM_MARK_KEY = "trims/audit"
 
 
 @dataclass(frozen=True, slots=True)
 class AuditFilter:
-    """Which records are wanted; an empty field matches all."""
+    """Conditions on audit records; an empty field matches all records."""
 
     since: float = 0.0
     """Only records of this wall time or later."""
@@ -39,7 +39,7 @@
 
 
 def page_start(revision: Revision) -> Revision:
-    """Return the first revision of the page that a revision is on."""
+    """Return the first revision of the page that contains a revision."""
     return Revision(max(0, revision) // PAGE_REVISIONS * PAGE_REVISIONS)
 
 
@@ -50,7 +50,7 @@
 
 
 def matches(record: AuditRecord, wanted: AuditFilter) -> bool:
-    """Tell whether a record is wanted."""
+    """Return whether a record matches the filter."""
     if record.at < wanted.since:
         return False
     if wanted.operator and record.operator != wanted.operator:
@@ -66,18 +66,18 @@
 
 
 def has_expired(record: AuditRecord, newest: Revision, now: float) -> bool:
-    """Tell whether retention lets a record go; ``now`` is wall time."""
+    """Return whether a record is past its retention; ``now`` is wall time."""
     if record.revision <= newest - KEPT_REVISIONS:
         return True
-    # An entry VM whose clock is wrong by months would take the whole trail for
-    # too old. What it can remove is bounded: the newest records always stay.
+    # An entry VM whose clock is wrong by months would consider the whole trail
+    # too old. The newest records are always kept, which limits what it removes.
     if record.revision > newest - ALWAYS_KEPT_REVISIONS:
         return False
     return record.at < now - KEPT_SECONDS
 
 
 class TrimMark(Struct, frozen=True, kw_only=True):
-    """How far the trail has been trimmed; each write of a trim names it."""
+    """How far the trail has been trimmed; updated by each write of a trim."""
 
     next_page: Revision = Revision(0)
     """First revision of the oldest page that may still hold records."""
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Trim:
-    """One step of trimming."""
+    """One step of trimming the audit trail."""
 
     keys: tuple[str, ...]
     """Records to remove."""
@@ -98,9 +98,9 @@
 def plan_trim(
     mark: TrimMark, page: dict[str, AuditRecord], newest: Revision, now: float
 ) -> Trim | None:
-    """Return the next step on the page at the mark; None when it is done.
+    """Return the next step on the page at the mark, or None if nothing is left.
 
-    ``page`` holds the page's records by key, ``now`` is wall time.
+    ``page`` holds the page's records by key; ``now`` is wall time.
     """
     expired = [key for key, each in page.items() if has_expired(each, newest, now)]
     keys = tuple(expired[:MAX_DELETES])
--- a/packages/systems/src/medlarspring_systems/backoff.py
+++ b/packages/systems/src/medlarspring_systems/backoff.py
@@ -1,4 +1,4 @@
-"""How long to wait before a failed call to the store is tried again."""
+"""Retry delays for failed calls to the store."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 
 
 def plan_retry(failures: int, rng: random.Random) -> Seconds:
-    """Return the wait after so many failed calls running.
+    """Return the delay after a number of consecutive failed calls.
 
-    When the store comes back, all entry VMs see it within seconds. The wait
-    doubles and is drawn from its whole length, which spreads the fleet's first
-    calls over it; a fixed wait would bring them all in one instant.
+    When the store recovers, all entry VMs retry within seconds. The upper bound
+    of the delay doubles with each failure and the delay is drawn at random below
+    it, which spreads the fleet's first calls. With a fixed delay all entry VMs
+    would call at the same instant.
     """
     longest = FIRST_RETRY_SECONDS * 2 ** min(failures, 10)
     return rng.uniform(FIRST_RETRY_SECONDS / 2, min(longest, MAX_RETRY_SECONDS))
--- a/packages/systems/src/medlarspring_systems/claims.py
+++ b/packages/systems/src/medlarspring_systems/claims.py
@@ -1,7 +1,7 @@
-"""What a request may do, given the claim that stands in the store.
+"""Decides what a request with an ``Idempotency-Key`` may do about a stored claim.
 
-A run is allowed only to the one whose compare-and-swap wrote the claim. A
-claim is taken over only when its claimant said that it certainly did not run.
+A request may run only if its own compare-and-swap wrote the claim. A claim is
+taken over only if its claimant recorded that the request certainly did not run.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
     from medlarspring_tables.requests import CallerRequest
 
 CLAIM_SECONDS = 24 * 3600.0
-"""Shortest life of a claim; a key may be used again only after it."""
+"""Minimum lifetime of a claim; a key may be reused only after it."""
 LEASE_PERIOD_SECONDS = 3600.0
-"""Claims of one period share a lease that outlives the last of them."""
+"""Claims written in one period share a lease, which outlives the last claim."""
 LEASE_SECONDS = CLAIM_SECONDS + LEASE_PERIOD_SECONDS
 GRACE_SECONDS = 30.0
-"""After the deadline and this time a claim without outcome is given up on."""
+"""A claim without an outcome this long after its deadline is reported as lost."""
 MAX_KEPT_BODY_BYTES = 16_384
 REPLAYED_HEADERS = frozenset({"content-type", "location", "etag"})
 IN_PROGRESS_RETRY_SECONDS = 1.0
 
 
 class ClaimDecision(Enum):
-    """What to do about a claim that was found."""
+    """What to do about an existing claim."""
 
     OWN_CLAIM = "ours"
-    """The claim is this attempt's own: an earlier reply was lost."""
+    """This attempt wrote the claim, but the store's reply was lost."""
     REPLAY = "replay"
     TAKE_OVER = "take-over"
     REFUSE = "refuse"
@@ -48,7 +48,7 @@
 
 
 def digest_request(request: CallerRequest) -> str:
-    """Return what a repeat of the request must have in common with it."""
+    """Return the digest that a repeat of the request must match."""
     digest = hashlib.sha256()
     for part in (request.service_id, request.method, request.target):
         digest.update(part.encode() + b"\0")
@@ -57,7 +57,7 @@
 
 
 def evaluate_claim(found: Claim, attempt_id: str, request_digest: str) -> ClaimDecision:
-    """Say what a request may do about the claim that stands."""
+    """Return what a request may do about an existing claim."""
     if found.attempt_id == attempt_id:
         return ClaimDecision.OWN_CLAIM
     if found.request_digest != request_digest:
@@ -70,7 +70,7 @@
 
 
 def build_claim_refusal(found: Claim, request_digest: str, wall: Seconds) -> Refusal:
-    """Return the refusal for a claim that allows neither run nor replay."""
+    """Return the refusal for a claim that allows neither a run nor a replay."""
     if found.request_digest != request_digest:
         return KEY_CONFLICT
     if found.state is ClaimState.DONE:
@@ -83,9 +83,9 @@
 def build_claimed_answer(
     status: int, headers: Iterable[tuple[str, str]], body: bytes
 ) -> ClaimedAnswer:
-    """Return what is kept of an answer for replays."""
-    # Lower case also makes a plain string of the HTTP library's own kind of
-    # string, which the store's codec does not know.
+    """Return the part of an answer that is stored for replays."""
+    # lower() also converts the HTTP library's string subclass to a plain str; the
+    # store's codec cannot encode the subclass.
     kept = tuple(
         (name.lower(), value)
         for name, value in headers
@@ -97,10 +97,11 @@
 
 
 def with_unknown_outcome(refusal: Refusal) -> Refusal:
-    """Return a refusal of a key that was not looked up in the store.
+    """Return the refusal with an unknown outcome in place of "not run".
 
-    Only the store knows whether the key ran through another entry VM. Told "not
-    run", its caller may take the request back, or send it under a new key.
+    For requests whose key was not looked up in the store: the key may have run
+    through another entry VM. After "not run" the caller may cancel the request
+    or send it under a new key.
     """
     if refusal.outcome is not Outcome.NOT_RUN:
         return refusal
--- a/packages/systems/src/medlarspring_systems/distribution.py
+++ b/packages/systems/src/medlarspring_systems/distribution.py
@@ -1,8 +1,8 @@
-"""Distribution of the configuration table: who asks the store, what is taken.
+"""Distribution of the configuration table from the store and between peers.
 
-The rule that keeps an accepted table from reverting is one comparison: a table
-is put in force only if its revision is higher than that in force. All else here
-is about learning of a higher one soon with few store calls.
+A table is put in force only if its revision is higher than that of the table in
+force, so that accepted edits never revert. The rest of the module finds higher
+revisions soon, with few store calls.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 WATCHERS_PER_ZONE = 2
 COLD_START_GRACE_SECONDS = 2.0
 STORE_FAILING_SECONDS = 3.0
-"""A member that the store has not answered for so long is no watcher."""
+"""A member without an answer from the store for this long is not a watcher."""
 
 
 class Source(Enum):
@@ -40,20 +40,20 @@
 
 
 class OfferResult(Enum):
-    """What became of a table that was offered."""
+    """Result of offering a table."""
 
     ACCEPTED = "taken"
     SAME = "same"
     OLDER = "older"
     DIVERGED = "diverged"
-    """Same revision, other content: the store was restored and edited anew."""
+    """Same revision, other content: the store was restored and edited again."""
     PENDING = "held"
-    """Kept until peers were asked, at a cold start."""
+    """Kept until the peers have been asked, at a cold start."""
 
 
 @dataclass(slots=True)
 class Distribution:
-    """The table in force and what is known of the store's."""
+    """The table in force and what is known of the store's table."""
 
     in_force: ConfigTable | None = None
     in_force_at: Seconds = 0.0
@@ -62,7 +62,7 @@
     """Table revision of the store's last answer."""
     store_answered_at: Seconds | None = None
     store_older_since: Seconds | None = None
-    """Since when the store has had an older or other table; for status."""
+    """Start of the time in which the store has an older or other table; for status."""
     pending_table: ConfigTable | None = None
     started_at: Seconds = 0.0
     peers_asked: bool = False
@@ -72,11 +72,11 @@
 def offer_table(
     distribution: Distribution, table: ConfigTable, source: Source, now: Seconds
 ) -> OfferResult:
-    """Put a table in force if it is newer than that in force.
+    """Put a table in force if it is newer than the table in force.
 
-    A lagging replica and a restored backup give well-formed answers that are
-    old. Taken, an accepted edit would revert on the nodes that asked this
-    replica. The revision only grows with accepted edits, so it tells them apart.
+    A lagging replica or a restored backup gives a well-formed but old answer. If
+    it were put in force, accepted edits would revert on the nodes that asked
+    there. The revision grows with each accepted edit, so it identifies old tables.
     """
     if source is Source.STORE:
         distribution.store_revision = table.revision
@@ -120,11 +120,12 @@
 
 
 def may_use_store_table(distribution: Distribution, now: Seconds) -> bool:
-    """Return whether the store's word is enough for a process without a table.
+    """Return whether a process without a table may use the store's table.
 
-    A new process has nothing to compare with, and the replica it asks may lag
-    behind what its peers have in force: for its callers the edit would revert.
-    So it asks its peers first; the time is bounded, since they may all be gone.
+    A new process has no table to compare with, and the replica that it asks may
+    lag behind the table that its peers have in force; its callers would see an
+    edit revert. So it asks its peers first, for a limited time, because all of
+    them may be gone.
     """
     if distribution.peers_asked:
         return True
@@ -132,7 +133,7 @@
 
 
 def offer_pending(distribution: Distribution, now: Seconds) -> OfferResult | None:
-    """Offer the table held at a cold start once peers were asked."""
+    """Offer the table kept at a cold start once it may be used."""
     pending_table = distribution.pending_table
     if pending_table is None or not may_use_store_table(distribution, now):
         return None
@@ -147,9 +148,10 @@
 ) -> bool:
     """Return whether this process should watch the store for its zone.
 
-    Members that the store does not answer are passed over, so that a zone of
-    which only some entry VMs reach the store keeps its watchers. Views differ
-    for a second or two; the worst is a watch too many or an edit heard later.
+    Members that get no answer from the store are skipped, so that a zone in
+    which only some entry VMs reach the store still has watchers. The members'
+    views differ for a second or two; at worst there is one watch too many, or an
+    edit arrives later.
     """
     fit = [
         member.id
@@ -166,10 +168,10 @@
     own_zone_id: ZoneId,
     rng: random.Random,
 ) -> EntryVMId | None:
-    """Return a peer with a newer table: one of this zone if there is any.
+    """Return a peer with a newer table, preferably of this zone, or None.
 
-    Any of those that have it will do; the choice at random spreads the load, so
-    that a watcher does not send the table to its whole zone.
+    The peer is chosen at random to spread the load; otherwise a watcher would
+    send the table to its whole zone.
     """
     newer = [member for member in heard_by_id.values() if member.table_revision > known]
     near = [member for member in newer if member.zone_id == own_zone_id]
--- a/packages/systems/src/medlarspring_systems/exchange.py
+++ b/packages/systems/src/medlarspring_systems/exchange.py
@@ -1,4 +1,4 @@
-"""When to exchange reports with which peer, within a budget of bytes."""
+"""Schedules the exchange of reports with peers within a budget of bytes."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 MAX_ZONE_INTERVAL_SECONDS = 0.8
 REMOTE_INTERVAL_SECONDS = 2.0
 MAX_REMOTE_INTERVAL_SECONDS = 4.0
-"""Two and a half of them are the silence that counts as a loss across zones."""
+"""A member of another zone counts as silent after 2.5 times this interval."""
 OVERDUE_INTERVALS = 1.5
-"""The side that does not call does so after so many silent intervals."""
+"""The side that waits for calls makes one after this many intervals without any."""
 MAX_CALL_INTERVALS = 8
-"""Each side calls at least so seldom, so that a one-way cut is noticed."""
+"""Each side calls at least once in this many intervals, to detect a one-way cut."""
 UNHEARD_INTERVAL_FACTOR = 3.0
-"""Peers that are not heard are tried so much more seldom."""
+"""Multiplies the interval of calls to peers that are not heard."""
 JITTER = 0.1
 BYTES_PER_SECOND = 6_000.0
-"""Of the 8 KB/s a node may spend; the rest is for the table itself."""
+"""Part of the 8 KB/s that a node may use; the rest is for the table itself."""
 ZONE_BYTES_SHARE = 0.5
 
 
 @dataclass(slots=True)
 class ExchangePlan:
-    """When each peer is due, and what an exchange costs."""
+    """When each peer is due, and how many bytes an exchange takes."""
 
     next_at_by_id: dict[EntryVMId, Seconds] = field(default_factory=dict)
     bytes_per_exchange: float = 300.0
-    """Both directions with framing; a moving average of what was measured."""
+    """Moving average of the bytes in both directions, framing included."""
 
 
 def record_exchange_bytes(plan: ExchangePlan, exchanged: int) -> None:
-    """Learn what one exchange took."""
+    """Add the bytes of one exchange to the moving average."""
     plan.bytes_per_exchange += 0.05 * (exchanged - plan.bytes_per_exchange)
 
 
@@ -67,7 +67,7 @@
 
 
 def forget(plan: ExchangePlan, table: MemberTable) -> None:
-    """Drop what is kept about members that are gone."""
+    """Remove the call times of members that are no longer in the table."""
     for member_id in plan.next_at_by_id.keys() - table.members_by_id.keys():
         del plan.next_at_by_id[member_id]
 
@@ -77,8 +77,9 @@
 ) -> bool:
     """Return whether this side of the pair should call.
 
-    One call tells both sides, so one side of the pair is enough. The other calls
-    too when it hears nothing, as after a cut in one direction.
+    A call carries the reports of both sides, so calls from one side are enough.
+    The other side also calls when it hears nothing, as after a cut in one
+    direction.
     """
     if member.heard_at is None or member.state is not MemberState.ALIVE:
         return True
@@ -93,11 +94,12 @@
 
 
 def _plan_intervals(plan: ExchangePlan, table: MemberTable) -> tuple[Seconds, Seconds]:
-    """Stretch the intervals in the zone and across until the bytes fit the budget.
+    """Return the intervals within the zone and across zones that fit the budget.
 
-    In a large fleet the exchanges with all zones would alone use up what a node
-    may spend. Reports within the zone carry what has to be fast and give way
-    less; both have bounds that stay well under the silence that counts.
+    In a large fleet, exchanges at the shortest intervals would use up the bytes
+    that a node may spend. Reports within the zone carry urgent news, so their
+    interval grows less. Both intervals are bounded well below the time after
+    which a member counts as silent.
     """
     near = sum(
         member.zone_id == table.own_zone_id for member in table.members_by_id.values()
