--- a/packages/systems/src/medlarspring_systems/fair_queue.py
+++ b/packages/systems/src/medlarspring_systems/fair_queue.py
@@ -1,9 +1,9 @@
-"""Whose request goes next: weighted fair queueing over the whole fleet.
+"""Weighted fair queueing of requests over the whole fleet.
 
-A partner is charged for the slot seconds it uses through any entry VM. Peers'
-use comes in by their reports. Charges fade with a time constant of a few
-seconds, so that idle share is lent freely and comes back soon, and nobody
-saves up share for later.
+A partner is charged for the slot seconds that it uses through any entry VM; peers
+report the use through them. Charges decay with a time constant of a few seconds.
+So other partners can use an idle partner's share, the partner gets it back soon,
+and no partner accumulates unused share.
 """
 
 from __future__ import annotations
@@ -31,20 +31,21 @@
     from medlarspring_tables.requests import CallerRequest
 
 USAGE_DECAY_SECONDS = 2.0
-"""Time constant with which past use fades."""
+"""Time constant of the exponential decay of past use."""
 
 MAX_UNIT_EXPONENT = 200.0
-"""The units are rebased before they overflow a float."""
+"""The units of use are rebased at this exponent, before they overflow a float."""
 
 SMOOTHING = 0.05
 """Weight of one request in the smoothed service time."""
 
 PEER_USAGE_TIMEOUT_SECONDS = 12.0
-"""A peer's waiting and running count for nothing after this silence; longer
-than the time in which unchanged figures are repeated."""
+"""A peer's waiting and running requests are ignored this long after its last
+report; longer than the time in which unchanged figures are repeated."""
 
 ENTITLED_TOLERANCE = 1.05
-"""Urgent work of a partner up to this part of its share goes before others'."""
+"""A partner's urgent requests go first while its use is at most this multiple of
+its share."""
 
 
 def get_partner_queue(pool: PoolQueue, partner_id: PartnerId) -> PartnerQueue:
@@ -58,10 +59,10 @@
 
 
 def apply_partner_config(pool: PoolQueue, config: ConfigTable) -> None:
-    """Take over weights and limits of the table in force.
+    """Apply the weights and limits of the table in force.
 
-    Queues are made only for partners that ask: hundreds of partners in dozens
-    of pools would take more memory than all else.
+    Queues are created only for partners that send requests: queues for hundreds
+    of partners in dozens of pools would take more memory than everything else.
     """
     pool.rows_by_partner = config.partners_by_id
     pool.total_weight = sum(row.weight for row in config.partners_by_id.values())
@@ -76,7 +77,7 @@
 
 
 def enqueue(pool: PoolQueue, request: CallerRequest, *, first: bool = False) -> None:
-    """Let a request wait for its turn, before all others if it had it already."""
+    """Queue a request; ``first`` puts it back at the head of its queue."""
     queue = get_partner_queue(pool, request.partner_id)
     waiting = queue.waiting_by_urgency[request.urgency]
     if first:
@@ -87,7 +88,10 @@
 
 
 def remove(pool: PoolQueue, request: CallerRequest) -> bool:
-    """Take a waiting request out, as its caller left or its time is up."""
+    """Remove a waiting request; return whether it was in the queue.
+
+    Used when the caller disconnects or the deadline passes.
+    """
     queue = pool.queues_by_partner.get(request.partner_id)
     if queue is None:
         return False
@@ -113,11 +117,11 @@
 
 
 def pick_next(pool: PoolQueue, fleet_slots: int, now: Seconds) -> CallerRequest | None:
-    """Take the request that goes next, or None if nothing may go.
+    """Dequeue and return the next request, or None if none may be sent.
 
-    Urgent requests of partners within their share go first. After them the
-    partner goes that has used least for its weight; its own urgent requests
-    come before its others.
+    Urgent requests of partners within their share go first. After them, the
+    partner with the smallest use for its weight is served; its urgent requests
+    go before its other requests.
     """
     best: PartnerQueue | None = None
     best_rank = (2, 0.0)
@@ -165,8 +169,8 @@
 ) -> int:
     """Return how many slots a partner's limit allows it through this entry VM.
 
-    The limit holds for the fleet, so it is divided between the entry VMs by
-    what each has of the partner's demand.
+    The limit applies to the whole fleet and is divided between the entry VMs in
+    proportion to the partner's demand at each.
     """
     if queue.limit_percent >= 100.0:
         return fleet_slots
@@ -184,7 +188,7 @@
 
 
 def begin(pool: PoolQueue, partner_id: PartnerId, now: Seconds) -> None:
-    """Charge a request that is given a slot with its expected slot time."""
+    """Charge the partner the expected slot time of a request that gets a slot."""
     queue = get_partner_queue(pool, partner_id)
     count_slot_time(queue, now)
     queue.running += 1
@@ -200,11 +204,11 @@
     *,
     answered: bool = True,
 ) -> None:
-    """Correct the charge by the slot time that was really used.
+    """Correct the charge by the slot time that was actually used.
 
-    Only answered requests tell how long work takes. A slot kept after a
-    give-up would make the service look slow, and requests would be refused
-    for deadlines that can well be met.
+    Only answered requests update the service time. The slot of an abandoned
+    request stays in use for longer; counted, it would make the service look slow,
+    and requests whose deadlines can be met would be refused.
     """
     queue = get_partner_queue(pool, partner_id)
     count_slot_time(queue, now)
@@ -220,16 +224,16 @@
 
 
 def count_slot_time(queue: PartnerQueue, now: Seconds) -> None:
-    """Bring the cumulative slot time up to now."""
+    """Update the cumulative slot time to now."""
     queue.slot_seconds += queue.running * (now - queue.counted_at)
     queue.counted_at = now
 
 
 def to_units(pool: PoolQueue, seconds: Seconds, now: Seconds) -> float:
-    """Return slot seconds used now in the pool's growing units.
+    """Convert slot seconds used now to the pool's growing units.
 
-    New use counts for more instead of old use for less: one comparison then
-    needs no fading of every partner's figure.
+    New use is scaled up instead of scaling old use down, so that a comparison
+    does not have to decay the figure of every partner.
     """
     if pool.units_since is None:
         pool.units_since = now
@@ -254,9 +258,9 @@
     usage: PeerUsage,
     elapsed: Seconds,
 ) -> None:
-    """Charge a partner for what a peer says it used since its last report.
+    """Charge a partner for its use through a peer since the peer's last report.
 
-    ``elapsed`` is the time since the peer's last report of anything.
+    ``elapsed`` is the time since the last report of any kind from the peer.
     """
     known = pool.peer_usage.get((peer, partner_id))
     pool.peer_usage[peer, partner_id] = usage
@@ -265,15 +269,16 @@
     used = usage.slot_seconds - known.slot_seconds
     if used <= 0.0 or elapsed <= 0.0:
         return
-    # After a cut of minutes the whole use comes in one report. Only what is
-    # recent counts, or the partner would be starved for long gone use.
+    # After a partition of minutes, one report contains all the use since. Only
+    # the recent part is charged; otherwise the partner would be starved for old
+    # use.
     recent = used * min(1.0, USAGE_DECAY_SECONDS / elapsed)
     queue = get_partner_queue(pool, partner_id)
     queue.used += to_units(pool, recent, usage.reported_at)
 
 
 def remove_departed_peers(pool: PoolQueue, peers: Collection[EntryVMId]) -> None:
-    """Forget peers that the VM list no longer shows."""
+    """Remove the usage of peers that are no longer on the VM list."""
     pool.peer_usage = {
         key: usage for key, usage in pool.peer_usage.items() if key[0] in peers
     }
--- a/packages/systems/src/medlarspring_systems/leaving.py
+++ b/packages/systems/src/medlarspring_systems/leaving.py
@@ -1,4 +1,8 @@
-"""Upstream VMs that are leaving get no new work."""
+"""Tracks upstream VMs that are leaving, which get no new work.
+
+A leaving signal is any evidence newer than the VM list: an answer of the VM, an
+order to drain it, or a peer's report.
+"""
 
 from __future__ import annotations
 
@@ -11,17 +15,18 @@
     from medlarspring_tables.upstreams import Upstream, UpstreamTable
 
 LEAVING_SIGNAL_SECONDS = 40.0
-"""How long a sign holds against a list that still says live: longer than the
-list lags. After it the list is right, and the VM is back."""
+"""How long a leaving signal overrides a list that shows the VM as live; longer than
+the list lags. After this time the list is trusted again."""
 SAME_RETURN_SECONDS = 1.0
-"""Reports of one return differ by their time on the way; the first stands, or peers
-that repeat it would make it ever newer. No VM drains and comes back in less."""
+"""Reports of a return within this time of a known one are the same return. They
+differ by their delivery time, so only the first counts; otherwise peers that repeat
+it would move it forward for ever. No VM drains and returns in less time."""
 MIN_SIGNAL_SECONDS = 5.0
-"""When signs alone shut a whole pool, those older than this are dropped."""
+"""When leaving signals alone exclude a whole pool, older ones than this are dropped."""
 
 
 def takes_new_work(upstream: Upstream, now: Seconds) -> bool:
-    """Whether neither the list nor a newer sign says that the VM is leaving."""
+    """Return whether neither the list nor a leaving signal excludes the VM."""
     if upstream.listed_leaving:
         return False
     since = upstream.leaving_since
@@ -29,7 +34,7 @@
 
 
 def note_leaving(table: UpstreamTable, vm_id: VMId, age: Seconds, now: Seconds) -> bool:
-    """Remember a sign of leaving that is ``age`` old; return whether it is news."""
+    """Record a leaving signal that is ``age`` old; return whether it is new."""
     upstream = table.upstreams_by_id.get(vm_id)
     if upstream is None:
         return False
@@ -38,8 +43,8 @@
         return False
     known = upstream.leaving_since
     if known is not None and now - known < LEAVING_SIGNAL_SECONDS:
-        # The earliest sign stands: peers that repeat each other's news must
-        # not keep a returned VM out for ever.
+        # Keep the earliest time; otherwise peers that repeat each other's
+        # reports would exclude a returned VM for ever.
         upstream.leaving_since = min(known, since)
         return False
     if age >= LEAVING_SIGNAL_SECONDS:
@@ -51,15 +56,16 @@
 def note_returned(
     table: UpstreamTable, vm_id: VMId, pool_id: PoolId, age: Seconds, now: Seconds
 ) -> bool:
-    """Learn that a VM served a pool again ``age`` ago; return whether it gets work.
+    """Record that a VM has served a pool again since ``age`` ago.
 
-    The list is read every few seconds and may never show a VM that was away for
-    less. By a sign of leaving alone each entry VM would pass it over until the sign
-    is forgotten, and callers would be refused beside idle VMs.
+    Return whether this clears a leaving signal. The list is read every few seconds
+    and may never show a shorter absence. Without this report each entry VM would
+    skip the VM until its leaving signal expires, and callers would be refused
+    although VMs are idle.
     """
     upstream = table.upstreams_by_id.get(vm_id)
     if upstream is None or upstream.pool_id != pool_id:
-        # A VM that moved is used once the list shows it in its new pool.
+        # A moved VM is used once the list shows it in its new pool.
         return False
     returned_at = now - age
     if returned_at < upstream.reported_returned_at + SAME_RETURN_SECONDS:
@@ -74,9 +80,9 @@
 
 
 def list_returned(table: UpstreamTable, now: Seconds) -> list[tuple[Upstream, Seconds]]:
-    """Return the VMs to tell peers of that are back, each with the time since.
+    """Return the returned VMs to report to peers, with the time since the return.
 
-    Told for as long as a peer may remember a sign from before.
+    A return is reported for as long as a peer may keep an earlier leaving signal.
     """
     return [
         (upstream, now - upstream.reported_returned_at)
@@ -86,9 +92,9 @@
 
 
 def apply_listed_state(upstream: Upstream, now: Seconds, *, leaving: bool) -> None:
-    """Take over what a new list says of a VM."""
+    """Apply the state of a VM in a new list."""
     if leaving and upstream.leaving_since is None:
-        # Told to peers too, whose own copy of the list may be older.
+        # Also reported to peers, whose copy of the list may be older.
         upstream.leaving_since = now
     if upstream.listed_leaving and not leaving:
         upstream.leaving_since = None
@@ -97,11 +103,11 @@
 
 
 def restore_emptied_pool(pool: Sequence[Upstream], now: Seconds) -> None:
-    """Never let signs alone empty a pool.
+    """Drop old leaving signals if they alone exclude every VM of a pool.
 
-    VMs that were drained and came back between two readings of the list are
-    live in it throughout, and nothing takes their sign back. A VM that does
-    leave says so again with its next answer.
+    The list shows VMs that were drained and returned between two reads of it as
+    live throughout, so it never clears their leaving signals. A VM that is really
+    leaving signals it again with its next answer.
     """
     if any(takes_new_work(upstream, now) for upstream in pool):
         return
@@ -114,7 +120,7 @@
 
 
 def list_leaving(table: UpstreamTable, now: Seconds) -> list[tuple[VMId, Seconds]]:
-    """Return the signs to tell peers, each with its age."""
+    """Return the leaving signals to report to peers, each with its age."""
     return [
         (upstream.id, now - upstream.leaving_since)
         for upstream in table.upstreams_by_id.values()
--- a/packages/systems/src/medlarspring_systems/membership.py
+++ b/packages/systems/src/medlarspring_systems/membership.py
@@ -1,7 +1,8 @@
-"""Membership of entry VMs: the lagging list plus heartbeats.
+"""Membership of entry VMs, from the platform's lagging list and heartbeats.
 
-Nobody has to agree on it. It decides whom to call, who is preferred for a duty
-and whose promises have ended; what needs one actor is under a store lease.
+Each process has its own view, without consensus. The view decides which peers are
+called, which member is preferred for a duty, and which members' grants have
+ended. Work that needs a single actor is protected by a store lease.
 """
 
 from __future__ import annotations
@@ -25,23 +26,23 @@
 ZONE_SILENCE_SECONDS = 2.0
 REMOTE_SILENCE_SECONDS = 10.0
 DUTY_SILENCE_SECONDS = 7.5
-"""A member not heard for so long gets no duties, before it counts as silent."""
+"""A member not heard for this long gets no duties, before it counts as silent."""
 FORGET_SECONDS = 60.0
-"""A member that is neither listed nor heard for so long is forgotten."""
+"""A member that is neither listed nor heard for this long is removed."""
 PAUSE_SECONDS = 1.5
-"""Two ticks further apart than this mean that this process did not run."""
+"""A longer time between two ticks means that this process was paused."""
 STABLE_SECONDS = 60.0
-"""A member that stayed heard for so long is forgiven its falls."""
+"""A member heard without a break for this long has its silence count reset."""
 TOLERATED_SILENCES = 1
 HOLD_DOWN_SECONDS = 5.0
 MAX_HOLD_DOWN_SECONDS = 60.0
 MAX_FORMER_INCARNATIONS = 4
 ONE_WAY_SECONDS = 60.0
-"""A heard member that no call reached for so long is cut off in one direction."""
+"""A heard member that no call reached for this long is cut off in one direction."""
 
 
 class MemberEvent(Enum):
-    """What became of a member."""
+    """A change of a member's state."""
 
     JOINED = "joined"
     BACK = "back"
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """The facts of one report that membership needs."""
+    """The fields of one report that membership needs."""
 
     sender: EntryVMId
     incarnation: int
@@ -79,7 +80,10 @@
 
 
 def apply_listed_members(table: MemberTable, vm_list: VMList, now: Seconds) -> None:
-    """Learn addresses from the list; it never says that a process is alive."""
+    """Update members and addresses from the list.
+
+    The list is no evidence that a process is alive.
+    """
     for known in table.members_by_id.values():
         known.listed = known.id in vm_list.entry_vms_by_id
     for listed in vm_list.entry_vms_by_id.values():
@@ -102,11 +106,12 @@
 def apply_heartbeat(
     table: MemberTable, heartbeat: Heartbeat, now: Seconds
 ) -> tuple[bool, list[MemberChange]]:
-    """Learn from a report; return whether it is news, and what changed.
+    """Apply a report; return whether it is new, and the changes of the member.
 
-    Reports arrive twice, late and out of order. The sequence orders those of one
-    process. A process that was replaced and thaws later still sends; its number
-    is remembered, so that it cannot push its successor out again.
+    Reports may arrive twice, late and out of order. The sequence number orders the
+    reports of one process. A replaced process that was paused may still send
+    reports; former incarnations are remembered, so that such a report does not
+    displace the present process.
     """
     if heartbeat.sender == table.own_id:
         return False, []
@@ -151,7 +156,7 @@
     member.heard_at = now
     member.refused_at = None
     member.table_revision = heartbeat.table_revision
-    # Addresses come with every tenth report or so, to keep the others short.
+    # About every tenth report carries addresses, which keeps the others short.
     if heartbeat.operator_address:
         member.operator_address = heartbeat.operator_address
     member.store_failing = heartbeat.store_failing
@@ -175,11 +180,11 @@
 
 
 def _hold_down(member: Member, now: Seconds) -> None:
-    """Give a member that comes and goes no new duties for a while.
+    """Hold down a member that keeps going silent, so that it gets no new duties.
 
-    Behind a flapping link a member would win its watches and pools back at each
-    return and lose them seconds later, and every move is a gap in that work. The
-    wait doubles with each fall, so that the work stays where it is.
+    Behind a flapping link a member would regain its watches and pools at each
+    return and lose them seconds later, and every move interrupts that work. The
+    hold-down time doubles with each silence, so that the work stays where it is.
     """
     if member.silence_count <= TOLERATED_SILENCES:
         return
@@ -201,7 +206,7 @@
 def note_refused(
     table: MemberTable, member_id: EntryVMId, now: Seconds
 ) -> list[MemberChange]:
-    """Learn that the member's process has ended.
+    """Record that the member's process has ended.
 
     Its port refused a connection, or another entry VM answers at its address.
     """
@@ -215,7 +220,7 @@
 
 
 def tick(table: MemberTable, now: Seconds) -> list[MemberChange]:
-    """Find members that fell silent, and forget those gone for long."""
+    """Detect members that became silent, and remove those long gone."""
     changes: list[MemberChange] = []
     for member in list(table.members_by_id.values()):
         if member.state is MemberState.ALIVE and _is_silent(table, member, now):
@@ -237,7 +242,7 @@
 
 
 def _update_one_way(member: Member, now: Seconds) -> list[MemberChange]:
-    """Notice a cut in one direction, which either side alone takes for health."""
+    """Detect a cut in one direction, in which each side alone sees no fault."""
     one_way = False
     if member.state is MemberState.ALIVE and now - member.changed_at > ONE_WAY_SECONDS:
         late = _is_late(member.reached_at, now)
@@ -260,11 +265,12 @@
 
 
 def correct_for_pause(table: MemberTable, gap: Seconds, now: Seconds) -> None:
-    """Learn that this process did not run for ``gap`` seconds.
+    """Shift the times of all members after a pause of this process.
 
-    All peers look silent after a freeze although it was this process that did
-    not listen. Without the correction it would take over every duty of its zone
-    at once. The silence of others counts only while this process ran.
+    ``gap`` is the length of the pause in seconds. After a pause all peers look
+    silent, although it was this process that received nothing. Without the
+    correction it would take over every duty of its zone at once. The silence of a
+    peer counts only while this process runs.
     """
     table.last_pause_at = now
     for member in table.members_by_id.values():
@@ -297,12 +303,12 @@
 def list_steady(
     table: MemberTable, now: Seconds, *, own_zone_only: bool = False
 ) -> list[EntryVMId]:
-    """Return the other members fit for duties that move when a member goes.
+    """Return the other members that may have duties.
 
-    After a cut the views of who is preferred differ for as long as it lasts. Two
-    then claim one duty, which the lease settles, or watch twice, which is harmless.
-    A member in another zone that vanished counts as silent late, since reports
-    across zones are seldom; its duties are taken over sooner.
+    During a partition the views of which member is preferred differ. Two members
+    may then claim one duty, which the lease resolves, or both watch the store,
+    which is harmless. A member of another zone that is lost counts as silent only
+    late, since reports across zones are infrequent; its duties move earlier.
     """
     return [
         member.id
--- a/packages/systems/src/medlarspring_systems/rendezvous.py
+++ b/packages/systems/src/medlarspring_systems/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who of the present members is preferred for a key."""
+"""Rendezvous hashing, which ranks the present members for a key."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 def rank(key: str, ids: Iterable[Id]) -> list[Id]:
-    """Return the ids by preference for a key, the most preferred first.
+    """Return the ids in order of preference for a key, the most preferred first.
 
-    Every process computes the same order from the same ids, and an id that goes
-    changes the order of no other two, so that only its own keys move.
+    Every process computes the same order from the same ids. Removing an id does
+    not change the order of the others, so only the keys of that id move.
     """
     return sorted(ids, key=lambda each: (weigh(key, each), each), reverse=True)
 
 
 @lru_cache(maxsize=65_536)
 def weigh(key: str, id: str) -> bytes:  # noqa: A002
-    """Return a stable random weight of an id for a key."""
+    """Return a stable pseudo-random weight of an id for a key."""
     return blake2b(f"{key}\0{id}".encode(), digest_size=HASH_BYTES).digest()
 
 
--- a/packages/systems/src/medlarspring_systems/routing.py
+++ b/packages/systems/src/medlarspring_systems/routing.py
@@ -1,4 +1,4 @@
-"""Which upstream VM gets a request."""
+"""Chooses the upstream VM for a request."""
 
 from __future__ import annotations
 
@@ -22,11 +22,12 @@
 
 
 NON_REPEATABLE_PROBE_DELAY_SECONDS = 5.0
-"""A service without repeatable requests would never get a VM back otherwise."""
+"""Wait after an ejection until a request that is not repeatable may be the probe.
+Without it, a service without repeatable requests would never get a VM back."""
 
 
 def update_upstreams(table: UpstreamTable, vm_list: VMList) -> None:
-    """Bring the table in line with a new list; what is in use stays counted."""
+    """Apply a new list to the table; slots in use stay counted."""
     known = table.upstreams_by_id
     table.upstreams_by_id = {
         listed.id: _update_upstream(known.get(listed.id), listed, vm_list.read_at)
@@ -47,8 +48,8 @@
         or upstream.address != listed.address
         or upstream.pool_id != listed.pool_id
     ):
-        # A new address under an old id is a replaced VM, and another pool means
-        # that its drain is over: health and leaving are not the old one's.
+        # A new address under a known id is a replaced VM, and another pool means
+        # that its drain is over. The known health and leaving state do not apply.
         upstream = Upstream(
             id=listed.id,
             address=listed.address,
@@ -68,8 +69,8 @@
 def count_idle_connections(upstream: Upstream, entry_vms: int) -> int:
     """Return how many idle connections one entry VM may keep to an upstream VM.
 
-    Connections in use are bounded by the slots. What is left of the upstream's
-    connections is divided, so that all entry VMs together never pass it.
+    The slots limit the connections in use. The rest of the upstream's connections
+    is divided between the entry VMs, so that their total stays within its limit.
     """
     return max(0, upstream.connections - upstream.slots) // max(1, entry_vms)
 
@@ -83,12 +84,12 @@
     repeatable: bool = True,
     excluded: Collection[VMId] = (),
 ) -> Upstream | None:
-    """Return the best upstream VM with a free slot, the own zone's first.
+    """Return the best upstream VM with a free slot, preferably of the own zone.
 
-    Within a zone the one with the smallest share of its slots in use wins,
-    and among equals the faster one. Work that may not be repeated avoids VMs
-    whose last answer was a failure, and probes VMs that were set aside only
-    when no repeatable request has come to do it: a probe may well fail.
+    Within a zone, the VM with the smallest part of its slots in use is chosen, then
+    the one with the lower latency. Requests that are not repeatable avoid VMs
+    whose last answer was a failure. They probe an ejected VM only if no repeatable
+    request has done so for a while, since a probe is likely to fail.
     """
     best: Upstream | None = None
     best_rank = (True, 2, 0.0, 0.0)
