--- a/packages/systems/src/medlarspring_systems/size_estimates.py
+++ b/packages/systems/src/medlarspring_systems/size_estimates.py
@@ -1,4 +1,4 @@
-"""What size a job is believed to have, learnt from lagged reports of use."""
+"""Estimates the size of jobs from lagging reports of their resource use."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 MIN_OBSERVATIONS = 4
 CPU_QUANTILE = 0.8
-"""Too little processor time only slows a job down."""
+"""Lower than the memory quantile: too few processors only slow a job down."""
 MEMORY_QUANTILE = 0.95
-"""Too little memory ends a job, so memory leaves more room."""
+"""Too little memory ends a job, so memory is estimated more cautiously."""
 HEADROOM = 1.15
-"""Set aside this much more than the quantile of what was seen."""
+"""Factor by which a reservation exceeds the quantile of the observed use."""
 MIN_RATIO = 0.05
 MAX_RATIO = 12.0
 DEFAULT_ESTIMATE = SizeEstimate()
-"""Until a few attempts of a kind were seen, the declaration holds."""
+"""The declared size applies until a few attempts of a kind were observed."""
 
 
 def estimate_size(tables: JobTables, job: Job, largest: Size) -> Size:
-    """Return what to set aside for a job, never more than a whole worker.
+    """Return the size to reserve for a job, at most that of a whole worker.
 
-    Accelerators are whole devices that a job opens itself: the declaration
-    holds.
+    Accelerators are whole devices that a job opens itself, so their declared
+    number applies.
     """
     estimate = tables.estimates_by_kind.get(
         (job.partner_id, job.kind), DEFAULT_ESTIMATE
@@ -43,11 +43,11 @@
 
 
 def raise_minimum_size(job: Job, peak: Size) -> Size:
-    """Return the least to set aside after an attempt ran out of memory.
+    """Return the minimum size to reserve after an attempt ran out of memory.
 
-    Placed again with the same size, the job would be ended again and again
-    wherever it starts. Doubling reaches a whole worker within a few attempts
-    even when the reported peak is cut off at the worker's limit.
+    With the same size, every further attempt would run out of memory too.
+    Doubling reaches a whole worker within a few attempts even when the reported
+    peak is cut off at the worker's limit.
     """
     assert job.attempt is not None
     memory = max(peak.memory_gb * HEADROOM, job.attempt.size.memory_gb * 2)
@@ -55,7 +55,7 @@
 
 
 def record_peak_use(tables: JobTables, job: Job, peak: Size) -> None:
-    """Remember the largest use seen of one attempt that ran for a while."""
+    """Record the peak use of one attempt that ran for a while."""
     key = (job.partner_id, job.kind)
     estimate = tables.estimates_by_kind.setdefault(key, SizeEstimate())
     _add_ratio(estimate.cpu_ratios, peak.cpus, job.declared.cpus)
@@ -69,10 +69,10 @@
 
 
 def correct_attempt_size(job: Job, used: Size) -> Size | None:
-    """Return a larger size for a running job that outgrew what was set aside.
+    """Return a larger size for a running job that exceeds its reservation, or None.
 
-    Reports lag, so an attempt may grow before anyone knows; setting aside the
-    use that was seen keeps new work off the worker until it shrinks.
+    Reports lag, so an attempt may have grown before its use is reported. Reserving
+    the observed use keeps new work off the worker until the use decreases.
     """
     if job.attempt is None:
         return None
--- a/packages/systems/src/medlarspring_systems/slot_shares.py
+++ b/packages/systems/src/medlarspring_systems/slot_shares.py
@@ -1,4 +1,4 @@
-"""What part of the slots of a pool each entry VM is due, by its partners' work."""
+"""Divides the slots of a pool between entry VMs by the demand of their partners."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from medlarspring_tables.slots import HomeTable
 
 DEMAND_DECAY_SECONDS = 1.0
-"""Time constant with which demand that is gone fades."""
+"""Time constant of the exponential decay of former demand."""
 MIN_DEMAND = 0.5
 ROUNDING = 1e-9
 
@@ -28,10 +28,10 @@
     count_by_partner: dict[PartnerId, int],
     now: Seconds,
 ) -> None:
-    """Remember what an asker has to do; less than before counts gradually.
+    """Record the demand of an entry VM; a decrease takes effect gradually.
 
-    Queues of the moment go up and down. If each dip moved a slot to another
-    entry VM, slots would always be on their way and never in use.
+    The length of a queue fluctuates. If each dip moved a slot to another entry
+    VM, slots would constantly be in transfer instead of in use.
     """
     demand = table.demand_by_pool.setdefault(pool_id, {})
     counts: dict[PartnerId, float] = dict(count_by_partner)
@@ -54,10 +54,10 @@
     now: Seconds,
     policy: SlotPolicy,
 ) -> dict[EntryVMId, float]:
-    """Return the part of the pool's slots that each asker's work is due.
+    """Return the part of the pool's slots that each asking entry VM should get.
 
-    Partners get theirs by weight, none more than it has to do; a partner's
-    part goes to the askers where its work is.
+    Slots are divided between partners by weight, up to the demand of each. The
+    slots of a partner go to the entry VMs in proportion to its demand there.
     """
     demand = table.demand_by_pool.get(pool_id, {})
     fresh = {
@@ -89,7 +89,7 @@
     weights: Mapping[PartnerId, float],
     slots: float,
 ) -> dict[PartnerId, float]:
-    """Divide slots by weight, giving nobody more than it asks for (max-min)."""
+    """Divide slots by weight and at most by demand (weighted max-min fairness)."""
     shares = dict.fromkeys(demand, 0.0)
     unsatisfied = [partner for partner, count in demand.items() if count]
     left = slots
@@ -115,12 +115,12 @@
 def round_parts(
     vm_id: VMId, parts: Mapping[EntryVMId, float], slots: int
 ) -> dict[EntryVMId, int]:
-    """Turn parts into whole slots of one VM; they add up to no more than all.
+    """Round parts to whole slots of one VM, with at most ``slots`` in total.
 
-    Where the rounding falls differs from VM to VM, so that small parts come
-    out right over the pool. Of the slots that no work is due, each asker may
-    have a few, so that its next requests find a slot without asking; the rest
-    stays with the home for whoever asks first.
+    The rounding offset differs between VMs, so that small parts are met on average
+    over the pool. Each asker also gets a few of the slots that no demand needs, so
+    that its next requests find a slot without asking. The home keeps the rest for
+    the first entry VM that asks.
     """
     rounded: dict[EntryVMId, int] = {}
     reached = _weigh(vm_id, "offset")
@@ -138,7 +138,7 @@
 
 
 def _weigh(first: str, second: str) -> float:
-    """Return a stable number in [0, 1) for a pair of names."""
+    """Return a stable pseudo-random number in [0, 1) for a pair of names."""
     return int.from_bytes(weigh(first, second), "big") / float(1 << 8 * HASH_BYTES)
 
 
--- a/packages/systems/src/medlarspring_systems/slots.py
+++ b/packages/systems/src/medlarspring_systems/slots.py
@@ -1,11 +1,11 @@
-"""How the slots of an upstream VM are shared between entry VMs.
-
-Each upstream VM has a home among the entry VMs of its availability zone. The
-home grants slots for about a second at a time. It may grant only the part of
-the slots for which entry VMs of the zone back it, and each of them backs one
-home at a time; so the two sides of any cut never grant more than all slots
-together. A vote counts from a time that the home itself stated and the voter
-echoed, so neither delayed packets nor frozen processes can make it look new.
+"""Grants the slots of an upstream VM to entry VMs.
+
+Each upstream VM has a home: the entry VM of its availability zone that grants its
+slots, for about a second at a time. The home may grant only a part of the slots in
+proportion to the votes of the zone's entry VMs. Each of them votes for one home at
+a time, so the two sides of a partition never grant more than all slots together. A
+vote counts from a time that the home sent and the voter echoed, so neither delayed
+packets nor paused processes can make a vote look newer than it is.
 """
 
 from __future__ import annotations
@@ -25,26 +25,26 @@
 
 @dataclass(slots=True, frozen=True)
 class SlotPolicy:
-    """The times that the exchange of slots keeps to."""
+    """Lifetimes and intervals of the exchange of slots."""
 
     grant_seconds: Seconds = 1.0
-    """Lifetime of a grant, counted by the holder from its asking."""
+    """Lifetime of a grant, counted by the holder from its request."""
     vote_seconds: Seconds = 2.0
     """Lifetime of a vote, counted from the time that it echoes."""
     renew_seconds: Seconds = 0.35
-    """A holder asks again after this time, sooner when it is short."""
+    """A holder asks again after this time, sooner when it is short of slots."""
     idle_renew_seconds: Seconds = 0.8
-    """The same for VMs of pools that are not in use; less than the lifetime of
+    """The same for VMs of pools that are not in use; shorter than the lifetime of
     a grant, so that the first request finds a slot."""
     idle_after_seconds: Seconds = 5.0
-    """A pool without any request for so long is not in use."""
+    """A pool without any request for this long is not in use."""
     hold_seconds: Seconds = 3.0
-    """What a silent holder had stays reserved so long after its grant ended,
+    """How long the slots of a silent holder stay reserved after its grant ended,
     since requests that it sent may still be running."""
 
     @property
     def switch_seconds(self) -> Seconds:
-        """How long after its last asking a vote may still have effect."""
+        """Time after the last request to a home in which the vote may have effect."""
         return self.vote_seconds + self.grant_seconds
 
 
@@ -56,15 +56,15 @@
     in_use: int
     held: int
     echoed_at: Seconds | None = None
-    """Home's time that the asker echoed, if the asker backs this home."""
+    """The home's time that the asker echoed, if the asker votes for this home."""
 
 
 def list_voters(zone_id: ZoneId, views: Sequence[EntryVMView]) -> list[EntryVMView]:
-    """Return the entry VMs that may back a home for a zone's upstream VMs.
+    """Return the entry VMs that may vote for a home of a zone's upstream VMs.
 
-    Those that are not heard but may live belong to it: they may be serving on
-    the other side of a cut. A zone whose entry VMs are all proved dead is
-    looked after by the entry VMs of all zones.
+    They include entry VMs that are not heard but may be alive, since those may be
+    serving on the other side of a partition. If all entry VMs of the zone are
+    known to be dead, the entry VMs of all zones vote.
     """
     alive = [view for view in views if not view.dead]
     own = [view for view in alive if view.zone_id == zone_id]
@@ -72,7 +72,7 @@
 
 
 def choose_home(vm_id: VMId, group: Sequence[EntryVMView]) -> EntryVMId | None:
-    """Return the home of an upstream VM among those of the group that are heard."""
+    """Return the home of an upstream VM: the preferred heard entry VM of the group."""
     heard = [view.id for view in group if view.heard]
     if not heard:
         return None
@@ -88,10 +88,10 @@
     now: Seconds,
     policy: SlotPolicy,
 ) -> EntryVMId | None:
-    """Return the home that may be asked now, or None while a vote runs out.
+    """Return the home that may be asked now, or None until the old vote expires.
 
-    A vote that changed sides at once could count on both: the old home would
-    still grant by it, and 16 requests could meet 8 slots.
+    A vote that moved at once could count for both homes: the old home would still
+    grant slots by it, and 16 requests could be sent to 8 slots.
     """
     if vote.home == wanted:
         return wanted if now >= vote.blocked_until else None
@@ -102,7 +102,7 @@
             ends = min(ends, now + policy.grant_seconds)
     vote.blocked_until = max(vote.blocked_until, ends, now)
     if vote.home == own_id:
-        # The own ledger still has what this entry VM lent.
+        # This entry VM's own ledger still has the slots that it lent.
         vote.foreign = 0
     vote.home = wanted
     return wanted if now >= vote.blocked_until else None
@@ -120,10 +120,10 @@
 ) -> int:
     """Return the slots that this home may grant by the votes it has.
 
-    A home that is new does not know what the former one's holders still have
-    running. Those that ask say so; until work begun before has surely ended,
-    it grants nothing while one of them is missing, and leaves free what the
-    former home had last lent to other zones.
+    A new home does not know which slots the holders of the former home still use;
+    they state it when they ask. Until work begun under the former home has surely
+    ended, the new home grants nothing while a vote is missing, and leaves free the
+    slots that the former home had last lent to other zones.
     """
     if own_vote.home != own_id or now < own_vote.blocked_until:
         return 0
@@ -153,7 +153,7 @@
     now: Seconds,
     policy: SlotPolicy,
 ) -> int:
-    """Return the slots lent to entry VMs outside the group that votes."""
+    """Return the slots lent to entry VMs outside the voting group."""
     own = {view.id for view in group}
     return sum(
         _count_reserved(holding, now, policy)
@@ -173,10 +173,11 @@
     now: Seconds,
     policy: SlotPolicy,
 ) -> int:
-    """Grant up to ``target`` slots, never more than are surely free.
+    """Grant up to ``target`` slots, at most those that are certainly free.
 
-    What the asker may still use by earlier grants stays reserved until it
-    asks again: the reply that lowers its grant may be lost.
+    Return the granted slots. Slots that the asker may still use by earlier grants
+    stay reserved until it asks again, because the reply that lowers its grant may
+    be lost.
     """
     others = sum(
         _count_reserved(holding, now, policy)
@@ -191,14 +192,14 @@
 
 
 def record_vote(ledger: SlotLedger, voter: EntryVMId, echoed_at: Seconds) -> None:
-    """Count a vote from the home's time that the voter echoed."""
+    """Record a vote as of the home's time that the voter echoed."""
     holding = get_holding(ledger, voter)
     if holding.vote_at is None or echoed_at > holding.vote_at:
         holding.vote_at = echoed_at
 
 
 def get_holding(ledger: SlotLedger, holder: EntryVMId) -> Holding:
-    """Return what a holder has, creating an empty row at first use."""
+    """Return the holding of a holder, creating an empty one at first use."""
     return ledger.holdings_by_holder.setdefault(holder, Holding())
 
 
--- a/packages/systems/src/medlarspring_systems/table_checks.py
+++ b/packages/systems/src/medlarspring_systems/table_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the operators' table: each row alone, and the rows together."""
+"""Validates the configuration table: each row alone, and the rows together."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def check_row(row: ConfigRow) -> list[RowFault]:
-    """Return what is wrong with a row regardless of the others."""
+    """Return the faults of a row, regardless of the other rows."""
     match row:
         case PartnerRow():
             return list(_check_partner(row))
@@ -43,7 +43,7 @@
 
 
 def check_table(table: ConfigTable) -> list[RowFault]:
-    """Return what is wrong between the rows of a table."""
+    """Return the faults between the rows of a table."""
     return [*_check_pools_exist(table), *_check_credentials_differ(table)]
 
 
@@ -148,8 +148,8 @@
 
 
 def _check_credentials_differ(table: ConfigTable) -> Iterator[RowFault]:
-    # Two partners with one credential would spend each other's share: the
-    # daemon could not tell them apart, and which one pays would be chance.
+    # The daemon could not distinguish two partners with one credential, and would
+    # charge the use of either to an arbitrary one.
     owners_by_credential: dict[str, str] = {}
     for partner in table.partners_by_id.values():
         if not partner.credential_sha256:
--- a/packages/systems/src/medlarspring_systems/table_csv.py
+++ b/packages/systems/src/medlarspring_systems/table_csv.py
@@ -1,4 +1,4 @@
-"""The operators' table as one sheet of comma-separated values, in and out."""
+"""Export and import of the configuration table as one CSV file."""
 
 from __future__ import annotations
 
@@ -31,22 +31,22 @@
     REVISION_COLUMN,
     *dict.fromkeys(name for types in FIELD_TYPES_BY_KIND.values() for name in types),
 )
-"""One sheet for all kinds; a column that a kind doesn't have stays empty."""
+"""Columns of all kinds of row; a row leaves those that its kind lacks empty."""
 
 
 class CSVRow(Struct, frozen=True, kw_only=True):
-    """One line of a sheet, its cells not yet checked."""
+    """One line of a CSV file, its cells not yet checked."""
 
     kind: RowKind
     id: str
     revision: Revision | None
-    """Row revision that the sheet was written with; None where it is empty."""
+    """Row revision at the time of the export; None where the cell is empty."""
     cells: dict[str, str]
     """Cells that aren't empty, by column."""
 
 
 class UnreadableCSV(TableError):
-    """The sheet isn't a table; all faults are listed at once."""
+    """The CSV file can't be read as a table; all faults are listed at once."""
 
     code = "sheet-unreadable"
 
@@ -73,7 +73,7 @@
 
 
 def parse_csv(text: str) -> Result[list[CSVRow], UnreadableCSV]:
-    """Read CSV; the columns may stand in any order, and unused ones may lack."""
+    """Parse CSV; columns may be in any order, and unused ones may be missing."""
     reader = csv.DictReader(io.StringIO(text.removeprefix("\ufeff")))
     header = reader.fieldnames or ()
     faults = _check_header(list(header))
@@ -101,10 +101,10 @@
 
 
 def plan_import(table: ConfigTable, csv_rows: list[CSVRow]) -> tuple[RowEdit, ...]:
-    """Return the edits that turn the table into the sheet.
+    """Return the edits that make the table match the rows of a CSV file.
 
-    Rows that the sheet lacks are removed, but for the one of the fleet. A cell
-    left empty takes the field's default.
+    Rows that the file lacks are removed, except for the fleet's row. An empty cell
+    stands for the field's default.
     """
     rows = split_rows(table)
     edits = [
@@ -133,8 +133,8 @@
         return RowEdit(
             kind=row.kind,
             id=row.id,
-            # A row with a revision was read from the table and has been removed
-            # since; as a "set" it meets a conflict instead of coming back.
+            # A row with a revision was exported from the table and has been removed
+            # since. As a "set" it causes a conflict instead of adding the row again.
             action=RowAction.SET if row.revision else RowAction.ADD,
             fields=wanted,
             row_revision=row.revision or Revision(0),
@@ -212,7 +212,7 @@
 
 
 def _format_cell(value: object) -> str:
-    """Write numbers the same way whether they came as text or as numbers."""
+    """Format numbers in the same way whether given as text or as numbers."""
     if isinstance(value, str):
         try:
             return f"{float(value):.12g}"
--- a/packages/systems/src/medlarspring_systems/table_edit.py
+++ b/packages/systems/src/medlarspring_systems/table_edit.py
@@ -1,4 +1,4 @@
-"""Applies an operator's edit to the table, whole or not at all."""
+"""Applies an operator's edit to the configuration table atomically."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 from medlarspring_tables.audit import AuditRecord, FieldValue, RowChange
 
 MAX_RECENT_EDITS = 256
-"""Edits a retry is recognised for; at the target's 1,800 a day about 3 hours."""
+"""Edits whose retries are recognised; at 1,800 edits a day about 3 hours of them."""
 
 
 class RowAction(Enum):
@@ -57,13 +57,13 @@
 
 
 class RowEdit(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What an operator wants of one row."""
+    """An operator's change of one row."""
 
     kind: RowKind
     id: str
     action: RowAction
     fields: dict[str, FieldValue] = {}
-    """The fields to set, as JSON or text; the others stay as they are."""
+    """The fields to set, as JSON or text; the others are unchanged."""
     row_revision: Revision = Revision(0)
     """Revision of the row that the operator read; 0 for a row to add."""
 
@@ -80,22 +80,22 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedChange:
-    """The table after an edit, and the record that goes with it."""
+    """The table after an edit, and the audit record of the edit."""
 
     table: ConfigTable
     revision: Revision
     """Table revision at which the edit was accepted."""
     record: AuditRecord | None = None
-    """None when the edit had been accepted before."""
+    """None if the edit had already been accepted."""
 
 
 def find_accepted(
     table: ConfigTable, edit: TableEdit
 ) -> Result[AcceptedChange, TableError] | None:
     """Return the earlier acceptance of the same edit, or None if there is none."""
-    # A reply can be lost after the write took effect. The operator's retry would
-    # apply the edit twice, or get a conflict with his own row; the id that the
-    # first write left in the table shows that it is done.
+    # A reply can be lost after the write took effect. Without this check a retry
+    # would apply the edit twice, or conflict with the row that the edit itself
+    # wrote. The first write records the edit's id in the table.
     for accepted in table.recent_edits:
         if accepted.id != edit.id:
             continue
@@ -108,7 +108,7 @@
 def apply_edit(
     table: ConfigTable, edit: TableEdit, at: float, origin: str
 ) -> Result[AcceptedChange, TableError]:
-    """Return the table after the edit, or why it is refused.
+    """Return the table after the edit, or the error that refuses it.
 
     ``at`` is wall time in seconds since the epoch, for the audit record.
     """
@@ -145,8 +145,8 @@
 def digest_edit(edit: TableEdit) -> str:
     """Return a short digest of what the edit does.
 
-    The revisions that the operator read are left out: repeated after it was
-    accepted, the command reads the row that the edit itself has written.
+    The row revisions are left out: a command that is repeated after its edit was
+    accepted reads the row that the edit itself has written.
     """
     rows = [(row.kind.value, row.id, row.action.value, row.fields) for row in edit.rows]
     content = msgspec.json.encode(rows, order="deterministic")
--- a/packages/systems/src/medlarspring_systems/table_errors.py
+++ b/packages/systems/src/medlarspring_systems/table_errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with an edit of the table, each with its remedy."""
+"""Errors of table edits; each message names the remedy."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class TableError(MedlarspringError):
-    """The edit was refused; the table is as before."""
+    """The edit was refused; the table is unchanged."""
 
     code = "table"
 
     def details(self) -> dict[str, object]:
-        """Return the facts of the refusal, for programs."""
+        """Return the details of the refusal for programs."""
         return {}
 
 
 class RowFault(Struct, frozen=True):
-    """One thing wrong with one row."""
+    """One fault of one row."""
 
     kind: RowKind
     row_id: str
@@ -40,7 +40,7 @@
 
 
 class RowsRefused(TableError):
-    """Rows break the checks; all faults are listed at once."""
+    """Rows fail the checks; all faults are listed at once."""
 
     code = "rows-refused"
 
@@ -91,7 +91,7 @@
         self.proposed = proposed
 
     def message(self) -> str:
-        """Show the row as it stands and as the operator wanted it."""
+        """Show the current row and the row that the operator proposed."""
         now = "removed" if self.current is None else _format_row(self.current)
         wanted = "removed" if self.proposed is None else _format_row(self.proposed)
         return (
@@ -158,7 +158,7 @@
     code = "edit-empty"
 
     def message(self) -> str:
-        """Say that the table is already as wanted."""
+        """Say that the table already has the requested values."""
         return "The table already holds these values; there is nothing to change."
 
 
@@ -192,7 +192,7 @@
         self.max_bytes = max_bytes
 
     def message(self) -> str:
-        """Name the limit and the ways under it."""
+        """Name the limit and the ways to stay below it."""
         return (
             f"{self.what} would take {self.found_bytes} bytes; the store holds"
             f" {self.max_bytes}. Nothing was changed; remove rows that are no longer"
--- a/packages/systems/src/medlarspring_systems/table_republish.py
+++ b/packages/systems/src/medlarspring_systems/table_republish.py
@@ -1,4 +1,4 @@
-"""Puts the table in force back into a store that holds an older one."""
+"""Writes the table in force back to a store that has an older one."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RepublishRequest(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """An operator's wish to put the table in force back."""
+    """An operator's request to write the table in force back to the store."""
 
     id: EditId
     operator: str
@@ -54,10 +54,10 @@
     at: float,
     origin: str,
 ) -> Result[AcceptedChange, TableError]:
-    """Return the table in force as the store's next one.
+    """Return the table in force as the next table of the store.
 
-    It gets a revision of its own, above the one in force, so that every node
-    takes it and later edits go on from it. ``at`` is wall time.
+    It gets a new revision above the one in force, so that every node puts it in
+    force and later edits are based on it. ``at`` is wall time.
     """
     for accepted in stored.recent_edits:
         if accepted.id == request.id:
--- a/packages/systems/src/medlarspring_systems/table_rows.py
+++ b/packages/systems/src/medlarspring_systems/table_rows.py
@@ -1,4 +1,4 @@
-"""Reads and replaces rows of the operators' table by kind and id."""
+"""Reads and replaces rows of the configuration table by kind and id."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 FLEET_ROW_ID = "fleet"
 KEPT_FIELDS = frozenset({"id", "revision"})
-"""Fields that no edit sets: the row's name, and what the daemon counts."""
+"""Fields that no edit sets: the row's id, and the revision that the daemon sets."""
 
 FIELD_TYPES_BY_KIND: dict[RowKind, dict[str, Any]] = {
     kind: {
@@ -36,7 +36,7 @@
 
 
 def split_rows(table: ConfigTable) -> RowsByKind:
-    """Return the table's rows by kind and id, in collections of their own."""
+    """Return the table's rows by kind and id, in new dictionaries."""
     return {
         RowKind.PARTNER: {row.id: row for row in table.partners_by_id.values()},
         RowKind.SERVICE: {row.id: row for row in table.services_by_id.values()},
@@ -46,7 +46,7 @@
 
 
 def join_rows(table: ConfigTable, rows: RowsByKind) -> ConfigTable:
-    """Return the table with these rows in place of its own."""
+    """Return a copy of the table with its rows replaced."""
     fleet = rows[RowKind.FLEET][FLEET_ROW_ID]
     return msgspec.structs.replace(
         table,
@@ -67,12 +67,12 @@
 
 
 def describe_row(row: ConfigRow | None) -> dict[str, FieldValue] | None:
-    """Return a row's fields as JSON holds them."""
+    """Return a row's fields as JSON-compatible values."""
     return None if row is None else msgspec.to_builtins(row)
 
 
 def same_content(left: ConfigRow, right: ConfigRow) -> bool:
-    """Tell whether two rows differ in nothing but their revision."""
+    """Return whether two rows are equal except for their revision."""
     fields: Mapping[str, Any] = FIELD_TYPES_BY_KIND[kind_of(left)]
     return all(getattr(left, name) == getattr(right, name) for name in fields)
 
--- a/packages/systems/src/medlarspring_systems/upstream_health.py
+++ b/packages/systems/src/medlarspring_systems/upstream_health.py
@@ -1,4 +1,4 @@
-"""Sets failing and slow upstream VMs aside by evidence, and brings them back."""
+"""Ejects failing and slow upstream VMs from load balancing, and restores them."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 FAILURES_TO_EJECT = 3
 MIN_LATENCY_ANSWERS = 8
-"""Answers needed before a latency counts as evidence; it is compared with the
-pool's once in so many."""
+"""Answers needed before a VM's latency is used; it is compared with the pool's
+after each such number of answers."""
 SLOW_FACTOR = 4.0
 SLOW_MARGIN_SECONDS = 0.05
 LATENCY_SMOOTHING = 0.2
 FIRST_EJECTION_SECONDS = 1.0
 MAX_EJECTION_SECONDS = 15.0
 MAX_EJECTED_PART = 0.5
-"""At most this part of a pool is set aside. When most of it looks bad, the
-fault lies in the service or in the signal, and sending nothing would turn a
-poor service into none."""
+"""At most this part of a pool is ejected. When most VMs look unhealthy, the fault
+is in the service or in the measurement, and sending no requests would turn a
+degraded service into an outage."""
 
 
 def record_success(
     upstream: Upstream, pool: Sequence[Upstream], latency: Seconds, now: Seconds
 ) -> bool:
-    """Learn from a good answer; return whether the VM was set aside as slow."""
+    """Record a successful answer; return whether the VM was ejected as slow."""
     upstream.failures = 0
     upstream.answers += 1
     if upstream.probing:
@@ -46,7 +46,7 @@
 
 
 def record_failure(upstream: Upstream, pool: Sequence[Upstream], now: Seconds) -> bool:
-    """Learn from a failure; return whether the VM was set aside for it."""
+    """Record a failure; return whether the VM was ejected for it."""
     upstream.failures += 1
     if upstream.probing:
         upstream.probing = False
@@ -59,12 +59,12 @@
 
 
 def end_inconclusive_probe(upstream: Upstream) -> None:
-    """End a probe that told nothing, as its caller left or it was not run."""
+    """End a probe without a result: its caller disconnected, or it was not run."""
     upstream.probing = False
 
 
 def mark_probe(upstream: Upstream) -> None:
-    """Mark a request to a VM that was set aside as its probe."""
+    """Mark a request to an ejected VM as its probe."""
     if upstream.ejected_until is not None:
         upstream.probing = True
 
--- a/packages/systems/src/medlarspring_systems/vm_list_view.py
+++ b/packages/systems/src/medlarspring_systems/vm_list_view.py
@@ -1,4 +1,4 @@
-"""Which answer of the platform's lagging VM list to use."""
+"""Filters out incomplete answers of the platform's VM list."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 @dataclass(slots=True)
 class VMListView:
-    """The list in use, and how often a doubtful successor was seen."""
+    """The list in use, and the number of consecutive suspect answers."""
 
     current: VMList | None = None
     suspect_answers: int = 0
 
 
 def apply_answer(view: VMListView, answer: VMList) -> bool:
-    """Use the answer unless it is doubtful; return whether it is used.
+    """Use the answer unless it is suspect; return whether it is used.
 
-    A list that is being rebuilt answers with few or no VMs, and taking it
-    literally would stop all forwarding at once. An answer that drops more than
-    half of the upstream VMs is used only when it comes several times running;
-    requests meanwhile find out by themselves which VMs are gone.
+    While the platform rebuilds the list, it answers with few or no VMs; using such
+    an answer would stop all forwarding at once. An answer without more than half
+    of the known upstream VMs is used only after several suspect answers in a row.
+    Until then, requests that fail show which VMs are gone.
     """
     if _is_suspect(view.current, answer):
         view.suspect_answers += 1
