--- a/packages/tables/src/medlarspring_tables/audit.py
+++ b/packages/tables/src/medlarspring_tables/audit.py
@@ -10,11 +10,11 @@
 REVISION_DIGITS = 12
 
 FieldValue = str | int | float | bool | None
-"""A value as JSON holds it; the checks turn it into the field's type."""
+"""A JSON-compatible value; the checks convert it to the field's type."""
 
 
 class RowChange(Struct, frozen=True, kw_only=True):
-    """One row or record before and after; an absent side means none existed."""
+    """One row or record before and after a change; None if it did not exist."""
 
     kind: str
     id: str
@@ -26,12 +26,12 @@
     """One accepted change, written in the same transaction as the change."""
 
     revision: Revision
-    """Table revision after the change, or in force when it isn't of the table."""
+    """Table revision after the change, or in force if the table didn't change."""
     edit_id: EditId
     at: float
     """Wall time in seconds since the epoch."""
     operator: str
-    """The name that the operator gave; the token is shared."""
+    """The name that the operator gave; it is not verified, as the token is shared."""
     origin: str
     """Address that the command came from, and the entry VM that accepted it."""
     action: str
@@ -48,8 +48,8 @@
 def format_side_audit_key(record: AuditRecord) -> str:
     """Return the key of a record that changed something besides the table.
 
-    It sorts after the record of the table revision that was in force, and the
-    edit's id keeps two of them apart.
+    It sorts after the record of the table revision that was in force. The edit's id
+    makes the key unique.
     """
     return f"{format_audit_key(record)}-{record.edit_id}"
 
--- a/packages/tables/src/medlarspring_tables/claims.py
+++ b/packages/tables/src/medlarspring_tables/claims.py
@@ -8,20 +8,20 @@
 
 
 class ClaimState(Enum):
-    """What is known of the one run that a key allows."""
+    """What is known of the single run that a key allows."""
 
     CLAIMED = "claimed"
-    """An entry VM may be running it."""
+    """An entry VM may be running the request."""
     DONE = "done"
-    """It ran, and its answer is kept unless too large."""
+    """The request ran; its answer is stored unless it is too large."""
     UNKNOWN = "unknown"
-    """It was sent, and whether it ran will not be learnt."""
+    """The request was sent, and whether it ran cannot be determined."""
     ABANDONED = "abandoned"
-    """It was certainly not run, and may be claimed anew."""
+    """The request certainly did not run; the key may be claimed again."""
 
 
 class ClaimedAnswer(Struct, frozen=True, kw_only=True):
-    """The answer of the one run, replayed to every repeat."""
+    """The answer of the single run, replayed for every repeat."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
@@ -33,13 +33,13 @@
     """The value under ``claims/<partner>/<digest of the key>``."""
 
     attempt_id: str
-    """Chosen by the claimant, so that it knows its own write again."""
+    """Chosen by the claimant, so that it recognises its own write."""
     request_digest: str
-    """Of method, path and body; another request with the key is a conflict."""
+    """Digest of service, method, path and body; another one is a conflict."""
     entry_vm: str
     incarnation: int
     deadline_wall: float
-    """Seconds since the epoch after which the run has ended, known or not."""
+    """Seconds since the epoch by which the run has ended, even without an outcome."""
     state: ClaimState = ClaimState.CLAIMED
     answer: ClaimedAnswer | None = None
 
--- a/packages/tables/src/medlarspring_tables/config.py
+++ b/packages/tables/src/medlarspring_tables/config.py
@@ -1,4 +1,4 @@
-"""The operators' table of weights and limits, as kept in the store."""
+"""The configuration table of weights and limits, as stored."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class PartnerRow(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How much of the fleet one partner may claim."""
+    """How much of the fleet one partner may use."""
 
     id: PartnerId
     weight: float
     """Relative share under contention; above 0."""
     limit_percent: float = 100.0
-    """Largest part of the slots the partner may hold, even when others idle."""
+    """Largest part of the slots that the partner may hold, even if others are idle."""
     credential_sha256: str = ""
     """Hex SHA-256 of the partner's bearer credential."""
     quota_cpus: float = 0.0
@@ -48,7 +48,7 @@
     id: ServiceId
     pool_id: PoolId
     timeout_ms: int = 10_000
-    """Deadline of a request that states none."""
+    """Timeout of a request that states no deadline."""
     max_body_bytes: int = 1_048_576
     revision: Revision = Revision(0)
 
@@ -58,9 +58,9 @@
 
     id: PoolId
     wanted_vms: int
-    """VMs that the pool should hold."""
+    """Number of VMs that the pool should have."""
     min_available: int
-    """The availability budget: VMs that must be able to serve at all times."""
+    """The availability budget: number of VMs that must always be able to serve."""
     revision: Revision = Revision(0)
 
 
@@ -71,9 +71,9 @@
     spare_percent: float = 10.0
     """Capacity held back for failures, pooled across partners."""
     retry_percent: float = 10.0
-    """Retries allowed, as a part of successful requests."""
+    """Retries allowed, in percent of the successful requests."""
     max_drains_per_zone: int = 8
-    """VMs of one availability zone under maintenance at once."""
+    """Largest number of VMs of one availability zone under maintenance at once."""
     revision: Revision = Revision(0)
 
 
@@ -88,7 +88,7 @@
 
 
 class AcceptedEdit(Struct, frozen=True):
-    """An edit the table already holds, so that a retry is recognised."""
+    """An edit that the table already contains, so that a retry is recognised."""
 
     id: EditId
     revision: Revision
@@ -97,10 +97,10 @@
 
 
 class ConfigTable(Struct, frozen=True, kw_only=True):
-    """All rows as one value, so that checks across rows hold at acceptance."""
+    """All rows as one value, so that checks across rows apply to each edit."""
 
     revision: Revision = Revision(0)
-    """Counts accepted edits; nodes never go back to a smaller one."""
+    """Number of accepted edits; nodes never return to a smaller revision."""
     fleet: FleetRow = field(default_factory=FleetRow)
     partners_by_id: dict[PartnerId, PartnerRow] = field(default_factory=dict)
     services_by_id: dict[ServiceId, ServiceRow] = field(default_factory=dict)
--- a/packages/tables/src/medlarspring_tables/errors.py
+++ b/packages/tables/src/medlarspring_tables/errors.py
@@ -1,4 +1,4 @@
-"""The base of all typed errors; each kind's message names the remedy."""
+"""Base class of the typed errors, whose messages name the remedy."""
 
 from __future__ import annotations
 
--- a/packages/tables/src/medlarspring_tables/ids.py
+++ b/packages/tables/src/medlarspring_tables/ids.py
@@ -19,7 +19,7 @@
 EditId = NewType("EditId", str)
 
 Revision = NewType("Revision", int)
-"""A store revision or the table's own counter; larger is newer."""
+"""A revision of the store or of the configuration table; larger is newer."""
 
 Seconds = float
 """Seconds of the injected monotonic clock, or a duration in seconds."""
--- a/packages/tables/src/medlarspring_tables/members.py
+++ b/packages/tables/src/medlarspring_tables/members.py
@@ -1,4 +1,4 @@
-"""Rows of the entry VMs as this process sees them."""
+"""State of the other entry VMs as this process sees them."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
     """What is known of another entry VM's process."""
 
     LISTED = "listed"
-    """On the platform's list, never heard."""
+    """On the platform's list, but never heard."""
     ALIVE = "alive"
     """Heard within the timeout."""
     SILENT = "silent"
-    """Heard once, not within the timeout; dead, cut off or frozen."""
+    """Not heard within the timeout: dead, partitioned or paused."""
     LEAVING = "leaving"
-    """It said that it is shutting down."""
+    """It reported that it is shutting down."""
     DEAD = "dead"
-    """Its port refused a connection, so that process has ended."""
+    """Its process has ended: the port refused a connection, or another process answers
+    at its address."""
 
 
 @dataclass(slots=True)
@@ -37,29 +38,30 @@
     state: MemberState = MemberState.LISTED
     listed: bool = False
     incarnation: int = 0
-    """Of the process heard last; 0 before the first report."""
+    """Incarnation of the process heard last; 0 before the first report."""
     former_incarnations: tuple[int, ...] = ()
-    """Processes replaced by the present one; their late reports do not count."""
+    """Incarnations replaced by the present one; their late reports are ignored."""
     sequence: int = 0
     heard_at: Seconds | None = None
     changed_at: Seconds = 0.0
-    """When the state changed last."""
+    """Time of the last change of state."""
     reached_at: Seconds | None = None
-    """When a call of ours was answered last; unlike ``heard_at`` one-way."""
+    """Time of the last answer to a call of this process; ``heard_at`` also counts
+    calls from the member."""
     refused_at: Seconds | None = None
     table_revision: Revision = Revision(0)
-    """Of the configuration table that it has in force."""
+    """Revision of the configuration table that the member has in force."""
     store_failing: Seconds = 0.0
-    """For how long the store has given it no answer; 0 while it answers."""
+    """Time without an answer from the store to the member; 0 while it answers."""
     operator_address: str = ""
     hears_us: bool = False
     """Whether its last report named this process among those it hears."""
     one_way: bool = False
-    """Heard, but it does not hear this process or cannot be called."""
+    """Heard, but the member does not hear this process or cannot be called."""
     silence_count: int = 0
-    """Recent times that it went silent; forgotten after a calm spell."""
+    """How often the member became silent recently; reset after a stable period."""
     held_down_until: Seconds = 0.0
-    """Until then it is held down: serving, but given no new duties."""
+    """Until this time the member serves requests, but gets no new duties."""
 
 
 @dataclass(slots=True)
@@ -70,7 +72,7 @@
     own_zone_id: ZoneId
     members_by_id: dict[EntryVMId, Member] = field(default_factory=dict)
     last_pause_at: Seconds | None = None
-    """When this process last found that its own clock had jumped."""
+    """When this process last detected that it had been paused."""
 
 
 __all__ = ["Member", "MemberState", "MemberTable"]
--- a/packages/tables/src/medlarspring_tables/requests.py
+++ b/packages/tables/src/medlarspring_tables/requests.py
@@ -1,4 +1,4 @@
-"""Rows of requests that callers send, and the refusals they may get."""
+"""Requests of callers, their queues, and the refusals that callers may get."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Urgency(Enum):
-    """Order among the requests of one partner; smaller goes first."""
+    """Order among the requests of one partner; smaller values go first."""
 
     URGENT = 0
     NORMAL = 1
@@ -30,16 +30,16 @@
 
 
 class Outcome(Enum):
-    """What a refusal says about the request."""
+    """Whether a refused request ran."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
     RUN = "run"
-    """It ran once, but its answer cannot be given any more."""
+    """The request ran once, but its answer is no longer available."""
 
 
 class RefusalKind(Enum):
-    """Every refusal of the daemon's own: problem type, status and title."""
+    """Refusals by the daemon itself: problem type, HTTP status and title."""
 
     BAD_REQUEST = ("bad-request", 400, "The request cannot be understood")
     UNAUTHORISED = ("unauthorised", 401, "The credential is not known")
@@ -69,19 +69,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Refusal:
-    """An answer of the daemon's own."""
+    """A refusal that the daemon itself answers with."""
 
     kind: RefusalKind
     outcome: Outcome
     detail: str
-    """What to do about it, for people."""
+    """Human-readable remedy."""
     retry_after: Seconds | None = None
-    """When a repeat may succeed; left out when it cannot."""
+    """Seconds after which a repeat may succeed; None if it cannot."""
 
 
 @dataclass(slots=True, eq=False)
 class CallerRequest:
-    """One request of a caller, read whole and checked."""
+    """One request of a caller, read completely and validated."""
 
     id: RequestId
     partner_id: PartnerId
@@ -89,20 +89,20 @@
     pool_id: PoolId
     method: str
     target: str
-    """Path and query as the upstream gets them, percent-encoded."""
+    """Path and query as sent to the upstream, percent-encoded."""
     body: bytes
     arrived_at: Seconds
     deadline: Seconds
     urgency: Urgency = Urgency.NORMAL
     repeatable: bool = False
-    """Whether a second run does no harm."""
+    """Whether the request may safely run more than once."""
     key: str | None = None
     """The caller's ``Idempotency-Key``."""
 
 
 @dataclass(slots=True, eq=False)
 class PartnerQueue:
-    """What one partner has waiting and running in one pool."""
+    """Waiting and running requests of one partner in one pool."""
 
     partner_id: PartnerId
     weight: float = 1.0
@@ -114,17 +114,17 @@
     running: int = 0
     """Slots held through this entry VM."""
     used: float = 0.0
-    """Slot seconds used in the whole fleet, old ones counting for less; in
+    """Slot seconds used in the whole fleet, with exponential decay of old use; in
     units that grow with time, see ``PoolQueue.units_since``."""
     slot_seconds: Seconds = 0.0
     """Slot time used through this entry VM since its start."""
     counted_at: Seconds = 0.0
-    """Time up to which ``slot_seconds`` counts the running requests."""
+    """Time up to which ``slot_seconds`` includes the running requests."""
 
 
 @dataclass(slots=True, frozen=True)
 class PeerUsage:
-    """What a peer last reported of one partner in one pool."""
+    """The last report of a peer on one partner in one pool."""
 
     incarnation: int
     slot_seconds: Seconds
@@ -135,29 +135,29 @@
 
 @dataclass(slots=True, eq=False)
 class PoolQueue:
-    """All that waits and runs in one pool through this entry VM."""
+    """Waiting and running requests in one pool through this entry VM."""
 
     pool_id: PoolId
     queues_by_partner: dict[PartnerId, PartnerQueue] = field(default_factory=dict)
     waiting_by_partner: dict[PartnerId, PartnerQueue] = field(default_factory=dict)
-    """Only the queues in which something waits."""
+    """Only the queues with waiting requests."""
     rows_by_partner: Mapping[PartnerId, PartnerRow] = field(default_factory=dict)
     """The partners of the table in force."""
     total_weight: float = 0.0
-    """Sum of the weights of all partners of the table."""
+    """Sum of the weights of all partners in the table."""
     peer_usage: dict[tuple[EntryVMId, PartnerId], PeerUsage] = field(
         default_factory=dict
     )
     waiting: int = 0
     urgent_waiting: int = 0
     asked_at: Seconds = float("-inf")
-    """When the last request came."""
+    """Time of the last request."""
     answers: int = 0
-    """Answers that the two figures below are learnt from."""
+    """Number of answers that the two figures below are computed from."""
     service_seconds: Seconds = 0.05
     """Smoothed time that a request holds a slot."""
     service_spread: Seconds = 0.05
-    """Smoothed distance of single requests from ``service_seconds``."""
+    """Smoothed absolute deviation of single requests from ``service_seconds``."""
     units_since: Seconds | None = None
     """Time at which one slot second was one unit of ``PartnerQueue.used``."""
 
--- a/packages/tables/src/medlarspring_tables/slots.py
+++ b/packages/tables/src/medlarspring_tables/slots.py
@@ -1,4 +1,7 @@
-"""Slots of upstream VMs: what homes granted and what holders may use."""
+"""Slots of upstream VMs: grants by homes, demand of entry VMs, and votes.
+
+The home of an upstream VM is the entry VM that grants its slots.
+"""
 
 from __future__ import annotations
 
@@ -18,26 +21,26 @@
 
 @dataclass(slots=True)
 class Holding:
-    """What one entry VM holds of one upstream VM, as its home knows it."""
+    """Slots of one upstream VM held by one entry VM, as known to the home."""
 
     reserved: int = 0
-    """Slots that nobody else may be granted."""
+    """Slots that may not be granted to other entry VMs."""
     until: Seconds = 0.0
     """End of the last grant's lifetime."""
     vote_at: Seconds | None = None
-    """Home's own time that the holder's newest vote is proved to be after."""
+    """Latest time of the home that the holder echoed; its vote is newer than this."""
 
 
 @dataclass(slots=True)
 class SlotLedger:
-    """The grants of one upstream VM by its home."""
+    """Grants of the slots of one upstream VM by its home."""
 
     holdings_by_holder: dict[EntryVMId, Holding] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class AskerDemand:
-    """What one entry VM has running and waiting in one pool, by partner."""
+    """Running and waiting requests of one entry VM in one pool, by partner."""
 
     count_by_partner: dict[PartnerId, float] = field(default_factory=dict)
     reported_at: Seconds = 0.0
@@ -45,7 +48,7 @@
 
 @dataclass(slots=True)
 class HomeTable:
-    """All that a home remembers; gone with its process."""
+    """State of a home; lost when its process ends."""
 
     ledgers_by_vm: dict[VMId, SlotLedger] = field(default_factory=dict)
     demand_by_pool: dict[PoolId, dict[EntryVMId, AskerDemand]] = field(
@@ -55,26 +58,27 @@
 
 @dataclass(slots=True, frozen=True)
 class EntryVMView:
-    """One entry VM as this one sees it now."""
+    """One entry VM as this entry VM sees it now."""
 
     id: EntryVMId
     zone_id: ZoneId
     heard: bool
-    """Heard within the peers' timeout; always true of the own VM."""
+    """Heard within the peers' timeout; always true for this entry VM itself."""
     dead: bool = False
-    """Proved gone: its port refused, it said farewell, or the list dropped it."""
+    """Known to have ended: its port refused a connection, it reported its shutdown,
+    or it is no longer on the list."""
 
 
 @dataclass(slots=True)
 class Vote:
-    """Which home this entry VM backs for one upstream VM."""
+    """The home that this entry VM votes for, for one upstream VM."""
 
     home: EntryVMId | None = None
     blocked_until: Seconds = 0.0
-    """A new home is not asked before the old one's grants have lapsed."""
+    """A new home is not asked before the grants of the old one have expired."""
     last_asked: Seconds = 0.0
     foreign: int = 0
-    """Slots that the home, or the one before this entry VM, has lent to other zones."""
+    """Slots lent to other zones by the home, or by the home before this entry VM."""
 
 
 __all__ = [
--- a/packages/tables/src/medlarspring_tables/upstreams.py
+++ b/packages/tables/src/medlarspring_tables/upstreams.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, eq=False)
 class Upstream:
-    """One upstream VM: what it may be given and how it has been doing."""
+    """One upstream VM: its capacity, state and recent health."""
 
     id: VMId
     address: str
@@ -21,25 +21,25 @@
     connections: int
     listed_leaving: bool = False
     leaving_since: Seconds | None = None
-    """First sign of leaving that this entry VM saw or was told of."""
+    """Time of the first leaving signal that this entry VM saw or received."""
     returned_at: Seconds = float("-inf")
-    """When the list showed it live again, or was told so; older signs are void."""
+    """When the VM was listed or reported as live again; older signals are ignored."""
     reported_returned_at: Seconds = float("-inf")
-    """When the VM control showed that it serves again, to any entry VM."""
+    """When VM control showed any entry VM that the VM serves again."""
     in_use: int = 0
-    """Slots held by requests of this entry VM, given-up ones included."""
+    """Slots held by requests of this entry VM, including abandoned ones."""
     credit: int = 0
     """Slots that this entry VM may use until ``credit_until``."""
     credit_until: Seconds = 0.0
     failures: int = 0
-    """Consecutive answers that were failures."""
+    """Number of consecutive failures."""
     latency: Seconds = 0.0
     """Smoothed time to the answer's headers; 0 until the first answer."""
     answers: int = 0
     ejected_until: Seconds | None = None
-    """No work before this time; then one probe at a time."""
+    """The VM gets no requests before this time, then one probe at a time."""
     ejection_count: int = 0
-    """Times set aside without a success between; lengthens the next one."""
+    """Ejections since the last successful probe; lengthens the next ejection."""
     probing: bool = False
 
 
