--- a/packages/systems/tests/test_fair_queue.py
+++ b/packages/systems/tests/test_fair_queue.py
@@ -99,7 +99,7 @@
     assert served == pytest.approx(expected, abs=2)
 
 
-def test_use_through_a_peer_counts_here():
+def test_use_reported_by_a_peer_is_charged():
     """The balancer sends most of one partner's work to a peer. The peer's
     report charges the partner here too, so that the other goes first."""
     pool = create_pool()
@@ -176,7 +176,7 @@
     assert fair_queue.pick_next(pool, FLEET_SLOTS, 0.0) is None
 
 
-def test_given_up_work_does_not_make_the_service_look_slow():
+def test_abandoned_requests_do_not_change_the_service_time():
     """Connections went silent, and the slots of the given-up requests were
     kept for 2 s. Learnt as service time that made every deadline of 1 s look
     hopeless, and a healthy service refused all callers for 3 s."""
@@ -221,7 +221,7 @@
     assert refusal.retry_after is not None
 
 
-def test_retry_after_tells_when_the_queue_is_worked_off():
+def test_retry_after_covers_the_time_to_drain_the_queue():
     """800 requests of 50 ms on 8 slots take 5 s."""
     pool = create_pool()
     fill(pool, p=800)
--- a/packages/systems/tests/test_membership.py
+++ b/packages/systems/tests/test_membership.py
@@ -38,12 +38,12 @@
     )
 
 
-def beat(sequence: int, incarnation: int = 1, **facts: Any) -> Heartbeat:
+def create_heartbeat(sequence: int, incarnation: int = 1, **facts: Any) -> Heartbeat:
     facts = {"heard": (OWN,), "zone_id": NEAR, "table_revision": Revision(3)} | facts
     return Heartbeat(sender=PEER, incarnation=incarnation, sequence=sequence, **facts)
 
 
-def hear(table: MemberTable, heartbeat: Heartbeat, now: float) -> list[MemberEvent]:
+def receive(table: MemberTable, heartbeat: Heartbeat, now: float) -> list[MemberEvent]:
     _, changes = membership.apply_heartbeat(table, heartbeat, now)
     return [change.event for change in changes]
 
@@ -52,16 +52,16 @@
     table = create_table(PEER, OWN)
     assert list(table.members_by_id) == [PEER]
     assert membership.list_heard(table) == {}
-    assert hear(table, beat(1), 1.0) == [MemberEvent.JOINED]
+    assert receive(table, create_heartbeat(1), 1.0) == [MemberEvent.JOINED]
     assert membership.list_zone(table) == (OWN, PEER)
-    assert hear(table, beat(2), 1.5) == []
+    assert receive(table, create_heartbeat(2), 1.5) == []
 
 
 def test_member_is_heard_before_the_list_shows_it():
     table = create_table()
-    hear(table, beat(1, peer_address="10.0.0.9:1"), 1.0)
+    receive(table, create_heartbeat(1, peer_address="10.0.0.9:1"), 1.0)
     assert membership.list_heard(table)[PEER].peer_address == "10.0.0.9:1"
-    hear(table, beat(2, leaving=True), 2.0)
+    receive(table, create_heartbeat(2, leaving=True), 2.0)
     events = [change.event for change in membership.tick(table, 63.0)]
     assert events == [MemberEvent.FORGOTTEN]
 
@@ -75,7 +75,7 @@
 )
 def test_silence_is_noticed_sooner_within_the_zone(zone: ZoneId, silent_from: float):
     table = create_table(PEER, zone=zone)
-    hear(table, beat(1, zone_id=zone), 0.0)
+    receive(table, create_heartbeat(1, zone_id=zone), 0.0)
     assert membership.tick(table, silent_from) == []
     events = [change.event for change in membership.tick(table, silent_from + 0.1)]
     assert events == [MemberEvent.SILENT]
@@ -89,23 +89,23 @@
     taken over within 10 s all the same.
     """
     table = create_table(PEER, zone=FAR)
-    hear(table, beat(1, zone_id=FAR), 1.0)
+    receive(table, create_heartbeat(1, zone_id=FAR), 1.0)
     duty_ends = 1.0 + membership.DUTY_SILENCE_SECONDS
     assert membership.list_steady(table, duty_ends) == [PEER]
     assert membership.list_steady(table, duty_ends + 0.1) == []
     assert PEER in membership.list_heard(table)
 
 
-def test_leaving_counts_at_once_and_late_reports_do_not_undo_it():
+def test_leaving_takes_effect_at_once_despite_late_reports():
     """
     A peer shuts down: its farewell overtakes a report it sent before. Taken in
     the order of arrival the late one would make it a member again, and it would
     be asked for slots until its silence is noticed.
     """
     table = create_table(PEER)
-    hear(table, beat(1), 0.0)
-    assert hear(table, beat(3, leaving=True), 1.0) == [MemberEvent.LEFT]
-    assert hear(table, beat(2), 1.1) == []
+    receive(table, create_heartbeat(1), 0.0)
+    assert receive(table, create_heartbeat(3, leaving=True), 1.0) == [MemberEvent.LEFT]
+    assert receive(table, create_heartbeat(2), 1.1) == []
     assert membership.list_heard(table) == {}
 
 
@@ -116,21 +116,27 @@
     not count, or slots would be granted twice.
     """
     table = create_table(PEER)
-    hear(table, beat(90, incarnation=1), 0.0)
-    assert hear(table, beat(1, incarnation=2), 1.0) == [MemberEvent.REPLACED]
-    is_news, _ = membership.apply_heartbeat(table, beat(91, incarnation=1), 1.1)
-    assert not is_news
+    receive(table, create_heartbeat(90, incarnation=1), 0.0)
+    assert receive(table, create_heartbeat(1, incarnation=2), 1.0) == [
+        MemberEvent.REPLACED
+    ]
+    is_new, _ = membership.apply_heartbeat(
+        table, create_heartbeat(91, incarnation=1), 1.1
+    )
+    assert not is_new
     assert table.members_by_id[PEER].incarnation == 2
 
 
 def test_refused_connection_proves_the_end_and_hearing_withdraws_it():
     table = create_table(PEER)
-    hear(table, beat(1), 0.0)
+    receive(table, create_heartbeat(1), 0.0)
     changes = membership.note_refused(table, PEER, 0.2)
     assert [change.event for change in changes] == [MemberEvent.DEAD]
     assert membership.list_heard(table) == {}
     assert table.members_by_id[PEER].refused_at == 0.2
-    assert hear(table, beat(1, incarnation=2), 5.0) == [MemberEvent.REPLACED]
+    assert receive(table, create_heartbeat(1, incarnation=2), 5.0) == [
+        MemberEvent.REPLACED
+    ]
     assert table.members_by_id[PEER].refused_at is None
     assert table.members_by_id[PEER].state is MemberState.ALIVE
 
@@ -141,7 +147,7 @@
     and it would take over each watch and each pool of its zone at once.
     """
     table = create_table(PEER)
-    hear(table, beat(1), 0.0)
+    receive(table, create_heartbeat(1), 0.0)
     membership.correct_for_pause(table, 60.0, 60.1)
     assert membership.tick(table, 60.1) == []
     assert membership.tick(table, 62.2) != []
@@ -156,7 +162,7 @@
     now = 0.0
     held_down = []
     for sequence in range(1, 6):
-        hear(table, beat(sequence), now)
+        receive(table, create_heartbeat(sequence), now)
         assert PEER in membership.list_heard(table)
         held_down.append(table.members_by_id[PEER].held_down_until - now)
         assert (PEER in membership.list_steady(table, now)) == (held_down[-1] <= 0)
@@ -164,9 +170,9 @@
         membership.tick(table, now)
     assert held_down[2:] == [5.0, 10.0, 20.0]
     assert max(held_down[:2]) <= 0
-    hear(table, beat(6), now)
+    receive(table, create_heartbeat(6), now)
     now += membership.STABLE_SECONDS + 1
-    hear(table, beat(7), now)
+    receive(table, create_heartbeat(7), now)
     assert table.members_by_id[PEER].silence_count == 0
 
 
@@ -181,12 +187,12 @@
     table = create_table(PEER)
     seen = []
     for now in range(70):
-        hear(table, beat(now + 1, heard=heard), now)
+        receive(table, create_heartbeat(now + 1, heard=heard), now)
         if reached:
             table.members_by_id[PEER].reached_at = now
         seen += [change.event for change in membership.tick(table, now)]
     assert seen == [MemberEvent.ONE_WAY]
     table.members_by_id[PEER].reached_at = 70.0
-    hear(table, beat(99), 70.0)
+    receive(table, create_heartbeat(99), 70.0)
     events = [change.event for change in membership.tick(table, 70.0)]
     assert events == [MemberEvent.BOTH_WAYS]
--- a/packages/systems/tests/test_slots.py
+++ b/packages/systems/tests/test_slots.py
@@ -13,7 +13,9 @@
 ZONE = ZoneId("z1")
 
 
-def see(*ids: EntryVMId, silent: str = "", dead: str = "") -> list[EntryVMView]:
+def create_views(
+    *ids: EntryVMId, silent: str = "", dead: str = ""
+) -> list[EntryVMView]:
     return [
         EntryVMView(each, ZONE, heard=each not in silent, dead=each in dead)
         for each in ids
@@ -27,7 +29,7 @@
     return slots.count_capacity(ledger, 8, views, A, vote, now=now, policy=POLICY)
 
 
-def give(
+def request_slots(
     ledger: SlotLedger,
     asker: EntryVMId,
     now: float,
@@ -37,11 +39,11 @@
     in_use: int = 0,
     dead: frozenset[EntryVMId] = frozenset(),
 ) -> int:
-    wish = slots.SlotDemand(VM, in_use, held)
+    demand = slots.SlotDemand(VM, in_use, held)
     return slots.grant(
         ledger,
         asker,
-        wish,
+        demand,
         target=target,
         capacity=8,
         dead=dead,
@@ -63,14 +65,14 @@
     ledger = SlotLedger()
     for voter in voters:
         slots.record_vote(ledger, voter, 100.0)
-    assert capacity(ledger, see(A, B, C), now) == expected
+    assert capacity(ledger, create_views(A, B, C), now) == expected
 
 
 def test_new_home_waits_for_work_granted_by_the_previous_home():
     """The former home is cut off with a holder that is not heard. What they
     have running is not known here, so nothing is granted until it has ended."""
     ledger = SlotLedger()
-    views = see(A, B, silent="b")
+    views = create_views(A, B, silent="b")
     assert capacity(ledger, views, now=100.5, since=100.0) == 0
     assert capacity(ledger, views, 100.0 + POLICY.hold_seconds, since=100.0) == 4
 
@@ -80,7 +82,7 @@
     slots.record_vote(ledger, B, 100.0)
     vote = Vote(home=A, blocked_until=100.0, foreign=3)
     counted = slots.count_capacity(
-        ledger, 8, see(A, B), A, vote, now=100.5, policy=POLICY
+        ledger, 8, create_views(A, B), A, vote, now=100.5, policy=POLICY
     )
     assert counted == 5
 
@@ -103,7 +105,7 @@
         (True, 100.2 + POLICY.grant_seconds),
     ],
 )
-def test_vote_moves_only_after_all_that_it_allowed_has_lapsed(dead, allowed_at):
+def test_vote_moves_only_after_its_grants_have_expired(dead, allowed_at):
     """The home of an upstream VM changes. Until the old home's vote and the
     grants made by it have lapsed, the new one is not asked; else both could
     grant by one vote."""
@@ -121,28 +123,28 @@
     """A holder of eight is granted four, and the reply may be lost. The other
     four go to the next asker only after the holder has asked again."""
     ledger = SlotLedger()
-    assert give(ledger, A, 100.0) == 8
-    assert give(ledger, A, 100.3, target=4, held=8) == 4
-    assert give(ledger, B, 100.4) == 0
-    assert give(ledger, A, 100.6, target=4, held=4) == 4
-    assert give(ledger, B, 100.7) == 4
+    assert request_slots(ledger, A, 100.0) == 8
+    assert request_slots(ledger, A, 100.3, target=4, held=8) == 4
+    assert request_slots(ledger, B, 100.4) == 0
+    assert request_slots(ledger, A, 100.6, target=4, held=4) == 4
+    assert request_slots(ledger, B, 100.7) == 4
 
 
 def test_work_in_use_stays_reserved_below_the_grant():
     ledger = SlotLedger()
-    assert give(ledger, A, 100.0, target=0, in_use=6) == 0
-    assert give(ledger, B, 100.1) == 2
+    assert request_slots(ledger, A, 100.0, target=0, in_use=6) == 0
+    assert request_slots(ledger, B, 100.1) == 2
 
 
 def test_silent_holder_keeps_its_slots_until_its_work_has_ended():
     ledger = SlotLedger()
-    give(ledger, A, 100.0)
+    request_slots(ledger, A, 100.0)
     ended = 100.0 + POLICY.grant_seconds + POLICY.hold_seconds
-    assert give(ledger, B, ended - 0.1) == 0
-    assert give(ledger, B, 102.0, dead=frozenset({A})) == 8
+    assert request_slots(ledger, B, ended - 0.1) == 0
+    assert request_slots(ledger, B, 102.0, dead=frozenset({A})) == 8
 
 
-def test_idle_slots_stay_with_the_home_for_whoever_asks_first():
+def test_home_keeps_idle_slots_for_the_first_request():
     """Two entry VMs of the zone idle. A third of another zone asks for its
     first request; it must find slots that are not lent out already."""
     table = HomeTable()
@@ -184,10 +186,10 @@
 
 def test_parts_add_up_to_all_slots_of_each_vm():
     table = HomeTable()
-    flood = {PartnerId("p"): 300}
-    slot_shares.record_demand(table, POOL, A, flood, 1.0)
-    victim = {PartnerId("q"): 9, PartnerId("p"): 30}
-    slot_shares.record_demand(table, POOL, B, victim, 1.0)
+    large_demand = {PartnerId("p"): 300}
+    slot_shares.record_demand(table, POOL, A, large_demand, 1.0)
+    small_demand = {PartnerId("q"): 9, PartnerId("p"): 30}
+    slot_shares.record_demand(table, POOL, B, small_demand, 1.0)
     weights = {PartnerId("p"): 1.0, PartnerId("q"): 1.0}
     parts = slot_shares.divide_pool(table, POOL, weights, 16, 1.0, POLICY)
     rounded = [slot_shares.round_parts(VMId(f"vm-{n}"), parts, 8) for n in range(200)]
--- a/packages/systems/tests/test_table_csv.py
+++ b/packages/systems/tests/test_table_csv.py
@@ -30,8 +30,8 @@
 def test_csv_round_trips_through_the_table(table):
     assert table.fleet.spare_percent == 12.5
     assert table.partners_by_id["ardhi"].limit_percent == 40.0
-    sheet = parse_csv(format_csv(table)).unwrap()
-    assert plan_import(table, sheet) == ()
+    exported = parse_csv(format_csv(table)).unwrap()
+    assert plan_import(table, exported) == ()
 
 
 def test_difference_names_only_what_changes(table):
@@ -54,10 +54,10 @@
     imports his sheet. Without the row revisions in the sheet the import would
     put the old weight back; with them it is refused and shows both rows.
     """
-    sheet = format_csv(table).replace("partner,ardhi,1,2,", "partner,ardhi,1,5,")
+    exported = format_csv(table).replace("partner,ardhi,1,2,", "partner,ardhi,1,5,")
     raced = format_csv(table).replace("partner,ardhi,1,2,", "partner,ardhi,1,4,")
     after = import_csv(table, raced, "raced")
-    rows = plan_import(after, parse_csv(sheet).unwrap())
+    rows = plan_import(after, parse_csv(exported).unwrap())
     edit = TableEdit(id=EditId("late"), operator="juma", rows=rows)
     assert apply_edit(after, edit, 0.0, "test").failure().code == "row-conflict"
 
--- a/packages/systems/tests/test_table_edit.py
+++ b/packages/systems/tests/test_table_edit.py
@@ -55,7 +55,7 @@
     return apply_edit(ConfigTable(), edit, AT, ORIGIN).unwrap().table
 
 
-def test_edit_changes_row_and_leaves_the_others_alone(table):
+def test_edit_changes_only_its_own_row(table):
     edit = create_edit(change("partner", "ardhi", 1, weight="3"))
     accepted = apply_edit(table, edit, AT, ORIGIN).unwrap()
     assert accepted.table.revision == 2
@@ -102,7 +102,7 @@
     assert str(fault) in refusal.message()
 
 
-def test_all_faults_of_an_import_are_listed_and_nothing_is_taken(table):
+def test_all_faults_of_an_import_are_listed_and_nothing_is_applied(table):
     edit = create_edit(
         change("partner", "ardhi", 1, weight=-1),
         change("partner", "bomba", 1, limit_percent=0),
@@ -142,7 +142,7 @@
     assert "medlarspring table show partner ardhi" in conflict.message()
 
 
-def test_retry_is_recognised_until_it_leaves_the_bounded_memory(table):
+def test_retry_is_recognised_while_its_edit_is_kept(table):
     """
     The reply to an accepted edit is lost and the operator repeats it. The id in
     the table shows that it is done: no second change, no conflict with himself.
--- a/packages/systems/tests/test_upstream_health.py
+++ b/packages/systems/tests/test_upstream_health.py
@@ -221,7 +221,7 @@
     return VMList({vm.id: vm})
 
 
-def read_list(table: UpstreamTable, vm_list: VMList, at: float) -> Upstream:
+def apply_list(table: UpstreamTable, vm_list: VMList, at: float) -> Upstream:
     vm_list.read_at = at
     routing.update_upstreams(table, vm_list)
     return table.upstreams_by_id[VMId("vm-0")]
@@ -229,11 +229,11 @@
 
 def test_leaving_signal_overrides_the_lagging_list_until_it_catches_up():
     table = UpstreamTable()
-    read_list(table, list_vm(), 0.0)
+    apply_list(table, list_vm(), 0.0)
     assert leaving.note_leaving(table, VMId("vm-0"), 0.0, 10.0)
-    assert not leaving.takes_new_work(read_list(table, list_vm(), 20.0), 20.0)
-    read_list(table, list_vm(ListedState.LEAVING), 30.0)
-    back = read_list(table, list_vm(), 60.0)
+    assert not leaving.takes_new_work(apply_list(table, list_vm(), 20.0), 20.0)
+    apply_list(table, list_vm(ListedState.LEAVING), 30.0)
+    back = apply_list(table, list_vm(), 60.0)
     assert leaving.takes_new_work(back, 60.0)
     assert not leaving.note_leaving(table, VMId("vm-0"), 50.0, 60.0)
     assert leaving.takes_new_work(back, 60.0)
@@ -241,9 +241,9 @@
 
 def test_moved_vm_gets_work_in_its_new_pool_despite_the_earlier_drain():
     table = UpstreamTable()
-    read_list(table, list_vm(), 0.0)
+    apply_list(table, list_vm(), 0.0)
     leaving.note_leaving(table, VMId("vm-0"), 0.0, 10.0)
-    moved = read_list(table, list_vm(pool=PoolId("survey")), 15.0)
+    moved = apply_list(table, list_vm(pool=PoolId("survey")), 15.0)
     leaving.note_leaving(table, VMId("vm-0"), 8.0, 16.0)
     assert leaving.takes_new_work(moved, 16.0)
 
@@ -276,16 +276,16 @@
     it as live throughout. The entry VM that carried it out tells that it is back;
     before, the others gave it no work for as long as they remember a sign."""
     table = UpstreamTable()
-    read_list(table, list_vm(), 0.0)
+    apply_list(table, list_vm(), 0.0)
     leaving.note_leaving(table, VMId("vm-0"), 0.0, 10.0)
-    upstream = read_list(table, list_vm(state), 15.0)
+    upstream = apply_list(table, list_vm(state), 15.0)
     assert leaving.note_returned(table, VMId("vm-0"), pool, returned_ago, 20.0) is takes
     assert leaving.takes_new_work(upstream, 20.0) is takes
 
 
 def test_leaving_signals_from_before_a_return_are_ignored():
     table = UpstreamTable()
-    read_list(table, list_vm(), 0.0)
+    apply_list(table, list_vm(), 0.0)
     leaving.note_returned(table, VMId("vm-0"), POOL, 0.0, 20.0)
     assert not leaving.note_leaving(table, VMId("vm-0"), 8.0, 21.0)
     assert leaving.note_leaving(table, VMId("vm-0"), 0.5, 21.0)
@@ -299,9 +299,9 @@
     """Each report adds its time on the way to the age that it tells. Taken for a
     newer return, it would void the sign of a drain that began in between."""
     table = UpstreamTable()
-    read_list(table, list_vm(), 0.0)
-    for told_at in (20.0, 20.3, 20.6, 20.9):
-        leaving.note_returned(table, VMId("vm-0"), POOL, 0.0, told_at)
+    apply_list(table, list_vm(), 0.0)
+    for reported_at in (20.0, 20.3, 20.6, 20.9):
+        leaving.note_returned(table, VMId("vm-0"), POOL, 0.0, reported_at)
     assert leaving.note_leaving(table, VMId("vm-0"), 0.0, 20.5)
     assert not leaving.note_returned(table, VMId("vm-0"), POOL, 0.0, 20.9)
     assert leaving.note_returned(table, VMId("vm-0"), POOL, 0.0, 23.0)
