--- a/packages/systems/src/medlarspring_systems/table_csv.py
+++ b/packages/systems/src/medlarspring_systems/table_csv.py
@@ -93,7 +93,9 @@
             faults.append(row)
             continue
         if (row.kind, row.id) in rows_by_key:
-            faults.append(f"{place}: {row.kind.value} {row.id} stands twice; keep one")
+            faults.append(
+                f"{place}: {row.kind.value} {row.id} is listed twice; keep one"
+            )
         rows_by_key[row.kind, row.id] = row
     if faults:
         return Failure(UnreadableCSV(faults))
--- a/packages/systems/src/medlarspring_systems/table_errors.py
+++ b/packages/systems/src/medlarspring_systems/table_errors.py
@@ -51,7 +51,9 @@
     def message(self) -> str:
         """List the faults, one a line."""
         lines = [str(fault) for fault in self.faults]
-        lines.append("Nothing was changed; mend what is listed and repeat the command.")
+        lines.append(
+            "Nothing was changed; correct these faults and repeat the command."
+        )
         return "\n".join(lines)
 
     def details(self) -> dict[str, object]:
--- a/packages/systems/src/medlarspring_systems/table_republish.py
+++ b/packages/systems/src/medlarspring_systems/table_republish.py
@@ -40,10 +40,10 @@
         self.in_force = in_force
 
     def message(self) -> str:
-        """Say that there is nothing to put back."""
+        """Say that there is nothing to republish."""
         return (
             f"The store holds table revision {self.stored}, and revision"
-            f" {self.in_force} is in force here; there is nothing to put back."
+            f" {self.in_force} is in force here; there is nothing to republish."
         )
 
 
--- a/packages/systems/tests/test_audit.py
+++ b/packages/systems/tests/test_audit.py
@@ -86,8 +86,8 @@
     age_days, newest, removed
 ):
     """
-    A page of 100 records is looked at. Old ones go, and those beyond the count;
-    the newest thousand stay even if the clock says that they are years old.
+    In a page of 100 records, those that are too old or beyond the count expire. The
+    newest thousand are kept even if the clock makes them look years old.
     """
     page = create_page(0, 100, NOW - age_days * DAY)
     trim = plan_trim(TrimMark(), page, Revision(newest), NOW)
--- a/packages/systems/tests/test_backoff.py
+++ b/packages/systems/tests/test_backoff.py
@@ -7,8 +7,8 @@
 
 def test_calls_after_an_outage_are_spread():
     """
-    The store was down for an hour and comes back; every entry VM waits for its
-    next try. With equal waits they would all call in one instant.
+    Guards against simultaneous retries: when the store recovers after an hour,
+    entry VMs with equal delays would all call at the same instant.
     """
     rng = random.Random(1)
     waits = sorted(plan_retry(20, rng) for _ in range(640))
--- a/packages/systems/tests/test_distribution.py
+++ b/packages/systems/tests/test_distribution.py
@@ -57,9 +57,9 @@
     offered: ConfigTable, verdict: OfferResult, source: Source
 ):
     """
-    A backup is restored, or a replica lags: the store answers with a table that
-    was accepted once and is older than that in force. Taken, the operators'
-    newer edits would revert; it is reported instead.
+    Guards against reverted edits: after a restored backup or from a lagging
+    replica, the store answers with a table older than the one in force. It is
+    reported and not put in force.
     """
     distribution = Distribution(in_force=create_table(5), peers_asked=True)
     assert offer_table(distribution, offered, source, 9.0) is verdict
@@ -82,9 +82,9 @@
 
 def test_new_process_asks_its_peers_before_using_the_stored_table():
     """
-    A VM is replaced while the replica it asks lags. It has nothing to compare
-    with, and its callers would see an accepted edit revert. It keeps the
-    store's answer until a peer answered, but no longer than the grace.
+    A VM is replaced while the store replica that it asks lags. It has no table to
+    compare with, and its callers would see an accepted edit revert. So it keeps
+    the store's answer until a peer has answered, at most for the grace period.
     """
     distribution = Distribution(started_at=0.0)
     assert (
--- a/packages/systems/tests/test_distribution_histories.py
+++ b/packages/systems/tests/test_distribution_histories.py
@@ -1,4 +1,7 @@
-"""An accepted edit is never lost and never reverts, whatever happens on the way."""
+"""Stateful test that accepted edits are never lost and never revert.
+
+Messages are lost, delayed and repeated, replicas lag, and nodes are replaced.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +46,7 @@
 
 @dataclass
 class Store:
-    """Every table the store ever held; a replica may answer with any of them."""
+    """All versions of the table in the store; a replica may return any of them."""
 
     versions: list[ConfigTable] = field(default_factory=lambda: [ConfigTable()])
 
@@ -57,7 +60,7 @@
 
 @dataclass
 class Attempt:
-    """An operator's edit and what its editor has read for it."""
+    """An operator's edit and the index of the version that its editor has read."""
 
     edit: TableEdit
     base: int
@@ -65,7 +68,7 @@
 
 
 class Histories(RuleBasedStateMachine):
-    """Editors, watchers, relays and restarts in any order, with any loss."""
+    """Edits, store reads, peer fetches and restarts in any order, with any loss."""
 
     attempts = Bundle("attempts")
     messages = Bundle("messages")
@@ -87,7 +90,7 @@
 
     @rule(node=st.sampled_from(NODES))
     def replace(self, node: EntryVMId) -> None:
-        """A VM is replaced: the new process knows nothing."""
+        """A VM is replaced: the new process has no table."""
         self.nodes[node] = Distribution(started_at=self.now)
         self.highest[node] = Revision(0)
 
@@ -128,7 +131,7 @@
         answer_lost=st.booleans(),
     )
     def edit(self, partner: PartnerId, reader: EntryVMId, answer_lost: bool) -> None:
-        """An edit goes through without a race, and one node hears of it."""
+        """An edit is accepted without a race, and one node reads it."""
         attempt = self.begin_edit(partner, 0)
         self.commit(attempt, answer_lost, False)
         if answer_lost:
@@ -153,12 +156,12 @@
 
     @rule(attempt=attempts)
     def read_again(self, attempt: Attempt) -> None:
-        """After a conflict or a lost answer the editor starts from the newest."""
+        """After a conflict or a lost answer, the editor reads the newest version."""
         attempt.base = len(self.store.versions) - 1
 
     @rule(node=st.sampled_from(NODES), behind=st.integers(0, 4))
     def ask_store(self, node: EntryVMId, behind: int) -> None:
-        """A watch or read answers; a lagging replica shows an older version."""
+        """A watch or read answers; a lagging replica returns an older version."""
         index = max(len(self.store.versions) - 1 - behind, 0)
         if index:
             self.offer(node, self.store.versions[index], Source.STORE)
@@ -175,7 +178,7 @@
 
     @rule(node=st.sampled_from(NODES))
     def ask_peers(self, node: EntryVMId) -> None:
-        """A restarted process has asked the peers of its zone."""
+        """A replaced process has asked the peers of its zone."""
         self.relay(node)
         self.nodes[node].peers_asked = True
         offer_pending(self.nodes[node], self.now)
@@ -226,7 +229,7 @@
         assert set(self.acknowledged) <= set(ids)
 
     def teardown(self) -> None:
-        """All is well again: one node reads the store, the others hear of it."""
+        """After recovery one node reads the store, and the others fetch from peers."""
         if not self.nodes:
             return
         self.now += 2 * COLD_START_GRACE_SECONDS
--- a/packages/systems/tests/test_exchange.py
+++ b/packages/systems/tests/test_exchange.py
@@ -17,7 +17,7 @@
 
 STEP_SECONDS = 0.1
 WARM_UP_SECONDS = 10.0
-"""At first nobody has heard anybody, and both sides of a pair call."""
+"""Before the first reports are heard, both sides of a pair call."""
 
 
 def create_tables(zone_count: int, per_zone: int) -> dict[EntryVMId, MemberTable]:
@@ -41,7 +41,7 @@
 
 
 def count_calls(tables: dict[EntryVMId, MemberTable], seconds: float) -> float:
-    """Run all nodes; returns exchanges per node and second, of both directions."""
+    """Run all nodes; return exchanges per node and second, in both directions."""
     rng = random.Random(3)
     plans = {own: ExchangePlan() for own in tables}
     calls = 0
@@ -59,7 +59,7 @@
 
 LIMIT_BYTES_PER_SECOND = 8_000.0
 WITH_REACH_CALLS = 1.15
-"""Each side calls once in eight intervals whoever of the pair is due."""
+"""The other side of each pair also calls once in eight intervals."""
 
 
 @pytest.mark.parametrize(
@@ -74,8 +74,8 @@
     zone_count: int, per_zone: int, most: float
 ):
     """
-    Every pair of entry VMs exchanges reports. With 64 of them a fixed interval
-    would use up the bytes a node may spend; the one across zones gives way.
+    Every pair of entry VMs exchanges reports. With 64 entry VMs a fixed interval
+    would exceed the byte budget of a node, so the interval across zones grows.
     """
     calls = count_calls(create_tables(zone_count, per_zone), 30.0)
     assert calls * 300 < most
@@ -84,9 +84,9 @@
 @pytest.mark.parametrize("lost", [0.0, 0.05])
 def test_lost_reports_make_no_member_silent(lost: float):
     """
-    The fleet is large, so reports across zones are seldom, and one call in
-    twenty gets lost. A silence limit close to the interval would declare
-    neighbours silent all the time and move their pools to and fro.
+    In a large fleet reports across zones are infrequent, and here one call in
+    twenty is lost. With a silence timeout close to the interval, peers would
+    repeatedly count as silent and their pools would move back and forth.
     """
     tables = create_tables(4, 8)
     rng = random.Random(5)
--- a/packages/systems/tests/test_fair_queue.py
+++ b/packages/systems/tests/test_fair_queue.py
@@ -67,7 +67,7 @@
 
 
 def serve(pool: PoolQueue, times: int, start: float = 0.0) -> Counter[str]:
-    """Run one request after the other, each as long as the pool expects."""
+    """Run requests one after the other, each for the pool's mean service time."""
     served: Counter[str] = Counter()
     now = start
     for _ in range(times):
@@ -100,8 +100,8 @@
 
 
 def test_use_reported_by_a_peer_is_charged():
-    """The balancer sends most of one partner's work to a peer. The peer's
-    report charges the partner here too, so that the other goes first."""
+    """Most of one partner's requests go through a peer. The peer's report charges
+    the partner here too, so that the other partner goes first."""
     pool = create_pool()
     peer = EntryVMId("e2")
     for at, used in ((0.0, 10.0), (0.5, 12.0)):
@@ -112,8 +112,8 @@
 
 
 def test_old_usage_of_a_peer_does_not_starve_the_partner():
-    """After a cut of minutes one report brings all the use since. Counted in
-    full it would keep the partner out for minutes."""
+    """After a partition of minutes, one report contains all the use since. Charged
+    in full, it would starve the partner for minutes."""
     pool = create_pool()
     peer = EntryVMId("e2")
     for at, used in ((0.0, 0.0), (300.0, 3000.0)):
@@ -133,8 +133,8 @@
 
 
 def test_share_comes_back_within_seconds():
-    """One partner had the whole pool for a minute. When the other returns it
-    catches up, and within a few seconds both get half."""
+    """One partner used the whole pool for a minute. When the other becomes active
+    again it catches up, and within a few seconds each gets half."""
     pool = create_pool()
     fill(pool, p=4000)
     serve(pool, 1200)
@@ -177,9 +177,9 @@
 
 
 def test_abandoned_requests_do_not_change_the_service_time():
-    """Connections went silent, and the slots of the given-up requests were
-    kept for 2 s. Learnt as service time that made every deadline of 1 s look
-    hopeless, and a healthy service refused all callers for 3 s."""
+    """Guards against slots kept by abandoned requests counting as service time.
+    After dead connections such slots were kept for 2 s; deadlines of 1 s then looked
+    impossible to meet, and a healthy service refused all callers for 3 s."""
     pool = create_pool()
     before = pool.service_seconds
     for _ in range(50):
--- a/packages/systems/tests/test_membership.py
+++ b/packages/systems/tests/test_membership.py
@@ -84,9 +84,9 @@
 
 def test_vanished_member_of_another_zone_loses_its_duties_before_it_is_silent():
     """
-    A VM of another zone vanishes without a word. Reports across zones are
-    seconds apart, so it counts as silent only after several; its pools must be
-    taken over within 10 s all the same.
+    A VM of another zone fails. Reports across zones are seconds apart, so it counts
+    as silent only after several are missing; its pools must still be taken over
+    within 10 s.
     """
     table = create_table(PEER, zone=FAR)
     receive(table, create_heartbeat(1, zone_id=FAR), 1.0)
@@ -98,9 +98,9 @@
 
 def test_leaving_takes_effect_at_once_despite_late_reports():
     """
-    A peer shuts down: its farewell overtakes a report it sent before. Taken in
-    the order of arrival the late one would make it a member again, and it would
-    be asked for slots until its silence is noticed.
+    A peer's report of its shutdown arrives before a report that it sent earlier.
+    Applied in order of arrival, the earlier report would make it a member again,
+    and it would be asked for slots until it counts as silent.
     """
     table = create_table(PEER)
     receive(table, create_heartbeat(1), 0.0)
@@ -111,9 +111,9 @@
 
 def test_late_report_of_a_replaced_process_is_ignored():
     """
-    A process freezes, the platform starts another with the same id and address,
-    and the first one thaws. Its reports carry the former incarnation and must
-    not count, or slots would be granted twice.
+    A process is paused, the platform starts another with the same id and address,
+    and the first one resumes. Its reports carry the former incarnation and must
+    be ignored; otherwise slots would be granted twice.
     """
     table = create_table(PEER)
     receive(table, create_heartbeat(90, incarnation=1), 0.0)
@@ -143,8 +143,8 @@
 
 def test_pause_of_this_process_does_not_mark_peers_silent():
     """
-    This process is paused for a minute. On waking up every peer looks silent,
-    and it would take over each watch and each pool of its zone at once.
+    After this process was paused for a minute, every peer looks silent, and
+    without correction it would take over all watches and pools of its zone.
     """
     table = create_table(PEER)
     receive(table, create_heartbeat(1), 0.0)
@@ -155,8 +155,8 @@
 
 def test_flapping_member_is_held_down_for_increasing_times():
     """
-    A link comes and goes every few seconds. Each return would move watches and
-    pools back to the member, and each cut away again; it serves, but waits.
+    A link fails and recovers every few seconds. Without hold-down each recovery
+    would move watches and pools to the member, and each failure away from it.
     """
     table = create_table(PEER)
     now = 0.0
@@ -182,7 +182,7 @@
 def test_cut_in_one_direction_is_noticed(heard: tuple[EntryVMId, ...], reached: bool):
     """
     Reports of the peer arrive, but it does not hear this process or no call
-    reaches it. Either side alone looks healthy; status has to show the cut.
+    reaches it. Each side alone looks healthy; the status must show the cut.
     """
     table = create_table(PEER)
     seen = []
--- a/packages/systems/tests/test_slots.py
+++ b/packages/systems/tests/test_slots.py
@@ -69,8 +69,8 @@
 
 
 def test_new_home_waits_for_work_granted_by_the_previous_home():
-    """The former home is cut off with a holder that is not heard. What they
-    have running is not known here, so nothing is granted until it has ended."""
+    """The former home and a holder are partitioned from the new home. It does not
+    know which slots they use, so it grants none until their work has ended."""
     ledger = SlotLedger()
     views = create_views(A, B, silent="b")
     assert capacity(ledger, views, now=100.5, since=100.0) == 0
@@ -91,7 +91,8 @@
 def test_loans_of_the_former_home_are_left_free_and_own_ones_counted_once(
     former, foreign
 ):
-    """Guards against loans that a home takes off twice: its own ledger has its own."""
+    """Guards against subtracting slots lent to other zones twice, by the ledger
+    and by the vote, when this entry VM was the former home."""
     vote = Vote(home=former, foreign=3)
     wanted = B if former is A else A
     slots.move_vote(vote, wanted, A, old_home_dead=True, now=100.0, policy=POLICY)
@@ -106,9 +107,9 @@
     ],
 )
 def test_vote_moves_only_after_its_grants_have_expired(dead, allowed_at):
-    """The home of an upstream VM changes. Until the old home's vote and the
-    grants made by it have lapsed, the new one is not asked; else both could
-    grant by one vote."""
+    """The home of an upstream VM changes. The new home is not asked until the vote
+    for the old one and the grants by that vote have expired; otherwise both homes
+    could grant slots by one vote."""
     vote = Vote(home=B, last_asked=100.0)
 
     def move(now: float) -> EntryVMId | None:
@@ -120,8 +121,8 @@
 
 
 def test_lowered_grant_is_free_only_when_its_holder_knows_of_it():
-    """A holder of eight is granted four, and the reply may be lost. The other
-    four go to the next asker only after the holder has asked again."""
+    """A holder of eight slots is granted four, and the reply may be lost. The other
+    four are granted to another asker only after the holder has asked again."""
     ledger = SlotLedger()
     assert request_slots(ledger, A, 100.0) == 8
     assert request_slots(ledger, A, 100.3, target=4, held=8) == 4
@@ -145,8 +146,8 @@
 
 
 def test_home_keeps_idle_slots_for_the_first_request():
-    """Two entry VMs of the zone idle. A third of another zone asks for its
-    first request; it must find slots that are not lent out already."""
+    """Two entry VMs of the zone are idle. A third, of another zone, asks for its
+    first request; the idle ones must not hold all slots."""
     table = HomeTable()
     for asker in (A, B):
         slot_shares.record_demand(table, POOL, asker, {}, 1.0)
--- a/packages/systems/tests/test_table_csv.py
+++ b/packages/systems/tests/test_table_csv.py
@@ -50,9 +50,9 @@
 
 def test_import_of_a_csv_older_than_another_edit_conflicts(table):
     """
-    An operator exports, a rival's weight is changed by another, and the first
-    imports his sheet. Without the row revisions in the sheet the import would
-    put the old weight back; with them it is refused and shows both rows.
+    Two operators export the table and change the weight of the same partner.
+    Without row revisions in the file, the second import would silently overwrite
+    the first; with them it is refused with a conflict.
     """
     exported = format_csv(table).replace("partner,ardhi,1,2,", "partner,ardhi,1,5,")
     raced = format_csv(table).replace("partner,ardhi,1,2,", "partner,ardhi,1,4,")
@@ -70,7 +70,7 @@
         ("kind,id,colour\npartner,a,red\n", "'colour' is unknown"),
         ("kind,id\nteam,a\n", "line 2: kind: found 'team'"),
         ("kind,id,revision\npartner,a,x\n", "line 2: revision: found 'x'"),
-        ("kind,id\npartner,a\npartner,a\n", "line 3: partner a stands twice"),
+        ("kind,id\npartner,a\npartner,a\n", "line 3: partner a is listed twice"),
         ("kind,id\npartner,a,1,2\n", "line 2: found more cells than columns"),
     ],
 )
--- a/packages/systems/tests/test_table_edit.py
+++ b/packages/systems/tests/test_table_edit.py
@@ -130,8 +130,8 @@
 def test_loser_of_a_race_sees_both_rows_and_the_remedy(table):
     """
     Two operators read the partner's row at revision 1 and both set its weight.
-    The second would undo the first without having seen it; he is shown the row
-    as it stands and his own, and the command that reads it again.
+    The second edit would silently overwrite the first. It is refused with the
+    current row, the proposed row and the command that reads the row again.
     """
     won = create_edit(change("partner", "ardhi", 1, weight=4), id="won")
     lost = create_edit(change("partner", "ardhi", 1, weight=9), id="lost")
@@ -144,9 +144,9 @@
 
 def test_retry_is_recognised_while_its_edit_is_kept(table):
     """
-    The reply to an accepted edit is lost and the operator repeats it. The id in
-    the table shows that it is done: no second change, no conflict with himself.
-    Another edit under the same id is told apart by its content.
+    The reply to an accepted edit is lost and the operator repeats it. The edit's
+    id in the table prevents a second change and a conflict with the edit's own
+    row. A different edit under the same id is recognised by its content.
     """
     edit = create_edit(change("partner", "ardhi", 1, weight=4))
     accepted = apply_edit(table, edit, AT, ORIGIN).unwrap()
--- a/packages/systems/tests/test_upstream_health.py
+++ b/packages/systems/tests/test_upstream_health.py
@@ -68,8 +68,8 @@
 
 
 def test_payments_avoid_a_vm_whose_last_answer_was_a_failure():
-    """Two VMs are equal but for one failure. A payment sent there might end
-    with an unknown outcome; a read may well try."""
+    """Two VMs differ only in one failure. A payment sent to the failed VM might end
+    with an unknown outcome; a read may be sent there."""
     table = create_table(2)
     fail(table, 0, times=1)
     pool = table.upstreams_by_pool[POOL]
@@ -105,8 +105,8 @@
 
 @pytest.mark.parametrize("count", [1, 2, 3, 8])
 def test_at_most_half_of_a_pool_is_ejected(count):
-    """Every VM seems to fail at once, as when the service itself is broken.
-    At least half of the pool goes on being tried."""
+    """Every VM fails at once, as when the service itself is broken. At least half
+    of the pool still gets requests."""
     table = create_table(count)
     for _ in range(5):
         for index in range(count):
@@ -249,9 +249,9 @@
 
 
 def test_leaving_signals_alone_never_empty_a_pool():
-    """A wave drained and rebooted every VM of a pool within one reading of the
-    list, which shows all as live throughout. Nothing takes the signs back, and
-    callers were refused for want of an upstream although all were live."""
+    """A wave drains and reboots every VM of a pool between two reads of the list,
+    which shows all as live throughout. Nothing cleared the leaving signals, and
+    callers were refused for lack of an upstream although all VMs were live."""
     table = create_table(2)
     for number in range(2):
         leaving.note_leaving(table, VMId(f"vm-{number}"), 0.0, 10.0 + number)
@@ -272,9 +272,9 @@
     ],
 )
 def test_return_clears_older_leaving_signals(state, pool, returned_ago, takes):
-    """A VM was drained and rebooted between two readings of the list, which shows
-    it as live throughout. The entry VM that carried it out tells that it is back;
-    before, the others gave it no work for as long as they remember a sign."""
+    """A VM is drained and rebooted between two reads of the list, which shows it as
+    live throughout. The entry VM that did so reports the return; without the report
+    the others gave it no work until their leaving signals expired."""
     table = UpstreamTable()
     apply_list(table, list_vm(), 0.0)
     leaving.note_leaving(table, VMId("vm-0"), 0.0, 10.0)
@@ -296,8 +296,9 @@
 
 
 def test_repeated_reports_of_one_return_keep_its_time():
-    """Each report adds its time on the way to the age that it tells. Taken for a
-    newer return, it would void the sign of a drain that began in between."""
+    """The delivery time of a report makes the return look newer than it is. Applied
+    as a newer return, a repeated report would clear the leaving signal of a drain
+    that began in between."""
     table = UpstreamTable()
     apply_list(table, list_vm(), 0.0)
     for reported_at in (20.0, 20.3, 20.6, 20.9):
--- a/packages/systems/tests/test_vm_list_view.py
+++ b/packages/systems/tests/test_vm_list_view.py
@@ -27,8 +27,8 @@
 )
 def test_answer_that_drops_most_vms_has_to_come_several_times(left: int, tries: int):
     """
-    The platform rebuilds its list and answers with a part of it for a moment.
-    Taken at once, every request would be refused for want of an upstream.
+    While the platform rebuilds its list, it answers with only a part of it. If
+    that were used at once, every request would be refused for lack of an upstream.
     """
     view = VMListView()
     assert apply_answer(view, create_list(10))
