--- a/packages/bench/src/medlarspring_bench/measure/requests_entry_vm.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_entry_vm.py
@@ -104,7 +104,7 @@
 
     def _begin(self, request: CallerRequest, upstream: Upstream, now: float) -> None:
         upstream.in_use += 1
-        fair_queue.begin(self.state.get_pool(POOL), request.partner_id, now)
+        fair_queue.begin_request(self.state.get_pool(POOL), request.partner_id, now)
         if not self.fleet.run(upstream.id):
             self.fleet.at(2 * ONE_WAY_SECONDS, lambda: self._refused(request, upstream))
             return
@@ -117,7 +117,7 @@
         now = self.fleet.clock.now()
         pool = self.state.get_pool(POOL)
         upstream.in_use -= 1
-        fair_queue.finish(pool, request.partner_id, now, now)
+        fair_queue.finish_request(pool, request.partner_id, now, now)
         self._set_limit(upstream, self.limits[upstream.id] * LIMIT_CUT)
         upstream.credit_until = now + REFUSED_PAUSE_SECONDS
         self.fleet.at(REFUSED_PAUSE_SECONDS, lambda: self._reopen(upstream))
@@ -132,7 +132,9 @@
         now = self.fleet.clock.now()
         upstream.in_use -= 1
         self.fleet.end_run(upstream.id)
-        fair_queue.finish(self.state.get_pool(POOL), request.partner_id, began, now)
+        fair_queue.finish_request(
+            self.state.get_pool(POOL), request.partner_id, began, now
+        )
         if upstream.id in self.limits:
             self._set_limit(upstream, self.limits[upstream.id] + LIMIT_STEP)
         self.fleet.note_end(request, began, now)
--- a/packages/daemon/src/medlarspring_daemon/callers/dispatch.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/dispatch.py
@@ -90,7 +90,7 @@
             return
         turn.upstream.in_use -= 1
         now = self._clock.now()
-        fair_queue.finish(
+        fair_queue.finish_request(
             turn.pool, turn.request.partner_id, turn.began_at, now, answered=answered
         )
         if turn.pool.waiting:
@@ -164,7 +164,7 @@
     ) -> Turn:
         upstream.in_use += 1
         upstream_health.mark_probe(upstream)
-        fair_queue.begin(pool, request.partner_id, now)
+        fair_queue.begin_request(pool, request.partner_id, now)
         return Turn(request, upstream, pool, now)
 
     def _check(
--- a/packages/daemon/src/medlarspring_daemon/callers/slot_exchange.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/slot_exchange.py
@@ -122,7 +122,10 @@
         pool = self._state.pools_by_id.get(pool_id)
         if pool is None:
             return False
-        return pool.waiting > 0 or now - pool.asked_at < self._policy.idle_after_seconds
+        return (
+            pool.waiting > 0
+            or now - pool.last_request_at < self._policy.idle_after_seconds
+        )
 
     def note_failure(self, asking: Asking) -> None:
         """Give a request up; the credits lapse unless the next one is answered."""
--- a/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
@@ -12,7 +12,7 @@
 from medlarspring_adapters.events import Event
 from medlarspring_adapters.operator_api import Finding, Health
 from medlarspring_daemon.tasks import Tasks
-from medlarspring_systems.backoff import plan_retry
+from medlarspring_systems.backoff import choose_retry_delay
 from medlarspring_systems.distribution import (
     Distribution,
     OfferResult,
@@ -107,7 +107,7 @@
             revision = await self._read()
             if revision is None:
                 self._failures += 1
-                await asyncio.sleep(plan_retry(self._failures, self._node.rng))
+                await asyncio.sleep(choose_retry_delay(self._failures, self._node.rng))
                 continue
             await self._watch_while_due(Revision(revision + 1))
 
@@ -171,7 +171,7 @@
             self._short_watches = 0
         else:
             self._short_watches += 1
-        await asyncio.sleep(plan_retry(self._short_watches, self._node.rng))
+        await asyncio.sleep(choose_retry_delay(self._short_watches, self._node.rng))
 
     async def _watch(self, start: Revision) -> None:
         batches: AsyncGenerator[Any, None]
--- a/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
@@ -19,7 +19,7 @@
     Transaction,
 )
 from medlarspring_daemon.tasks import Tasks
-from medlarspring_systems.backoff import plan_retry
+from medlarspring_systems.backoff import choose_retry_delay
 from medlarspring_systems.holders import (
     LEASE_SECONDS,
     RENEW_SECONDS,
@@ -129,7 +129,7 @@
         answer = await self._node.store.keep_lease(LeaseId(lease_id))
         if not isinstance(answer, Success):
             self._renewal_failures += 1
-            wait = plan_retry(self._renewal_failures, self._node.rng)
+            wait = choose_retry_delay(self._renewal_failures, self._node.rng)
             self._renew_at = self._node.clock.now() + wait
             return
         ttl = answer.unwrap()
@@ -258,7 +258,7 @@
 
     def _back_off(self) -> None:
         self._failures += 1
-        wait = TRY_SECONDS / 2 + plan_retry(self._failures, self._node.rng)
+        wait = TRY_SECONDS / 2 + choose_retry_delay(self._failures, self._node.rng)
         self._try_at = self._node.clock.now() + wait
 
 
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_service.py
@@ -25,7 +25,7 @@
 from medlarspring_systems.exchange import (
     ExchangePlan,
     forget,
-    list_due,
+    list_due_peers,
     record_exchange_bytes,
 )
 from medlarspring_tables import EntryVMId, Member, MemberTable, Revision, ZoneId
@@ -219,7 +219,7 @@
             membership.apply_listed_members(self.members, vm_list, now)
             self._list_taken = vm_list
         self._log_changes(membership.tick(self.members, now))
-        for member in list_due(self._plan, self.members, now, self._node.rng):
+        for member in list_due_peers(self._plan, self.members, now, self._node.rng):
             self._begin_exchange(member)
 
     def _begin_exchange(self, member: Member) -> None:
@@ -253,7 +253,9 @@
             # Whoever had it is gone; waiting for its silence would keep its
             # slots and duties bound to a VM that does not exist.
             now = self._node.clock.now()
-            self._log_changes(membership.note_refused(self.members, member.id, now))
+            self._log_changes(
+                membership.record_refused_connection(self.members, member.id, now)
+            )
         self.take_report(reply)
         self._repeat_if_outdated(member, report)
 
@@ -285,7 +287,9 @@
         failures = self._failures_by_id.get(member.id, 0) + 1
         self._failures_by_id[member.id] = failures
         if isinstance(answer.failure(), PeerRefused):
-            self._log_changes(membership.note_refused(self.members, member.id, now))
+            self._log_changes(
+                membership.record_refused_connection(self.members, member.id, now)
+            )
             return
         if failures % FAILURES_BEFORE_RECONNECT == 0:
             self._drop_client(member.id)
--- a/packages/systems/src/medlarspring_systems/backoff.py
+++ b/packages/systems/src/medlarspring_systems/backoff.py
@@ -13,7 +13,7 @@
 MAX_RETRY_SECONDS = 8.0
 
 
-def plan_retry(failures: int, rng: random.Random) -> Seconds:
+def choose_retry_delay(failures: int, rng: random.Random) -> Seconds:
     """Return the delay after a number of consecutive failed calls.
 
     When the store recovers, all entry VMs retry within seconds. The upper bound
@@ -25,4 +25,4 @@
     return rng.uniform(FIRST_RETRY_SECONDS / 2, min(longest, MAX_RETRY_SECONDS))
 
 
-__all__ = ["MAX_RETRY_SECONDS", "plan_retry"]
+__all__ = ["MAX_RETRY_SECONDS", "choose_retry_delay"]
--- a/packages/systems/src/medlarspring_systems/exchange.py
+++ b/packages/systems/src/medlarspring_systems/exchange.py
@@ -44,7 +44,7 @@
     plan.bytes_per_exchange += 0.05 * (exchanged - plan.bytes_per_exchange)
 
 
-def list_due(
+def list_due_peers(
     plan: ExchangePlan, table: MemberTable, now: Seconds, rng: random.Random
 ) -> list[Member]:
     """Return the peers to call now, and set when each is due next."""
@@ -124,4 +124,4 @@
     return min(max(value, low), high)
 
 
-__all__ = ["ExchangePlan", "forget", "list_due", "record_exchange_bytes"]
+__all__ = ["ExchangePlan", "forget", "list_due_peers", "record_exchange_bytes"]
--- a/packages/systems/src/medlarspring_systems/fair_queue.py
+++ b/packages/systems/src/medlarspring_systems/fair_queue.py
@@ -187,16 +187,16 @@
     return max(1, int(allowed * here / (here + elsewhere)))
 
 
-def begin(pool: PoolQueue, partner_id: PartnerId, now: Seconds) -> None:
+def begin_request(pool: PoolQueue, partner_id: PartnerId, now: Seconds) -> None:
     """Charge the partner the expected slot time of a request that gets a slot."""
     queue = get_partner_queue(pool, partner_id)
     count_slot_time(queue, now)
     queue.running += 1
-    pool.asked_at = now
+    pool.last_request_at = now
     queue.used += to_units(pool, pool.service_seconds, now)
 
 
-def finish(
+def finish_request(
     pool: PoolQueue,
     partner_id: PartnerId,
     began_at: Seconds,
@@ -287,11 +287,11 @@
 __all__ = [
     "USAGE_DECAY_SECONDS",
     "apply_partner_config",
-    "begin",
+    "begin_request",
     "count_allowed",
     "count_slot_time",
     "enqueue",
-    "finish",
+    "finish_request",
     "get_partner_queue",
     "remove_departed_peers",
     "pick_next",
--- a/packages/systems/src/medlarspring_systems/membership.py
+++ b/packages/systems/src/medlarspring_systems/membership.py
@@ -203,7 +203,7 @@
     return [MemberChange(member.id, event)]
 
 
-def note_refused(
+def record_refused_connection(
     table: MemberTable, member_id: EntryVMId, now: Seconds
 ) -> list[MemberChange]:
     """Record that the member's process has ended.
@@ -328,7 +328,7 @@
     "list_steady",
     "list_zone",
     "correct_for_pause",
-    "note_refused",
+    "record_refused_connection",
     "apply_heartbeat",
     "apply_listed_members",
     "tick",
--- a/packages/systems/src/medlarspring_systems/slot_shares.py
+++ b/packages/systems/src/medlarspring_systems/slot_shares.py
@@ -40,9 +40,9 @@
         kept = math.exp((former.reported_at - now) / DEMAND_DECAY_SECONDS)
         for partner_id, before in former.count_by_partner.items():
             count = counts.get(partner_id, 0.0)
-            faded = count + kept * (before - count)
-            if count < before and faded > MIN_DEMAND:
-                counts[partner_id] = faded
+            decayed = count + kept * (before - count)
+            if count < before and decayed > MIN_DEMAND:
+                counts[partner_id] = decayed
     demand[asker] = AskerDemand(counts, now)
 
 
--- a/packages/systems/src/medlarspring_systems/slots.py
+++ b/packages/systems/src/medlarspring_systems/slots.py
@@ -130,8 +130,8 @@
     votes = sum(
         view.id == own_id or _has_voted(ledger, view.id, now, policy) for view in group
     )
-    settled = now >= own_vote.blocked_until + policy.hold_seconds
-    if settled:
+    former_work_ended = now >= own_vote.blocked_until + policy.hold_seconds
+    if former_work_ended:
         return slots * votes // len(group)
     if votes < len(group):
         return 0
--- a/packages/systems/src/medlarspring_systems/table_edit.py
+++ b/packages/systems/src/medlarspring_systems/table_edit.py
@@ -139,7 +139,7 @@
         changes=tuple(changes),
         note=edit.note,
     )
-    return _check_whole(AcceptedChange(changed, revision, record))
+    return _check_changed_table(AcceptedChange(changed, revision, record))
 
 
 def digest_edit(edit: TableEdit) -> str:
@@ -262,7 +262,7 @@
     return "table import"
 
 
-def _check_whole(change: AcceptedChange) -> Result[AcceptedChange, TableError]:
+def _check_changed_table(change: AcceptedChange) -> Result[AcceptedChange, TableError]:
     faults = check_table(change.table)
     if faults:
         return Failure(RowsRefused(faults))
--- a/packages/systems/src/medlarspring_systems/table_rows.py
+++ b/packages/systems/src/medlarspring_systems/table_rows.py
@@ -21,14 +21,14 @@
 RowsByKind = dict[RowKind, dict[str, ConfigRow]]
 
 FLEET_ROW_ID = "fleet"
-KEPT_FIELDS = frozenset({"id", "revision"})
+READ_ONLY_FIELDS = frozenset({"id", "revision"})
 """Fields that no edit sets: the row's id, and the revision that the daemon sets."""
 
 FIELD_TYPES_BY_KIND: dict[RowKind, dict[str, Any]] = {
     kind: {
         name: hint
         for name, hint in get_type_hints(row_type).items()
-        if name in row_type.__struct_fields__ and name not in KEPT_FIELDS
+        if name in row_type.__struct_fields__ and name not in READ_ONLY_FIELDS
     }
     for kind, row_type in ROW_TYPES_BY_KIND.items()
 }
@@ -62,7 +62,7 @@
     return [
         field.name
         for field in msgspec.structs.fields(ROW_TYPES_BY_KIND[kind])
-        if field.required and field.name not in KEPT_FIELDS
+        if field.required and field.name not in READ_ONLY_FIELDS
     ]
 
 
@@ -88,7 +88,7 @@
 __all__ = [
     "FIELD_TYPES_BY_KIND",
     "FLEET_ROW_ID",
-    "KEPT_FIELDS",
+    "READ_ONLY_FIELDS",
     "RowsByKind",
     "describe_row",
     "join_rows",
--- a/packages/systems/tests/test_backoff.py
+++ b/packages/systems/tests/test_backoff.py
@@ -2,7 +2,7 @@
 
 import random
 
-from medlarspring_systems.backoff import MAX_RETRY_SECONDS, plan_retry
+from medlarspring_systems.backoff import MAX_RETRY_SECONDS, choose_retry_delay
 
 
 def test_calls_after_an_outage_are_spread():
@@ -11,7 +11,7 @@
     entry VMs with equal delays would all call at the same instant.
     """
     rng = random.Random(1)
-    waits = sorted(plan_retry(20, rng) for _ in range(640))
+    waits = sorted(choose_retry_delay(20, rng) for _ in range(640))
     busiest = max(
         sum(start <= wait < start + 1.0 for wait in waits) for start in range(8)
     )
--- a/packages/systems/tests/test_exchange.py
+++ b/packages/systems/tests/test_exchange.py
@@ -9,7 +9,7 @@
     MAX_REMOTE_INTERVAL_SECONDS,
     REMOTE_INTERVAL_SECONDS,
     ExchangePlan,
-    list_due,
+    list_due_peers,
     record_exchange_bytes,
 )
 from medlarspring_systems.membership import tick
@@ -48,7 +48,7 @@
     for step in range(int((WARM_UP_SECONDS + seconds) / STEP_SECONDS)):
         now = step * STEP_SECONDS
         for own, table in tables.items():
-            for member in list_due(plans[own], table, now, rng):
+            for member in list_due_peers(plans[own], table, now, rng):
                 calls += 2 * (now >= WARM_UP_SECONDS)
                 member.heard_at = member.reached_at = now
                 tables[member.id].members_by_id[own].heard_at = now
@@ -58,7 +58,7 @@
 
 
 LIMIT_BYTES_PER_SECOND = 8_000.0
-WITH_REACH_CALLS = 1.15
+REACH_CALLS_FACTOR = 1.15
 """The other side of each pair also calls once in eight intervals."""
 
 
@@ -66,11 +66,11 @@
     ("zone_count", "per_zone", "most"),
     [
         (4, 2, BYTES_PER_SECOND),
-        (4, 8, BYTES_PER_SECOND * WITH_REACH_CALLS),
+        (4, 8, BYTES_PER_SECOND * REACH_CALLS_FACTOR),
         (7, 9, LIMIT_BYTES_PER_SECOND),
     ],
 )
-def test_bytes_stay_within_the_budget_at_todays_size_and_at_the_target(
+def test_bytes_stay_within_the_budget_at_all_fleet_sizes(
     zone_count: int, per_zone: int, most: float
 ):
     """
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("lost", [0.0, 0.05])
-def test_lost_reports_make_no_member_silent(lost: float):
+def test_lost_reports_do_not_make_members_silent(lost: float):
     """
     In a large fleet reports across zones are infrequent, and here one call in
     twenty is lost. With a silence timeout close to the interval, peers would
@@ -96,7 +96,7 @@
         now = step * STEP_SECONDS
         for own, table in tables.items():
             silent += len(tick(table, now))
-            for member in list_due(plans[own], table, now, rng):
+            for member in list_due_peers(plans[own], table, now, rng):
                 if rng.random() < lost:
                     continue
                 member.heard_at = member.reached_at = now
@@ -112,17 +112,17 @@
     for own, table in tables.items():
         member = next(iter(table.members_by_id.values()))
         member.heard_at = member.reached_at = 0.0
-        due_by_id[own] = list_due(ExchangePlan(), table, 0.1, rng)
+        due_by_id[own] = list_due_peers(ExchangePlan(), table, 0.1, rng)
     assert sorted(len(due) for due in due_by_id.values()) == [0, 1]
     for table in tables.values():
-        assert len(list_due(ExchangePlan(), table, 0.8, rng)) == 1
+        assert len(list_due_peers(ExchangePlan(), table, 0.8, rng)) == 1
 
 
 def test_interval_across_zones_has_an_upper_bound():
     rng = random.Random(3)
     table = create_tables(400, 1)[EntryVMId("z0-0")]
     plan = ExchangePlan()
-    due = list_due(plan, table, 100.0, rng)
+    due = list_due_peers(plan, table, 100.0, rng)
     waits = [plan.next_at_by_id[member.id] - 100.0 for member in due]
     assert max(waits) <= MAX_REMOTE_INTERVAL_SECONDS * 1.1
     assert min(waits) > REMOTE_INTERVAL_SECONDS
--- a/packages/systems/tests/test_fair_queue.py
+++ b/packages/systems/tests/test_fair_queue.py
@@ -75,9 +75,9 @@
         if request is None:
             break
         served[request.partner_id] += 1
-        fair_queue.begin(pool, request.partner_id, now)
+        fair_queue.begin_request(pool, request.partner_id, now)
         began, now = now, now + pool.service_seconds
-        fair_queue.finish(pool, request.partner_id, began, now)
+        fair_queue.finish_request(pool, request.partner_id, began, now)
     return served
 
 
@@ -172,7 +172,7 @@
     for _ in range(2):
         request = fair_queue.pick_next(pool, FLEET_SLOTS, 0.0)
         assert request is not None
-        fair_queue.begin(pool, P, 0.0)
+        fair_queue.begin_request(pool, P, 0.0)
     assert fair_queue.pick_next(pool, FLEET_SLOTS, 0.0) is None
 
 
@@ -183,8 +183,8 @@
     pool = create_pool()
     before = pool.service_seconds
     for _ in range(50):
-        fair_queue.begin(pool, P, 0.0)
-        fair_queue.finish(pool, P, 0.0, 2.0, answered=False)
+        fair_queue.begin_request(pool, P, 0.0)
+        fair_queue.finish_request(pool, P, 0.0, 2.0, answered=False)
     assert pool.service_seconds == before
 
 
@@ -192,7 +192,7 @@
     pool = create_pool()
     fill(pool, p=5, q=5)
     serve(pool, 1)
-    fair_queue.begin(pool, P, 5000.0)
+    fair_queue.begin_request(pool, P, 5000.0)
     queue = fair_queue.get_partner_queue(pool, P)
     assert 0.0 < queue.used < 1.0
 
@@ -234,7 +234,7 @@
 def test_partner_over_its_share_gets_its_own_refusal():
     pool = create_pool()
     fill(pool, p=400, q=4)
-    serve_only_p = [fair_queue.begin(pool, P, 0.0) for _ in range(8)]
+    serve_only_p = [fair_queue.begin_request(pool, P, 0.0) for _ in range(8)]
     assert len(serve_only_p) == 8
     request = create_request(P, deadline=0.5)
     refusal = admission.check_admission(pool, request, 8, OCCUPANCY, now=0.0)
--- a/packages/systems/tests/test_membership.py
+++ b/packages/systems/tests/test_membership.py
@@ -130,7 +130,7 @@
 def test_refused_connection_proves_the_end_and_hearing_withdraws_it():
     table = create_table(PEER)
     receive(table, create_heartbeat(1), 0.0)
-    changes = membership.note_refused(table, PEER, 0.2)
+    changes = membership.record_refused_connection(table, PEER, 0.2)
     assert [change.event for change in changes] == [MemberEvent.DEAD]
     assert membership.list_heard(table) == {}
     assert table.members_by_id[PEER].refused_at == 0.2
--- a/packages/tables/src/medlarspring_tables/requests.py
+++ b/packages/tables/src/medlarspring_tables/requests.py
@@ -150,7 +150,7 @@
     )
     waiting: int = 0
     urgent_waiting: int = 0
-    asked_at: Seconds = float("-inf")
+    last_request_at: Seconds = float("-inf")
     """Time of the last request."""
     answers: int = 0
     """Number of answers that the two figures below are computed from."""
