--- a/packages/systems/src/medlarspring_systems/slots.py
+++ b/packages/systems/src/medlarspring_systems/slots.py
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SlotDemand:
-    """What one entry VM asks for of one upstream VM."""
+    """An entry VM's current use and request of slots of one upstream VM."""
 
     vm_id: VMId
     in_use: int
--- a/packages/systems/tests/test_membership.py
+++ b/packages/systems/tests/test_membership.py
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize(
-    ("heard", "reached"), [((), True), ((OWN,), False)], ids=["deaf", "unreachable"]
+    ("heard", "reached"), [((), True), ((OWN,), False)], ids=["not-heard", "unreached"]
 )
 def test_cut_in_one_direction_is_noticed(heard: tuple[EntryVMId, ...], reached: bool):
     """
--- a/packages/tables/src/medlarspring_tables/requests.py
+++ b/packages/tables/src/medlarspring_tables/requests.py
@@ -151,7 +151,7 @@
     waiting: int = 0
     urgent_waiting: int = 0
     last_request_at: Seconds = float("-inf")
-    """Time of the last request."""
+    """Time at which the last request got a slot."""
     answers: int = 0
     """Number of answers that the two figures below are computed from."""
     service_seconds: Seconds = 0.05
