--- a/packages/systems/tests/test_audit.py
+++ b/packages/systems/tests/test_audit.py
@@ -68,7 +68,7 @@
         (AuditFilter(edit_id="edit-8"), False),
     ],
 )
-def test_filter_matches_all_that_it_names(wanted, expected):
+def test_filter_requires_all_its_conditions(wanted, expected):
     assert matches(create_record(7), wanted) is expected
 
 
--- a/packages/systems/tests/test_fair_queue.py
+++ b/packages/systems/tests/test_fair_queue.py
@@ -188,7 +188,7 @@
     assert pool.service_seconds == before
 
 
-def test_use_survives_the_change_of_units():
+def test_use_is_kept_when_the_units_are_rebased():
     pool = create_pool()
     fill(pool, p=5, q=5)
     serve(pool, 1)
--- a/packages/systems/tests/test_membership.py
+++ b/packages/systems/tests/test_membership.py
@@ -73,7 +73,7 @@
         (FAR, membership.REMOTE_SILENCE_SECONDS),
     ],
 )
-def test_silence_is_noticed_sooner_within_the_zone(zone: ZoneId, silent_from: float):
+def test_silence_is_detected_sooner_within_the_zone(zone: ZoneId, silent_from: float):
     table = create_table(PEER, zone=zone)
     receive(table, create_heartbeat(1, zone_id=zone), 0.0)
     assert membership.tick(table, silent_from) == []
@@ -82,7 +82,7 @@
     assert membership.list_heard(table) == {}
 
 
-def test_vanished_member_of_another_zone_loses_its_duties_before_it_is_silent():
+def test_lost_member_of_another_zone_loses_its_duties_before_it_is_silent():
     """
     A VM of another zone fails. Reports across zones are seconds apart, so it counts
     as silent only after several are missing; its pools must still be taken over
@@ -127,7 +127,7 @@
     assert table.members_by_id[PEER].incarnation == 2
 
 
-def test_refused_connection_proves_the_end_and_hearing_withdraws_it():
+def test_refused_connection_marks_a_member_dead_until_it_is_heard():
     table = create_table(PEER)
     receive(table, create_heartbeat(1), 0.0)
     changes = membership.record_refused_connection(table, PEER, 0.2)
@@ -179,7 +179,7 @@
 @pytest.mark.parametrize(
     ("heard", "reached"), [((), True), ((OWN,), False)], ids=["not-heard", "unreached"]
 )
-def test_cut_in_one_direction_is_noticed(heard: tuple[EntryVMId, ...], reached: bool):
+def test_cut_in_one_direction_is_detected(heard: tuple[EntryVMId, ...], reached: bool):
     """
     Reports of the peer arrive, but it does not hear this process or no call
     reaches it. Each side alone looks healthy; the status must show the cut.
--- a/packages/systems/tests/test_slots.py
+++ b/packages/systems/tests/test_slots.py
@@ -77,7 +77,7 @@
     assert capacity(ledger, views, 100.0 + POLICY.hold_seconds, since=100.0) == 4
 
 
-def test_new_home_with_every_vote_leaves_what_was_lent_to_other_zones():
+def test_new_home_with_all_votes_leaves_slots_lent_to_other_zones_free():
     ledger = SlotLedger()
     slots.record_vote(ledger, B, 100.0)
     vote = Vote(home=A, blocked_until=100.0, foreign=3)
@@ -88,9 +88,7 @@
 
 
 @pytest.mark.parametrize(("former", "foreign"), [(A, 0), (B, 3)])
-def test_loans_of_the_former_home_are_left_free_and_own_ones_counted_once(
-    former, foreign
-):
+def test_slots_lent_by_the_former_home_are_counted_once(former, foreign):
     """Guards against subtracting slots lent to other zones twice, by the ledger
     and by the vote, when this entry VM was the former home."""
     vote = Vote(home=former, foreign=3)
@@ -120,7 +118,7 @@
     assert move(allowed_at) == C
 
 
-def test_lowered_grant_is_free_only_when_its_holder_knows_of_it():
+def test_reduced_grant_frees_slots_only_after_its_holder_asks_again():
     """A holder of eight slots is granted four, and the reply may be lost. The other
     four are granted to another asker only after the holder has asked again."""
     ledger = SlotLedger()
--- a/packages/systems/tests/test_upstream_health.py
+++ b/packages/systems/tests/test_upstream_health.py
@@ -201,7 +201,7 @@
     assert retries == pytest.approx(100, abs=1)
 
 
-def test_only_the_first_try_of_repeatable_work_is_given_up_early():
+def test_only_the_first_attempt_of_a_repeatable_request_times_out_early():
     pool = PoolQueue(POOL, service_seconds=0.1, service_spread=0.01)
 
     def wait(repeatable: bool, attempts: int) -> float:
--- a/packages/systems/tests/test_vm_list_view.py
+++ b/packages/systems/tests/test_vm_list_view.py
@@ -25,7 +25,9 @@
     ("left", "tries"),
     [(10, 1), (9, 1), (5, 1), (4, CONFIRMATIONS), (0, CONFIRMATIONS)],
 )
-def test_answer_that_drops_most_vms_has_to_come_several_times(left: int, tries: int):
+def test_answer_without_most_vms_is_used_only_after_confirmations(
+    left: int, tries: int
+):
     """
     While the platform rebuilds its list, it answers with only a part of it. If
     that were used at once, every request would be refused for lack of an upstream.
