--- a/packages/daemon/src/medlarspring_daemon/callers/claims.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/claims.py
@@ -91,7 +91,7 @@
         if running is not None:
             if running == digest:
                 return Failure(claims.IN_PROGRESS)
-            return Failure(claims.promise_nothing(claims.KEY_CONFLICT))
+            return Failure(claims.with_unknown_outcome(claims.KEY_CONFLICT))
         self._digest_by_key[key] = digest
         claimed = False
         try:
@@ -193,17 +193,17 @@
         """Return the result for an existing claim; None if it may be taken over."""
         existing = msgspec.json.decode(found.value, type=Claim)
         digest = claim.request_digest
-        verdict = claims.judge_claim(existing, claim.attempt_id, digest)
+        verdict = claims.evaluate_claim(existing, claim.attempt_id, digest)
         match verdict:
-            case claims.Verdict.OURS:
+            case claims.ClaimDecision.OWN_CLAIM:
                 return Success(ClaimedRun(found.key, claim, found.mod_revision))
-            case claims.Verdict.REPLAY:
+            case claims.ClaimDecision.REPLAY:
                 assert existing.answer is not None
                 return Success(existing.answer)
-            case claims.Verdict.TAKE_OVER:
+            case claims.ClaimDecision.TAKE_OVER:
                 return None
         wall = self._node.clock.wall()
-        return Failure(claims.refuse_claimed(existing, digest, wall))
+        return Failure(claims.build_claim_refusal(existing, digest, wall))
 
     async def _write(
         self, key: str, claim: Claim, expected: Revision, lease_id: LeaseId | None
--- a/packages/daemon/src/medlarspring_daemon/callers/dispatch.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/dispatch.py
@@ -96,7 +96,7 @@
             return
         acquired_slot.upstream.in_use -= 1
         now = self._clock.now()
-        fair_queue.finish(
+        fair_queue.finish_request(
             acquired_slot.pool,
             acquired_slot.request.partner_id,
             acquired_slot.began_at,
@@ -171,8 +171,8 @@
         now: Seconds,
     ) -> AcquiredSlot:
         upstream.in_use += 1
-        upstream_health.begin_work(upstream)
-        fair_queue.begin(pool, request.partner_id, now)
+        upstream_health.mark_probe(upstream)
+        fair_queue.begin_request(pool, request.partner_id, now)
         return AcquiredSlot(request, upstream, pool, now)
 
     def _check_admission(
@@ -182,7 +182,7 @@
         if not any(takes_new_work(upstream, now) for upstream in upstreams):
             return _NO_UPSTREAM
         usable = self._state.count_usable_slots(request.pool_id, now)
-        waiting_room = admission.WaitingRoom(
+        waiting_room = admission.QueueOccupancy(
             self._max_waiting,
             len(self._waiters),
             self._waiting_by_partner[request.partner_id],
@@ -221,7 +221,7 @@
         elif answer.done() and not answer.cancelled():
             acquired_slot = answer.result().value_or(None)
             if acquired_slot is not None:
-                upstream_health.note_no_verdict(acquired_slot.upstream)
+                upstream_health.end_inconclusive_probe(acquired_slot.upstream)
                 self.release(acquired_slot)
 
     def _add_waiter(self, request: CallerRequest, waiter: Waiter) -> None:
@@ -239,7 +239,7 @@
     def _start_timer(
         self, pool: PoolQueue, request: CallerRequest, now: Seconds
     ) -> asyncio.TimerHandle:
-        left = request.deadline - now - admission.expect_service(pool)
+        left = request.deadline - now - admission.estimate_service_time(pool)
         loop = asyncio.get_running_loop()
         return loop.call_later(max(0.0, left), self._expire, pool, request)
 
--- a/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
@@ -142,7 +142,7 @@
             # The process was suspended or delayed after it acquired the slot.
             # The slot may have been granted to another entry VM since then, so
             # it must not be used.
-            upstream_health.note_no_verdict(upstream)
+            upstream_health.end_inconclusive_probe(upstream)
             self._dispatcher.release(acquired_slot)
             return Failure(AttemptFailure(_SLOT_EXPIRED, not_run=True))
         linger = retry.choose_linger(acquired_slot.pool)
@@ -177,7 +177,7 @@
             linger = 0.0
             return result
         except asyncio.CancelledError:
-            upstream_health.note_no_verdict(upstream)
+            upstream_health.end_inconclusive_probe(upstream)
             raise
         finally:
             self._dispatcher.release(acquired_slot, linger)
@@ -197,7 +197,7 @@
             self._reports.note_leaving(acquired_slot.upstream.id, 0.0, "answer")
         if answer.status == REFUSAL_STATUS and state is not None:
             answer.close()
-            upstream_health.note_no_verdict(acquired_slot.upstream)
+            upstream_health.end_inconclusive_probe(acquired_slot.upstream)
             if state != "leaving":
                 acquired_slot.upstream.credit_until = min(
                     acquired_slot.upstream.credit_until, now
@@ -225,7 +225,7 @@
             )
         config = self._node.config
         if config is not None:
-            retry.earn(budget, config.fleet.retry_percent)
+            retry.add_retry_tokens(budget, config.fleet.retry_percent)
         return Success(response)
 
     async def _stream_large_answer(
@@ -258,11 +258,11 @@
         upstreams = self._state.list_upstreams(acquired_slot.pool.pool_id)
         now = self._node.clock.now()
         if ok:
-            ejected = upstream_health.note_success(
+            ejected = upstream_health.record_success(
                 acquired_slot.upstream, upstreams, latency, now
             )
         else:
-            ejected = upstream_health.note_failure(
+            ejected = upstream_health.record_failure(
                 acquired_slot.upstream, upstreams, now
             )
         if ejected:
@@ -277,7 +277,7 @@
         self, acquired_slot: AcquiredSlot, fault: UpstreamFault
     ) -> AttemptFailure:
         if fault.old_connection:
-            upstream_health.note_no_verdict(acquired_slot.upstream)
+            upstream_health.end_inconclusive_probe(acquired_slot.upstream)
         else:
             self._record_upstream_health(acquired_slot, ok=False, latency=0.0)
         not_run = fault.reached is Reached.NO
--- a/packages/daemon/src/medlarspring_daemon/callers/service.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/service.py
@@ -26,7 +26,7 @@
 )
 from medlarspring_daemon.callers.state import CallerState
 from medlarspring_daemon.callers.upstream_response import create_upstream_headers
-from medlarspring_systems.claims import promise_nothing
+from medlarspring_systems.claims import with_unknown_outcome
 from medlarspring_systems.routing import count_idle_connections
 
 if TYPE_CHECKING:
@@ -140,7 +140,7 @@
         if not is_successful(read):
             refusal = read.failure()
             if has_usable_key(request):
-                refusal = promise_nothing(refusal)
+                refusal = with_unknown_outcome(refusal)
             return self._refuse(refusal, request_id)
         caller_request = read.unwrap()
         exchange = Exchange(
--- a/packages/systems/src/medlarspring_systems/fair_queue.py
+++ b/packages/systems/src/medlarspring_systems/fair_queue.py
@@ -1,9 +1,9 @@
-"""Whose request goes next: weighted fair queueing over the whole fleet.
+"""Weighted fair queueing of requests over the whole fleet.
 
-A partner is charged for the slot seconds it uses through any entry VM. Peers'
-use comes in by their reports. Charges fade with a time constant of a few
-seconds, so that idle share is lent freely and comes back soon, and nobody
-saves up share for later.
+A partner is charged for the slot seconds that it uses through any entry VM; peers
+report the use through them. Charges decay with a time constant of a few seconds.
+So other partners can use an idle partner's share, the partner gets it back soon,
+and no partner accumulates unused share.
 """
 
 from __future__ import annotations
@@ -30,21 +30,22 @@
     )
     from medlarspring_tables.requests import CallerRequest
 
-MEMORY_SECONDS = 2.0
-"""Time constant with which past use fades."""
+USAGE_DECAY_SECONDS = 2.0
+"""Time constant of the exponential decay of past use."""
 
 MAX_UNIT_EXPONENT = 200.0
-"""The units are rebased before they overflow a float."""
+"""The units of use are rebased at this exponent, before they overflow a float."""
 
 SMOOTHING = 0.05
 """Weight of one request in the smoothed service time."""
 
-PEER_SILENCE_SECONDS = 12.0
-"""A peer's waiting and running count for nothing after this silence; longer
-than the time in which unchanged figures are repeated."""
+PEER_USAGE_TIMEOUT_SECONDS = 12.0
+"""A peer's waiting and running requests are ignored this long after its last
+report; longer than the time in which unchanged figures are repeated."""
 
 ENTITLED_TOLERANCE = 1.05
-"""Urgent work of a partner up to this part of its share goes before others'."""
+"""A partner's urgent requests go first while its use is at most this multiple of
+its share."""
 
 
 def get_partner_queue(pool: PoolQueue, partner_id: PartnerId) -> PartnerQueue:
@@ -52,31 +53,31 @@
     queue = pool.queues_by_partner.get(partner_id)
     if queue is None:
         queue = PartnerQueue(partner_id)
-        _adopt_row(queue, pool.rows_by_partner.get(partner_id))
+        _apply_partner_row(queue, pool.rows_by_partner.get(partner_id))
         pool.queues_by_partner[partner_id] = queue
     return queue
 
 
-def adopt_config(pool: PoolQueue, config: ConfigTable) -> None:
-    """Take over weights and limits of the table in force.
+def apply_partner_config(pool: PoolQueue, config: ConfigTable) -> None:
+    """Apply the weights and limits of the table in force.
 
-    Queues are made only for partners that ask: hundreds of partners in dozens
-    of pools would take more memory than all else.
+    Queues are created only for partners that send requests: queues for hundreds
+    of partners in dozens of pools would take more memory than everything else.
     """
     pool.rows_by_partner = config.partners_by_id
     pool.total_weight = sum(row.weight for row in config.partners_by_id.values())
     for partner_id, queue in pool.queues_by_partner.items():
-        _adopt_row(queue, config.partners_by_id.get(partner_id))
+        _apply_partner_row(queue, config.partners_by_id.get(partner_id))
 
 
-def _adopt_row(queue: PartnerQueue, row: PartnerRow | None) -> None:
+def _apply_partner_row(queue: PartnerQueue, row: PartnerRow | None) -> None:
     if row is not None:
         queue.weight = row.weight
         queue.limit_percent = row.limit_percent
 
 
 def enqueue(pool: PoolQueue, request: CallerRequest, *, first: bool = False) -> None:
-    """Let a request wait for its turn, before all others if it had it already."""
+    """Queue a request; ``first`` puts it back at the head of its queue."""
     queue = get_partner_queue(pool, request.partner_id)
     waiting = queue.waiting_by_urgency[request.urgency]
     if first:
@@ -87,7 +88,10 @@
 
 
 def remove(pool: PoolQueue, request: CallerRequest) -> bool:
-    """Take a waiting request out, as its caller left or its time is up."""
+    """Remove a waiting request; return whether it was in the queue.
+
+    Used when the caller disconnects or the deadline passes.
+    """
     queue = pool.queues_by_partner.get(request.partner_id)
     if queue is None:
         return False
@@ -113,11 +117,11 @@
 
 
 def pick_next(pool: PoolQueue, fleet_slots: int, now: Seconds) -> CallerRequest | None:
-    """Take the request that goes next, or None if nothing may go.
+    """Dequeue and return the next request, or None if none may be sent.
 
-    Urgent requests of partners within their share go first. After them the
-    partner goes that has used least for its weight; its own urgent requests
-    come before its others.
+    Urgent requests of partners within their share go first. After them, the
+    partner with the smallest use for its weight is served; its urgent requests
+    go before its other requests.
     """
     best: PartnerQueue | None = None
     best_rank = (2, 0.0)
@@ -165,8 +169,8 @@
 ) -> int:
     """Return how many slots a partner's limit allows it through this entry VM.
 
-    The limit holds for the fleet, so it is divided between the entry VMs by
-    what each has of the partner's demand.
+    The limit applies to the whole fleet and is divided between the entry VMs in
+    proportion to the partner's demand at each.
     """
     if queue.limit_percent >= 100.0:
         return fleet_slots
@@ -176,23 +180,23 @@
         usage.waiting + usage.running
         for (_, partner_id), usage in pool.peer_usage.items()
         if partner_id == queue.partner_id
-        and now - usage.reported_at < PEER_SILENCE_SECONDS
+        and now - usage.reported_at < PEER_USAGE_TIMEOUT_SECONDS
     )
     if not elsewhere:
         return max(1, int(allowed))
     return max(1, int(allowed * here / (here + elsewhere)))
 
 
-def begin(pool: PoolQueue, partner_id: PartnerId, now: Seconds) -> None:
-    """Charge a request that is given a slot with its expected slot time."""
+def begin_request(pool: PoolQueue, partner_id: PartnerId, now: Seconds) -> None:
+    """Charge the partner the expected slot time of a request that gets a slot."""
     queue = get_partner_queue(pool, partner_id)
     count_slot_time(queue, now)
     queue.running += 1
-    pool.asked_at = now
+    pool.last_request_at = now
     queue.used += to_units(pool, pool.service_seconds, now)
 
 
-def finish(
+def finish_request(
     pool: PoolQueue,
     partner_id: PartnerId,
     began_at: Seconds,
@@ -200,11 +204,11 @@
     *,
     answered: bool = True,
 ) -> None:
-    """Correct the charge by the slot time that was really used.
+    """Correct the charge by the slot time that was actually used.
 
-    Only answered requests tell how long work takes. A slot kept after a
-    give-up would make the service look slow, and requests would be refused
-    for deadlines that can well be met.
+    Only answered requests update the service time. The slot of an abandoned
+    request stays in use for longer; counted, it would make the service look slow,
+    and requests whose deadlines can be met would be refused.
     """
     queue = get_partner_queue(pool, partner_id)
     count_slot_time(queue, now)
@@ -220,20 +224,20 @@
 
 
 def count_slot_time(queue: PartnerQueue, now: Seconds) -> None:
-    """Bring the cumulative slot time up to now."""
+    """Update the cumulative slot time to now."""
     queue.slot_seconds += queue.running * (now - queue.counted_at)
     queue.counted_at = now
 
 
 def to_units(pool: PoolQueue, seconds: Seconds, now: Seconds) -> float:
-    """Return slot seconds used now in the pool's growing units.
+    """Convert slot seconds used now to the pool's growing units.
 
-    New use counts for more instead of old use for less: one comparison then
-    needs no fading of every partner's figure.
+    New use is scaled up instead of scaling old use down, so that a comparison
+    does not have to decay the figure of every partner.
     """
     if pool.units_since is None:
         pool.units_since = now
-    exponent = (now - pool.units_since) / MEMORY_SECONDS
+    exponent = (now - pool.units_since) / USAGE_DECAY_SECONDS
     if exponent > MAX_UNIT_EXPONENT:
         _rebase(pool, exponent, now)
         exponent = 0.0
@@ -247,16 +251,16 @@
     pool.units_since = now
 
 
-def take_peer_usage(
+def record_peer_usage(
     pool: PoolQueue,
     peer: EntryVMId,
     partner_id: PartnerId,
     usage: PeerUsage,
     elapsed: Seconds,
 ) -> None:
-    """Charge a partner for what a peer says it used since its last report.
+    """Charge a partner for its use through a peer since the peer's last report.
 
-    ``elapsed`` is the time since the peer's last report of anything.
+    ``elapsed`` is the time since the last report of any kind from the peer.
     """
     known = pool.peer_usage.get((peer, partner_id))
     pool.peer_usage[peer, partner_id] = usage
@@ -265,32 +269,33 @@
     used = usage.slot_seconds - known.slot_seconds
     if used <= 0.0 or elapsed <= 0.0:
         return
-    # After a cut of minutes the whole use comes in one report. Only what is
-    # recent counts, or the partner would be starved for long gone use.
-    recent = used * min(1.0, MEMORY_SECONDS / elapsed)
+    # After a partition of minutes, one report contains all the use since. Only
+    # the recent part is charged; otherwise the partner would be starved for old
+    # use.
+    recent = used * min(1.0, USAGE_DECAY_SECONDS / elapsed)
     queue = get_partner_queue(pool, partner_id)
     queue.used += to_units(pool, recent, usage.reported_at)
 
 
-def keep_peers(pool: PoolQueue, peers: Collection[EntryVMId]) -> None:
-    """Forget peers that the VM list no longer shows."""
+def remove_departed_peers(pool: PoolQueue, peers: Collection[EntryVMId]) -> None:
+    """Remove the usage of peers that are no longer on the VM list."""
     pool.peer_usage = {
         key: usage for key, usage in pool.peer_usage.items() if key[0] in peers
     }
 
 
 __all__ = [
-    "MEMORY_SECONDS",
-    "adopt_config",
-    "begin",
+    "USAGE_DECAY_SECONDS",
+    "apply_partner_config",
+    "begin_request",
     "count_allowed",
     "count_slot_time",
     "enqueue",
-    "finish",
+    "finish_request",
     "get_partner_queue",
-    "keep_peers",
+    "remove_departed_peers",
     "pick_next",
     "remove",
-    "take_peer_usage",
+    "record_peer_usage",
     "to_units",
 ]
--- a/packages/systems/src/medlarspring_systems/membership.py
+++ b/packages/systems/src/medlarspring_systems/membership.py
@@ -1,7 +1,8 @@
-"""Membership of entry VMs: the lagging list plus heartbeats.
+"""Membership of entry VMs, from the platform's lagging list and heartbeats.
 
-Nobody has to agree on it. It decides whom to call, who is preferred for a duty
-and whose promises have ended; what needs one actor is under a store lease.
+Each process has its own view, without consensus. The view decides which peers are
+called, which member is preferred for a duty, and which members' grants have
+ended. Work that needs a single actor is protected by a store lease.
 """
 
 from __future__ import annotations
@@ -25,23 +26,23 @@
 ZONE_SILENCE_SECONDS = 2.0
 REMOTE_SILENCE_SECONDS = 10.0
 DUTY_SILENCE_SECONDS = 7.5
-"""A member not heard for so long gets no duties, before it counts as silent."""
+"""A member not heard for this long gets no duties, before it counts as silent."""
 FORGET_SECONDS = 60.0
-"""A member that is neither listed nor heard for so long is forgotten."""
-FREEZE_SECONDS = 1.5
-"""Two ticks further apart than this mean that this process did not run."""
-CALM_SECONDS = 60.0
-"""A member that stayed heard for so long is forgiven its falls."""
-TOLERATED_FALLS = 1
+"""A member that is neither listed nor heard for this long is removed."""
+PAUSE_SECONDS = 1.5
+"""A longer time between two ticks means that this process was paused."""
+STABLE_SECONDS = 60.0
+"""A member heard without a break for this long has its silence count reset."""
+TOLERATED_SILENCES = 1
 HOLD_DOWN_SECONDS = 5.0
 MAX_HOLD_DOWN_SECONDS = 60.0
-FORMER_INCARNATIONS = 4
+MAX_FORMER_INCARNATIONS = 4
 ONE_WAY_SECONDS = 60.0
-"""A heard member that no call reached for so long is cut off in one direction."""
+"""A heard member that no call reached for this long is cut off in one direction."""
 
 
 class MemberEvent(Enum):
-    """What became of a member."""
+    """A change of a member's state."""
 
     JOINED = "joined"
     BACK = "back"
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """The facts of one report that membership needs."""
+    """The fields of one report that membership needs."""
 
     sender: EntryVMId
     incarnation: int
@@ -78,8 +79,11 @@
     heard: tuple[EntryVMId, ...] = ()
 
 
-def take_list(table: MemberTable, vm_list: VMList, now: Seconds) -> None:
-    """Learn addresses from the list; it never says that a process is alive."""
+def apply_listed_members(table: MemberTable, vm_list: VMList, now: Seconds) -> None:
+    """Update members and addresses from the list.
+
+    The list is no evidence that a process is alive.
+    """
     for known in table.members_by_id.values():
         known.listed = known.id in vm_list.entry_vms_by_id
     for listed in vm_list.entry_vms_by_id.values():
@@ -99,14 +103,15 @@
         member.zone_id = listed.zone_id
 
 
-def take_heartbeat(
+def apply_heartbeat(
     table: MemberTable, heartbeat: Heartbeat, now: Seconds
 ) -> tuple[bool, list[MemberChange]]:
-    """Learn from a report; return whether it is news, and what changed.
+    """Apply a report; return whether it is new, and the changes of the member.
 
-    Reports arrive twice, late and out of order. The sequence orders those of one
-    process. A process that was replaced and thaws later still sends; its number
-    is remembered, so that it cannot push its successor out again.
+    Reports may arrive twice, late and out of order. The sequence number orders the
+    reports of one process. A replaced process that was paused may still send
+    reports; former incarnations are remembered, so that such a report does not
+    displace the present process.
     """
     if heartbeat.sender == table.own_id:
         return False, []
@@ -123,35 +128,35 @@
         return False, []
     changes: list[MemberChange] = []
     if heartbeat.incarnation != member.incarnation:
-        changes = _take_incarnation(member, heartbeat.incarnation)
+        changes = _apply_incarnation(member, heartbeat.incarnation)
     elif heartbeat.sequence <= member.sequence:
         return False, []
-    _take_facts(table, member, heartbeat, now)
+    _apply_facts(table, member, heartbeat, now)
     if heartbeat.leaving:
         return True, changes + _change(
             member, MemberState.LEAVING, MemberEvent.LEFT, now
         )
-    return True, changes + _become_alive(member, now, replaced=bool(changes))
+    return True, changes + _mark_alive(member, now, replaced=bool(changes))
 
 
-def _take_incarnation(member: Member, incarnation: int) -> list[MemberChange]:
+def _apply_incarnation(member: Member, incarnation: int) -> list[MemberChange]:
     replaced = member.incarnation != 0
     if replaced:
         former = (*member.former_incarnations, member.incarnation)
-        member.former_incarnations = former[-FORMER_INCARNATIONS:]
+        member.former_incarnations = former[-MAX_FORMER_INCARNATIONS:]
     member.incarnation = incarnation
     member.sequence = 0
     return [MemberChange(member.id, MemberEvent.REPLACED)] if replaced else []
 
 
-def _take_facts(
+def _apply_facts(
     table: MemberTable, member: Member, heartbeat: Heartbeat, now: Seconds
 ) -> None:
     member.sequence = heartbeat.sequence
     member.heard_at = now
     member.refused_at = None
     member.table_revision = heartbeat.table_revision
-    # Addresses come with every tenth report or so, to keep the others short.
+    # About every tenth report carries addresses, which keeps the others short.
     if heartbeat.operator_address:
         member.operator_address = heartbeat.operator_address
     member.store_failing = heartbeat.store_failing
@@ -160,12 +165,10 @@
         member.peer_address = heartbeat.peer_address
 
 
-def _become_alive(
-    member: Member, now: Seconds, *, replaced: bool
-) -> list[MemberChange]:
+def _mark_alive(member: Member, now: Seconds, *, replaced: bool) -> list[MemberChange]:
     if member.state is MemberState.ALIVE:
-        if member.falls and now - member.changed_at > CALM_SECONDS:
-            member.falls = 0
+        if member.silence_count and now - member.changed_at > STABLE_SECONDS:
+            member.silence_count = 0
         return []
     if member.state is MemberState.LISTED:
         event = MemberEvent.JOINED
@@ -177,17 +180,17 @@
 
 
 def _hold_down(member: Member, now: Seconds) -> None:
-    """Give a member that comes and goes no new duties for a while.
+    """Hold down a member that keeps going silent, so that it gets no new duties.
 
-    Behind a flapping link a member would win its watches and pools back at each
-    return and lose them seconds later, and every move is a gap in that work. The
-    wait doubles with each fall, so that the work stays where it is.
+    Behind a flapping link a member would regain its watches and pools at each
+    return and lose them seconds later, and every move interrupts that work. The
+    hold-down time doubles with each silence, so that the work stays where it is.
     """
-    if member.falls <= TOLERATED_FALLS:
+    if member.silence_count <= TOLERATED_SILENCES:
         return
-    doublings = member.falls - TOLERATED_FALLS - 1
+    doublings = member.silence_count - TOLERATED_SILENCES - 1
     wait = min(HOLD_DOWN_SECONDS * 2**doublings, MAX_HOLD_DOWN_SECONDS)
-    member.steady_at = now + wait
+    member.held_down_until = now + wait
 
 
 def _change(
@@ -200,10 +203,10 @@
     return [MemberChange(member.id, event)]
 
 
-def note_refused(
+def record_refused_connection(
     table: MemberTable, member_id: EntryVMId, now: Seconds
 ) -> list[MemberChange]:
-    """Learn that the member's process has ended.
+    """Record that the member's process has ended.
 
     Its port refused a connection, or another entry VM answers at its address.
     """
@@ -217,13 +220,13 @@
 
 
 def tick(table: MemberTable, now: Seconds) -> list[MemberChange]:
-    """Find members that fell silent, and forget those gone for long."""
+    """Detect members that became silent, and remove those long gone."""
     changes: list[MemberChange] = []
     for member in list(table.members_by_id.values()):
         if member.state is MemberState.ALIVE and _is_silent(table, member, now):
-            member.falls += 1
+            member.silence_count += 1
             changes += _change(member, MemberState.SILENT, MemberEvent.SILENT, now)
-        changes += _note_direction(member, now)
+        changes += _update_one_way(member, now)
         if _is_forgettable(member, now):
             del table.members_by_id[member.id]
             changes.append(MemberChange(member.id, MemberEvent.FORGOTTEN))
@@ -238,8 +241,8 @@
     return now - member.heard_at > limit
 
 
-def _note_direction(member: Member, now: Seconds) -> list[MemberChange]:
-    """Notice a cut in one direction, which either side alone takes for health."""
+def _update_one_way(member: Member, now: Seconds) -> list[MemberChange]:
+    """Detect a cut in one direction, in which each side alone sees no fault."""
     one_way = False
     if member.state is MemberState.ALIVE and now - member.changed_at > ONE_WAY_SECONDS:
         late = _is_late(member.reached_at, now)
@@ -261,14 +264,15 @@
     return now - member.changed_at > FORGET_SECONDS
 
 
-def note_freeze(table: MemberTable, gap: Seconds, now: Seconds) -> None:
-    """Learn that this process did not run for ``gap`` seconds.
+def correct_for_pause(table: MemberTable, gap: Seconds, now: Seconds) -> None:
+    """Shift the times of all members after a pause of this process.
 
-    All peers look silent after a freeze although it was this process that did
-    not listen. Without the correction it would take over every duty of its zone
-    at once. The silence of others counts only while this process ran.
+    ``gap`` is the length of the pause in seconds. After a pause all peers look
+    silent, although it was this process that received nothing. Without the
+    correction it would take over every duty of its zone at once. The silence of a
+    peer counts only while this process runs.
     """
-    table.thawed_at = now
+    table.last_pause_at = now
     for member in table.members_by_id.values():
         member.changed_at = min(member.changed_at + gap, now)
         if member.heard_at is not None:
@@ -299,18 +303,18 @@
 def list_steady(
     table: MemberTable, now: Seconds, *, own_zone_only: bool = False
 ) -> list[EntryVMId]:
-    """Return the other members fit for duties that move when a member goes.
+    """Return the other members that may have duties.
 
-    After a cut the views of who is preferred differ for as long as it lasts. Two
-    then claim one duty, which the lease settles, or watch twice, which is harmless.
-    A member in another zone that vanished counts as silent late, since reports
-    across zones are seldom; its duties are taken over sooner.
+    During a partition the views of which member is preferred differ. Two members
+    may then claim one duty, which the lease resolves, or both watch the store,
+    which is harmless. A member of another zone that is lost counts as silent only
+    late, since reports across zones are infrequent; its duties move earlier.
     """
     return [
         member.id
         for member in table.members_by_id.values()
         if member.state is MemberState.ALIVE
-        and now >= member.steady_at
+        and now >= member.held_down_until
         and now - (member.heard_at or 0.0) <= DUTY_SILENCE_SECONDS
         and (not own_zone_only or member.zone_id == table.own_zone_id)
     ]
@@ -323,9 +327,9 @@
     "list_heard",
     "list_steady",
     "list_zone",
-    "note_freeze",
-    "note_refused",
-    "take_heartbeat",
-    "take_list",
+    "correct_for_pause",
+    "record_refused_connection",
+    "apply_heartbeat",
+    "apply_listed_members",
     "tick",
 ]
--- a/packages/systems/src/medlarspring_systems/routing.py
+++ b/packages/systems/src/medlarspring_systems/routing.py
@@ -1,10 +1,10 @@
-"""Which upstream VM gets a request."""
+"""Chooses the upstream VM for a request."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.leaving import note_listed, takes_new_work
+from medlarspring_systems.leaving import apply_listed_state, takes_new_work
 from medlarspring_tables.fleet import ListedState
 from medlarspring_tables.upstreams import Upstream, UpstreamTable
 
@@ -21,15 +21,16 @@
     )
 
 
-UNPROBED_SECONDS = 5.0
-"""A service without repeatable requests would never get a VM back otherwise."""
+NON_REPEATABLE_PROBE_DELAY_SECONDS = 5.0
+"""Wait after an ejection until a request that is not repeatable may be the probe.
+Without it, a service without repeatable requests would never get a VM back."""
 
 
-def adopt_vm_list(table: UpstreamTable, vm_list: VMList) -> None:
-    """Bring the table in line with a new list; what is in use stays counted."""
+def update_upstreams(table: UpstreamTable, vm_list: VMList) -> None:
+    """Apply a new list to the table; slots in use stay counted."""
     known = table.upstreams_by_id
     table.upstreams_by_id = {
-        listed.id: _adopt(known.get(listed.id), listed, vm_list.read_at)
+        listed.id: _update_upstream(known.get(listed.id), listed, vm_list.read_at)
         for listed in vm_list.vms_by_id.values()
     }
     by_pool: dict[PoolId, list[Upstream]] = {}
@@ -38,15 +39,17 @@
     table.upstreams_by_pool = by_pool
 
 
-def _adopt(known: Upstream | None, listed: ListedVM, read_at: Seconds) -> Upstream:
+def _update_upstream(
+    known: Upstream | None, listed: ListedVM, read_at: Seconds
+) -> Upstream:
     upstream = known
     if (
         upstream is None
         or upstream.address != listed.address
         or upstream.pool_id != listed.pool_id
     ):
-        # A new address under an old id is a replaced VM, and another pool means
-        # that its drain is over: health and leaving are not the old one's.
+        # A new address under a known id is a replaced VM, and another pool means
+        # that its drain is over. The known health and leaving state do not apply.
         upstream = Upstream(
             id=listed.id,
             address=listed.address,
@@ -59,15 +62,15 @@
     upstream.zone_id = listed.zone_id
     upstream.slots = listed.slots
     upstream.connections = listed.connections
-    note_listed(upstream, read_at, leaving=listed.state is ListedState.LEAVING)
+    apply_listed_state(upstream, read_at, leaving=listed.state is ListedState.LEAVING)
     return upstream
 
 
 def count_idle_connections(upstream: Upstream, entry_vms: int) -> int:
     """Return how many idle connections one entry VM may keep to an upstream VM.
 
-    Connections in use are bounded by the slots. What is left of the upstream's
-    connections is divided, so that all entry VMs together never pass it.
+    The slots limit the connections in use. The rest of the upstream's connections
+    is divided between the entry VMs, so that their total stays within its limit.
     """
     return max(0, upstream.connections - upstream.slots) // max(1, entry_vms)
 
@@ -81,12 +84,12 @@
     repeatable: bool = True,
     excluded: Collection[VMId] = (),
 ) -> Upstream | None:
-    """Return the best upstream VM with a free slot, the own zone's first.
+    """Return the best upstream VM with a free slot, preferably of the own zone.
 
-    Within a zone the one with the smallest share of its slots in use wins,
-    and among equals the faster one. Work that may not be repeated avoids VMs
-    whose last answer was a failure, and probes VMs that were set aside only
-    when no repeatable request has come to do it: a probe may well fail.
+    Within a zone, the VM with the smallest part of its slots in use is chosen, then
+    the one with the lower latency. Requests that are not repeatable avoid VMs
+    whose last answer was a failure. They probe an ejected VM only if no repeatable
+    request has done so for a while, since a probe is likely to fail.
     """
     best: Upstream | None = None
     best_rank = (True, 2, 0.0, 0.0)
@@ -95,9 +98,9 @@
             continue
         if upstream.id in excluded or not takes_new_work(upstream, now):
             continue
-        if upstream.set_aside_until is not None:
-            waited = now - upstream.set_aside_until
-            least = 0.0 if repeatable else UNPROBED_SECONDS
+        if upstream.ejected_until is not None:
+            waited = now - upstream.ejected_until
+            least = 0.0 if repeatable else NON_REPEATABLE_PROBE_DELAY_SECONDS
             if upstream.probing or waited < least:
                 continue
         rank = (
@@ -111,4 +114,4 @@
     return best
 
 
-__all__ = ["adopt_vm_list", "choose_upstream", "count_idle_connections"]
+__all__ = ["update_upstreams", "choose_upstream", "count_idle_connections"]
--- a/packages/systems/src/medlarspring_systems/slot_shares.py
+++ b/packages/systems/src/medlarspring_systems/slot_shares.py
@@ -1,4 +1,4 @@
-"""What part of the slots of a pool each entry VM is due, by its partners' work."""
+"""Divides the slots of a pool between entry VMs by the demand of their partners."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
     from medlarspring_tables import EntryVMId, PartnerId, PoolId, Seconds, VMId
     from medlarspring_tables.slots import HomeTable
 
-FADE_SECONDS = 1.0
-"""Time constant with which demand that is gone fades."""
-NO_DEMAND = 0.5
+DEMAND_DECAY_SECONDS = 1.0
+"""Time constant of the exponential decay of former demand."""
+MIN_DEMAND = 0.5
 ROUNDING = 1e-9
 
 
-def take_demand(
+def record_demand(
     table: HomeTable,
     pool_id: PoolId,
     asker: EntryVMId,
     count_by_partner: dict[PartnerId, int],
     now: Seconds,
 ) -> None:
-    """Remember what an asker has to do; less than before counts gradually.
+    """Record the demand of an entry VM; a decrease takes effect gradually.
 
-    Queues of the moment go up and down. If each dip moved a slot to another
-    entry VM, slots would always be on their way and never in use.
+    The length of a queue fluctuates. If each dip moved a slot to another entry
+    VM, slots would constantly be in transfer instead of in use.
     """
     demand = table.demand_by_pool.setdefault(pool_id, {})
     counts: dict[PartnerId, float] = dict(count_by_partner)
     former = demand.get(asker)
     if former is not None:
-        kept = math.exp((former.told_at - now) / FADE_SECONDS)
+        kept = math.exp((former.reported_at - now) / DEMAND_DECAY_SECONDS)
         for partner_id, before in former.count_by_partner.items():
             count = counts.get(partner_id, 0.0)
-            faded = count + kept * (before - count)
-            if count < before and faded > NO_DEMAND:
-                counts[partner_id] = faded
+            decayed = count + kept * (before - count)
+            if count < before and decayed > MIN_DEMAND:
+                counts[partner_id] = decayed
     demand[asker] = AskerDemand(counts, now)
 
 
@@ -54,33 +54,33 @@
     now: Seconds,
     policy: SlotPolicy,
 ) -> dict[EntryVMId, float]:
-    """Return the part of the pool's slots that each asker's work is due.
+    """Return the part of the pool's slots that each asking entry VM should get.
 
-    Partners get theirs by weight, none more than it has to do; a partner's
-    part goes to the askers where its work is.
+    Slots are divided between partners by weight, up to the demand of each. The
+    slots of a partner go to the entry VMs in proportion to its demand there.
     """
     demand = table.demand_by_pool.get(pool_id, {})
     fresh = {
-        asker: told
-        for asker, told in demand.items()
-        if now < told.told_at + policy.grant_seconds
+        asker: asker_demand
+        for asker, asker_demand in demand.items()
+        if now < asker_demand.reported_at + policy.grant_seconds
     }
     if len(fresh) < len(demand):
         table.demand_by_pool[pool_id] = fresh
     total_by_partner: dict[PartnerId, float] = {}
-    for told in fresh.values():
-        for partner_id, count in told.count_by_partner.items():
+    for asker_demand in fresh.values():
+        for partner_id, count in asker_demand.count_by_partner.items():
             total = total_by_partner.get(partner_id, 0.0)
             total_by_partner[partner_id] = total + count
     share_by_partner = divide_fairly(total_by_partner, weights_by_partner, pool_slots)
     return {
         asker: sum(
             share_by_partner[partner_id] * count / total_by_partner[partner_id]
-            for partner_id, count in told.count_by_partner.items()
+            for partner_id, count in asker_demand.count_by_partner.items()
             if count
         )
         / max(1, pool_slots)
-        for asker, told in fresh.items()
+        for asker, asker_demand in fresh.items()
     }
 
 
@@ -89,38 +89,38 @@
     weights: Mapping[PartnerId, float],
     slots: float,
 ) -> dict[PartnerId, float]:
-    """Divide slots by weight, giving nobody more than it asks for (max-min)."""
+    """Divide slots by weight and at most by demand (weighted max-min fairness)."""
     shares = dict.fromkeys(demand, 0.0)
-    open_partners = [partner for partner, count in demand.items() if count]
+    unsatisfied = [partner for partner, count in demand.items() if count]
     left = slots
-    while open_partners and left > 0.0:
-        total = sum(weights.get(partner, 1.0) for partner in open_partners)
+    while unsatisfied and left > 0.0:
+        total = sum(weights.get(partner, 1.0) for partner in unsatisfied)
         level = left / total
-        full = [
+        satisfied = [
             partner
-            for partner in open_partners
+            for partner in unsatisfied
             if demand[partner] <= level * weights.get(partner, 1.0)
         ]
-        if not full:
-            for partner in open_partners:
+        if not satisfied:
+            for partner in unsatisfied:
                 shares[partner] = level * weights.get(partner, 1.0)
             break
-        for partner in full:
+        for partner in satisfied:
             shares[partner] = demand[partner]
             left -= demand[partner]
-        open_partners = [partner for partner in open_partners if partner not in full]
+        unsatisfied = [partner for partner in unsatisfied if partner not in satisfied]
     return shares
 
 
 def round_parts(
     vm_id: VMId, parts: Mapping[EntryVMId, float], slots: int
 ) -> dict[EntryVMId, int]:
-    """Turn parts into whole slots of one VM; they add up to no more than all.
+    """Round parts to whole slots of one VM, with at most ``slots`` in total.
 
-    Where the rounding falls differs from VM to VM, so that small parts come
-    out right over the pool. Of the slots that no work is due, each asker may
-    have a few, so that its next requests find a slot without asking; the rest
-    stays with the home for whoever asks first.
+    The rounding offset differs between VMs, so that small parts are met on average
+    over the pool. Each asker also gets a few of the slots that no demand needs, so
+    that its next requests find a slot without asking. The home keeps the rest for
+    the first entry VM that asks.
     """
     rounded: dict[EntryVMId, int] = {}
     reached = _weigh(vm_id, "offset")
@@ -138,8 +138,8 @@
 
 
 def _weigh(first: str, second: str) -> float:
-    """Return a stable number in [0, 1) for a pair of names."""
+    """Return a stable pseudo-random number in [0, 1) for a pair of names."""
     return int.from_bytes(weigh(first, second), "big") / float(1 << 8 * HASH_BYTES)
 
 
-__all__ = ["divide_fairly", "divide_pool", "round_parts", "take_demand"]
+__all__ = ["divide_fairly", "divide_pool", "round_parts", "record_demand"]
--- a/packages/systems/tests/test_fair_queue.py
+++ b/packages/systems/tests/test_fair_queue.py
@@ -26,7 +26,9 @@
 POOL = PoolId("consent")
 P, Q = PartnerId("p"), PartnerId("q")
 FLEET_SLOTS = 16
-ROOM = admission.WaitingRoom(places=1000, taken=0, taken_by_partner=0)
+OCCUPANCY = admission.QueueOccupancy(
+    max_waiting=1000, total_waiting=0, partner_waiting=0
+)
 
 
 def create_pool(limit_percent: float = 100.0, **weights: float) -> PoolQueue:
@@ -37,7 +39,7 @@
         )
         for name, weight in (weights or {"p": 1.0, "q": 1.0}).items()
     }
-    fair_queue.adopt_config(pool, ConfigTable(partners_by_id=rows))
+    fair_queue.apply_partner_config(pool, ConfigTable(partners_by_id=rows))
     return pool
 
 
@@ -65,7 +67,7 @@
 
 
 def serve(pool: PoolQueue, times: int, start: float = 0.0) -> Counter[str]:
-    """Run one request after the other, each as long as the pool expects."""
+    """Run requests one after the other, each for the pool's mean service time."""
     served: Counter[str] = Counter()
     now = start
     for _ in range(times):
@@ -73,9 +75,9 @@
         if request is None:
             break
         served[request.partner_id] += 1
-        fair_queue.begin(pool, request.partner_id, now)
+        fair_queue.begin_request(pool, request.partner_id, now)
         began, now = now, now + pool.service_seconds
-        fair_queue.finish(pool, request.partner_id, began, now)
+        fair_queue.finish_request(pool, request.partner_id, began, now)
     return served
 
 
@@ -97,26 +99,26 @@
     assert served == pytest.approx(expected, abs=2)
 
 
-def test_use_through_a_peer_counts_here():
-    """The balancer sends most of one partner's work to a peer. The peer's
-    report charges the partner here too, so that the other goes first."""
+def test_use_reported_by_a_peer_is_charged():
+    """Most of one partner's requests go through a peer. The peer's report charges
+    the partner here too, so that the other partner goes first."""
     pool = create_pool()
     peer = EntryVMId("e2")
     for at, used in ((0.0, 10.0), (0.5, 12.0)):
         usage = PeerUsage(1, used, waiting=5, running=4, reported_at=at)
-        fair_queue.take_peer_usage(pool, peer, P, usage, elapsed=0.5)
+        fair_queue.record_peer_usage(pool, peer, P, usage, elapsed=0.5)
     fill(pool, p=20, q=20)
     assert serve(pool, 10, start=0.5) == {"q": 10}
 
 
-def test_long_gone_use_of_a_peer_starves_nobody():
-    """After a cut of minutes one report brings all the use since. Counted in
-    full it would keep the partner out for minutes."""
+def test_old_usage_of_a_peer_does_not_starve_the_partner():
+    """After a partition of minutes, one report contains all the use since. Charged
+    in full, it would starve the partner for minutes."""
     pool = create_pool()
     peer = EntryVMId("e2")
     for at, used in ((0.0, 0.0), (300.0, 3000.0)):
         usage = PeerUsage(1, used, waiting=0, running=0, reported_at=at)
-        fair_queue.take_peer_usage(pool, peer, P, usage, elapsed=300.0)
+        fair_queue.record_peer_usage(pool, peer, P, usage, elapsed=300.0)
     fill(pool, p=900, q=900)
     assert serve(pool, 200, start=300.0)["p"] > 0
 
@@ -126,13 +128,13 @@
     peer = EntryVMId("e2")
     for incarnation, used in ((1, 5.0), (2, 500.0), (2, 500.0)):
         usage = PeerUsage(incarnation, used, waiting=0, running=0, reported_at=1.0)
-        fair_queue.take_peer_usage(pool, peer, P, usage, elapsed=0.5)
+        fair_queue.record_peer_usage(pool, peer, P, usage, elapsed=0.5)
     assert fair_queue.get_partner_queue(pool, P).used == 0.0
 
 
 def test_share_comes_back_within_seconds():
-    """One partner had the whole pool for a minute. When the other returns it
-    catches up, and within a few seconds both get half."""
+    """One partner used the whole pool for a minute. When the other becomes active
+    again it catches up, and within a few seconds each gets half."""
     pool = create_pool()
     fill(pool, p=4000)
     serve(pool, 1200)
@@ -165,32 +167,32 @@
     """A partner limited to a quarter has half of its demand at a peer."""
     pool = create_pool(limit_percent=25.0, p=1.0)
     usage = PeerUsage(1, 0.0, waiting=10, running=0, reported_at=0.0)
-    fair_queue.take_peer_usage(pool, EntryVMId("e2"), P, usage, elapsed=0.5)
+    fair_queue.record_peer_usage(pool, EntryVMId("e2"), P, usage, elapsed=0.5)
     fill(pool, p=10)
     for _ in range(2):
         request = fair_queue.pick_next(pool, FLEET_SLOTS, 0.0)
         assert request is not None
-        fair_queue.begin(pool, P, 0.0)
+        fair_queue.begin_request(pool, P, 0.0)
     assert fair_queue.pick_next(pool, FLEET_SLOTS, 0.0) is None
 
 
-def test_given_up_work_does_not_make_the_service_look_slow():
-    """Connections went silent, and the slots of the given-up requests were
-    kept for 2 s. Learnt as service time that made every deadline of 1 s look
-    hopeless, and a healthy service refused all callers for 3 s."""
+def test_abandoned_requests_do_not_change_the_service_time():
+    """Guards against slots kept by abandoned requests counting as service time.
+    After dead connections such slots were kept for 2 s; deadlines of 1 s then looked
+    impossible to meet, and a healthy service refused all callers for 3 s."""
     pool = create_pool()
     before = pool.service_seconds
     for _ in range(50):
-        fair_queue.begin(pool, P, 0.0)
-        fair_queue.finish(pool, P, 0.0, 2.0, answered=False)
+        fair_queue.begin_request(pool, P, 0.0)
+        fair_queue.finish_request(pool, P, 0.0, 2.0, answered=False)
     assert pool.service_seconds == before
 
 
-def test_use_survives_the_change_of_units():
+def test_use_is_kept_when_the_units_are_rebased():
     pool = create_pool()
     fill(pool, p=5, q=5)
     serve(pool, 1)
-    fair_queue.begin(pool, P, 5000.0)
+    fair_queue.begin_request(pool, P, 5000.0)
     queue = fair_queue.get_partner_queue(pool, P)
     assert 0.0 < queue.used < 1.0
 
@@ -208,8 +210,8 @@
     pool = create_pool()
     fill(pool, p=waiting)
     request = create_request(P, deadline=deadline)
-    room = admission.WaitingRoom(1000, waiting, waiting)
-    refusal = admission.check_admission(pool, request, slots, room, now=0.0)
+    occupancy = admission.QueueOccupancy(1000, waiting, waiting)
+    refusal = admission.check_admission(pool, request, slots, occupancy, now=0.0)
     if kind is None:
         assert refusal is None
         return
@@ -219,31 +221,35 @@
     assert refusal.retry_after is not None
 
 
-def test_retry_after_tells_when_the_queue_is_worked_off():
+def test_retry_after_covers_the_time_to_drain_the_queue():
     """800 requests of 50 ms on 8 slots take 5 s."""
     pool = create_pool()
     fill(pool, p=800)
     request = create_request(P, deadline=1.0)
-    refusal = admission.check_admission(pool, request, 8, ROOM, now=0.0)
+    refusal = admission.check_admission(pool, request, 8, OCCUPANCY, now=0.0)
     assert refusal is not None
     assert refusal.retry_after == pytest.approx(5.0, rel=0.02)
 
 
-def test_partner_over_its_share_is_told_so():
+def test_partner_over_its_share_gets_its_own_refusal():
     pool = create_pool()
     fill(pool, p=400, q=4)
-    serve_only_p = [fair_queue.begin(pool, P, 0.0) for _ in range(8)]
+    serve_only_p = [fair_queue.begin_request(pool, P, 0.0) for _ in range(8)]
     assert len(serve_only_p) == 8
     request = create_request(P, deadline=0.5)
-    refusal = admission.check_admission(pool, request, 8, ROOM, now=0.0)
+    refusal = admission.check_admission(pool, request, 8, OCCUPANCY, now=0.0)
     assert refusal is not None
     assert refusal.kind is RefusalKind.OVER_SHARE
 
 
-def test_flood_takes_no_places_of_others():
+def test_one_partners_flood_leaves_queue_capacity_for_others():
     pool = create_pool()
-    flood = admission.WaitingRoom(places=100, taken=50, taken_by_partner=50)
+    flood = admission.QueueOccupancy(
+        max_waiting=100, total_waiting=50, partner_waiting=50
+    )
     refused = admission.check_admission(pool, create_request(P), 8, flood, now=0.0)
     assert refused is not None
-    other = admission.WaitingRoom(places=100, taken=50, taken_by_partner=0)
+    other = admission.QueueOccupancy(
+        max_waiting=100, total_waiting=50, partner_waiting=0
+    )
     assert admission.check_admission(pool, create_request(Q), 8, other, 0.0) is None
--- a/packages/systems/tests/test_vm_list_view.py
+++ b/packages/systems/tests/test_vm_list_view.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from medlarspring_systems.vm_list_view import CONFIRMATIONS, VMListView, take_answer
+from medlarspring_systems.vm_list_view import CONFIRMATIONS, VMListView, apply_answer
 from medlarspring_tables import ListedVM, PoolId, RackId, RegionId, VMId, VMList, ZoneId
 
 
@@ -25,21 +25,23 @@
     ("left", "tries"),
     [(10, 1), (9, 1), (5, 1), (4, CONFIRMATIONS), (0, CONFIRMATIONS)],
 )
-def test_answer_that_drops_most_vms_has_to_come_several_times(left: int, tries: int):
+def test_answer_without_most_vms_is_used_only_after_confirmations(
+    left: int, tries: int
+):
     """
-    The platform rebuilds its list and answers with a part of it for a moment.
-    Taken at once, every request would be refused for want of an upstream.
+    While the platform rebuilds its list, it answers with only a part of it. If
+    that were used at once, every request would be refused for lack of an upstream.
     """
     view = VMListView()
-    assert take_answer(view, create_list(10))
-    used = [take_answer(view, create_list(left)) for _ in range(tries)]
+    assert apply_answer(view, create_list(10))
+    used = [apply_answer(view, create_list(left)) for _ in range(tries)]
     assert used == [False] * (tries - 1) + [True]
     assert view.current == create_list(left)
 
 
-def test_doubt_ends_with_a_whole_answer():
+def test_complete_answer_resets_the_suspect_count():
     view = VMListView()
-    take_answer(view, create_list(10))
-    assert not take_answer(view, create_list(0))
-    assert take_answer(view, create_list(10))
-    assert not take_answer(view, create_list(0))
+    apply_answer(view, create_list(10))
+    assert not apply_answer(view, create_list(0))
+    assert apply_answer(view, create_list(10))
+    assert not apply_answer(view, create_list(0))
