--- a/packages/bench/src/medlarspring_bench/job_histories.py
+++ b/packages/bench/src/medlarspring_bench/job_histories.py
@@ -187,7 +187,7 @@
             )
             self.jobs_by_id[job.id] = job
             await self.submitter.save([JobWrite(job, Revision(0))], None)
-        self.holder.controller.reload_soon()
+        self.holder.controller.schedule_reload()
 
     async def cancel(self, job_id: JobId) -> None:
         """Cancel a job as an operator does through any daemon."""
@@ -196,7 +196,7 @@
         job = cancel_job(decode_job(found.value), "by operator", self.clock.wall())
         if job is not None:
             await self.submitter.save([JobWrite(job, found.mod_revision)], None)
-        self.holder.controller.reload_soon()
+        self.holder.controller.schedule_reload()
 
     async def inject_fault(self) -> None:
         """Bring about one random fault."""
--- a/packages/bench/src/medlarspring_bench/measure/fleet_rollout.py
+++ b/packages/bench/src/medlarspring_bench/measure/fleet_rollout.py
@@ -136,7 +136,7 @@
     rng = random.Random(seed)
     world = FleetWorld(shape, 1, VMTimes(DRAIN_SECONDS, REBOOT_SECONDS))
     # The rule needs the table that the world makes, so it is set afterwards.
-    world.processes[0].controller.width = create_width(world)
+    world.processes[0].controller.wave_limit = create_width(world)
     checker = FleetChecker(world)
     rows = world.platform.rows_by_id
     if bad_image:
--- a/packages/bench/tests/test_fleet_rollout.py
+++ b/packages/bench/tests/test_fleet_rollout.py
@@ -15,8 +15,8 @@
 
 
 def test_wave_without_faults_takes_what_the_budgets_alone_allow():
-    width = create_widths()["budgets alone"]
-    rollout = run_rollout(TODAY, width, 0, 1.0, has_faults=False)
+    wave_limit = create_widths()["budgets alone"]
+    rollout = run_rollout(TODAY, wave_limit, 0, 1.0, has_faults=False)
     assert rollout.is_done
     assert rollout.broken_by_drains == rollout.seconds_under_budget == 0
     assert rollout.seconds <= 1.05 * bound_by_budgets(TODAY)
@@ -28,7 +28,7 @@
     )
     world = FleetWorld(shape, 1)
     process = world.processes[0]
-    process.controller.width = SpareWidth(
+    process.controller.wave_limit = SpareWidth(
         world.config.pools_by_id, world.config.fleet, BudgetOnlyLimit()
     )
     vm_ids = frozenset(map(VMId, world.platform.rows_by_id))
--- a/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
@@ -44,26 +44,26 @@
         self._peers = peers
         self._tasks = Tasks(node.log)
         self._failures = 0
-        self._lost = False
+        self._is_lost = False
         self._short_watches = 0
         self.is_watching = False
         self._store_state: Verdict | None = None
         self.distribution = Distribution()
-        node.offer_table = self.take_accepted
-        node.status_sources.append(self._find)
+        node.offer_table = self.apply_accepted
+        node.status_sources.append(self._list_findings)
 
     async def start(self) -> None:
         """Begin to ask the store and the peers; the first answer is not awaited."""
         self.distribution.started_at = self._node.clock.now()
         self._tasks.keep(self._run_store)
         self._tasks.keep(self._run_peers)
-        self._tasks.keep(self._run_start)
+        self._tasks.keep(self._run_startup)
 
     async def stop(self) -> None:
         """End watching."""
         await self._tasks.cancel()
 
-    def take_accepted(self, table: ConfigTable) -> None:
+    def apply_accepted(self, table: ConfigTable) -> None:
         """Put a table in force that this process has just committed itself.
 
         The store may go down before its watch says so, and this process would be
@@ -71,7 +71,7 @@
         """
         self._offer(table, Source.STORE)
 
-    def _find(self) -> Iterator[Finding]:
+    def _list_findings(self) -> Iterator[Finding]:
         """Tell operators when the store's table is not the one in force."""
         since = self.distribution.store_older_since
         if since is None:
@@ -88,20 +88,20 @@
             ),
         )
 
-    async def _run_start(self) -> None:
+    async def _run_startup(self) -> None:
         """Until a table is in force, see whether the peers were asked."""
         while self.distribution.in_force is None:
-            self.distribution.peers_asked = self._peers.has_asked_zone()
+            self.distribution.peers_asked = self._peers.has_contacted_zone()
             held = self.distribution.held
             verdict = release_held(self.distribution, self._node.clock.now())
             if held is not None and verdict is not None:
-                self._settle(verdict, held, Source.STORE)
+                self._apply_verdict(verdict, held, Source.STORE)
             await asyncio.sleep(TICK_SECONDS / 5)
         await asyncio.Event().wait()
 
     async def _run_store(self) -> None:
         while True:
-            if not self._should_ask():
+            if not self._should_read_store():
                 await asyncio.sleep(TICK_SECONDS)
                 continue
             revision = await self._read()
@@ -111,7 +111,7 @@
                 continue
             await self._watch_while_due(Revision(revision + 1))
 
-    def _should_ask(self) -> bool:
+    def _should_read_store(self) -> bool:
         """Return whether to ask the store now.
 
         A process that got no answer goes on asking although it is no watcher,
@@ -124,28 +124,28 @@
 
     def _is_watcher(self) -> bool:
         zone_id = ZoneId(self._node.settings.entry_vm.zone)
-        steady = self._peers.list_steady(own_zone_only=True)
-        return is_watcher(self._node.id, zone_id, steady)
+        steady_peers = self._peers.list_steady(own_zone_only=True)
+        return is_watcher(self._node.id, zone_id, steady_peers)
 
     async def _read(self) -> Revision | None:
         """Read the table; return the store's revision, None without an answer."""
         answer = await self._node.store.read_prefix(CONFIG_KEY)
         if not isinstance(answer, Success):
-            if not self._lost:
+            if not self._is_lost:
                 reason = str(answer.failure())
                 self._node.log.warning(Event.STORE_LOST, reason=reason)
-            self._lost = True
+            self._is_lost = True
             return None
-        if self._lost:
+        if self._is_lost:
             self._node.log.info(Event.STORE_BACK, failures=self._failures)
-        self._lost = False
+        self._is_lost = False
         self._failures = 0
         listing = answer.unwrap()
         found = [entry for entry in listing.entries if entry.key == CONFIG_KEY]
         if found:
-            self._take(found[0].value, Source.STORE)
+            self._apply_encoded(found[0].value, Source.STORE)
         else:
-            self._take_absent()
+            self._apply_missing_table()
         return Revision(listing.revision)
 
     async def _watch_while_due(self, start: Revision) -> None:
@@ -154,7 +154,7 @@
             await asyncio.sleep(self._node.rng.uniform(0.5, 1.5) * TICK_SECONDS)
             return
         began = self._node.clock.now()
-        self._note_watching(True)
+        self._set_watching(True)
         watch = asyncio.ensure_future(self._watch(start))
         try:
             while not watch.done() and self._is_watcher():
@@ -164,7 +164,7 @@
             with contextlib.suppress(asyncio.CancelledError):
                 await watch
         if not self._is_watcher():
-            self._note_watching(False)
+            self._set_watching(False)
             return
         # A watch that ends at once would otherwise be a tight loop of calls.
         if self._node.clock.now() - began >= SHORT_WATCH_SECONDS:
@@ -182,9 +182,9 @@
                     return
                 for entry in batch.changed:
                     if entry.key == CONFIG_KEY:
-                        self._take(entry.value, Source.STORE)
+                        self._apply_encoded(entry.value, Source.STORE)
                 if CONFIG_KEY in batch.deleted:
-                    self._take_absent()
+                    self._apply_missing_table()
 
     async def _run_peers(self) -> None:
         """Fetch the table from a peer whenever one has a newer one."""
@@ -199,17 +199,19 @@
                 self._node.rng,
             )
             if chosen is None:
-                self._peers.news.clear()
+                self._peers.newer_table_seen.clear()
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self._peers.news.wait(), TICK_SECONDS * 4)
+                    await asyncio.wait_for(
+                        self._peers.newer_table_seen.wait(), TICK_SECONDS * 4
+                    )
                 continue
             answer = await self._peers.fetch_table(chosen, known)
             if isinstance(answer, Success) and answer.unwrap():
-                self._take(answer.unwrap(), Source.PEER)
+                self._apply_encoded(answer.unwrap(), Source.PEER)
                 continue
             await asyncio.sleep(self._node.rng.uniform(0.5, 1.0) * TICK_SECONDS)
 
-    def _take(self, encoded: bytes, source: Source) -> None:
+    def _apply_encoded(self, encoded: bytes, source: Source) -> None:
         try:
             table = msgspec.json.decode(encoded, type=ConfigTable)
         except (msgspec.MsgspecError, ValueError) as error:
@@ -219,22 +221,26 @@
             return
         self._offer(table, source)
 
-    def _take_absent(self) -> None:
+    def _apply_missing_table(self) -> None:
         """The store has no table: a new fleet, or one that was emptied."""
         if self.distribution.in_force is None:
-            self._note_store(Verdict.SAME, Event.STORE_HAS_NO_TABLE, Revision(0))
+            self._log_store_state(Verdict.SAME, Event.STORE_HAS_NO_TABLE, Revision(0))
             return
         self._offer(ConfigTable(), Source.STORE)
 
     def _offer(self, table: ConfigTable, source: Source) -> None:
         now = self._node.clock.now()
-        self._settle(offer_table(self.distribution, table, source, now), table, source)
+        self._apply_verdict(
+            offer_table(self.distribution, table, source, now), table, source
+        )
 
-    def _settle(self, verdict: Verdict, table: ConfigTable, source: Source) -> None:
+    def _apply_verdict(
+        self, verdict: Verdict, table: ConfigTable, source: Source
+    ) -> None:
         if source is Source.STORE and verdict is Verdict.OLDER:
-            self._note_store(verdict, Event.STORE_TABLE_OLDER, table.revision)
+            self._log_store_state(verdict, Event.STORE_TABLE_OLDER, table.revision)
         elif source is Source.STORE and verdict is Verdict.DIVERGED:
-            self._note_store(verdict, Event.STORE_TABLE_DIVERGED, table.revision)
+            self._log_store_state(verdict, Event.STORE_TABLE_DIVERGED, table.revision)
         elif source is Source.STORE:
             self._store_state = verdict
         if verdict is not Verdict.TAKEN:
@@ -246,7 +252,9 @@
         for listener in self._node.config_listeners:
             listener(table)
 
-    def _note_store(self, verdict: Verdict, event: Event, revision: Revision) -> None:
+    def _log_store_state(
+        self, verdict: Verdict, event: Event, revision: Revision
+    ) -> None:
         """Log a state of the store's table once, not at each read."""
         if self._store_state is verdict:
             return
@@ -254,7 +262,7 @@
         in_force = self._node.config.revision if self._node.config else None
         self._node.log.warning(event, store_revision=revision, in_force=in_force)
 
-    def _note_watching(self, watching: bool) -> None:
+    def _set_watching(self, watching: bool) -> None:
         if watching == self.is_watching:
             return
         self.is_watching = watching
--- a/packages/daemon/src/medlarspring_daemon/configuration/editor_errors.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/editor_errors.py
@@ -78,7 +78,7 @@
         )
 
 
-class NothingInForce(TableError):
+class NoTableInForce(TableError):
     """This entry VM has no table to put back."""
 
     code = "not-ready"
@@ -95,7 +95,7 @@
     "EditRaced",
     "EditorBusy",
     "MAX_WAITING_EDITS",
-    "NothingInForce",
+    "NoTableInForce",
     "StoreTableOlder",
     "TABLE_KEY",
     "TableUnreadable",
--- a/packages/daemon/src/medlarspring_daemon/configuration/table_editor.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/table_editor.py
@@ -23,7 +23,7 @@
     TABLE_KEY,
     EditorBusy,
     EditRaced,
-    NothingInForce,
+    NoTableInForce,
 )
 from medlarspring_daemon.configuration.stored_table import StoredTable, decode_stored
 from medlarspring_systems.table_edit import AcceptedChange, TableEdit, apply_edit
@@ -43,9 +43,9 @@
 MAX_SECONDS = 20.0
 """Longest time for one edit; the command line waits longer than this."""
 MAX_RETRY_SECONDS = 0.5
-MAX_RACE_SECONDS = 0.1
+MAX_CONFLICT_RETRY_SECONDS = 0.1
 """Longest wait after another entry VM was first; a write takes milliseconds."""
-REMEMBER_SECONDS = 1.0
+CACHE_SECONDS = 1.0
 """Time between two edits of a burst in which the table is not read anew."""
 
 
@@ -58,13 +58,13 @@
     """What the attempts to take one edit have shown so far."""
 
     change: Change
-    takes_older: bool = False
+    allows_older: bool = False
     """Whether the store's table may be older than the one in force."""
     stored: StoredTable | None = None
     """The newest table known, if it is still worth trying on."""
-    remembered: bool = False
+    is_cached: bool = False
     """Whether it comes from an earlier edit instead of from the store."""
-    unanswered: Revision | None = None
+    unconfirmed: Revision | None = None
     """Store revision named by a write whose reply was lost."""
     error: MedlarspringError | None = None
 
@@ -89,18 +89,18 @@
         self._retry_seconds = retry_seconds
         self._lock = asyncio.Lock()
         self._waiting = 0
-        self._remembered: StoredTable | None = None
+        self._cached: StoredTable | None = None
         """The table that the last write or conflict showed."""
-        self._remembered_at: Seconds = 0.0
+        self._cached_at: Seconds = 0.0
 
     async def read(
-        self, takes_older: bool = False
+        self, allows_older: bool = False
     ) -> Result[StoredTable, MedlarspringError]:
         """Return the store's table; an older one than in force is an error."""
         entry = await self._store.read(TABLE_KEY)
         if not is_successful(entry):
             return Failure(entry.failure())
-        return self._decode(entry.unwrap(), takes_older)
+        return self._decode(entry.unwrap(), allows_older)
 
     async def accept(
         self, edit: TableEdit, origin: str
@@ -114,20 +114,20 @@
         def change(table: ConfigTable) -> Result[AcceptedChange, TableError]:
             return apply_edit(table, edit, self._clock.wall(), origin)
 
-        return await self._accept_in_turn(change)
+        return await self._accept_serialized(change)
 
     async def republish(
-        self, wish: Republish, origin: str
+        self, request: Republish, origin: str
     ) -> Result[AcceptedChange, MedlarspringError]:
         """Put the table in force back into a store that holds an older one."""
         in_force = self._table_in_force()
         if in_force is None:
-            return Failure(NothingInForce())
+            return Failure(NoTableInForce())
 
         def change(table: ConfigTable) -> Result[AcceptedChange, TableError]:
-            return republish(table, in_force, wish, self._clock.wall(), origin)
+            return republish(table, in_force, request, self._clock.wall(), origin)
 
-        return await self._accept_in_turn(change, takes_older=True)
+        return await self._accept_serialized(change, allows_older=True)
 
     async def preview(
         self, edit: TableEdit, origin: str
@@ -137,24 +137,24 @@
         if not is_successful(stored):
             return Failure(stored.failure())
         table = stored.unwrap().table
-        return apply_edit(table, edit, self._clock.wall(), origin).alt(_widen)
+        return apply_edit(table, edit, self._clock.wall(), origin).alt(_to_base_error)
 
-    async def _accept_in_turn(
-        self, change: Change, takes_older: bool = False
+    async def _accept_serialized(
+        self, change: Change, allows_older: bool = False
     ) -> Result[AcceptedChange, MedlarspringError]:
         if self._waiting >= MAX_WAITING_EDITS:
             return Failure(EditorBusy())
         self._waiting += 1
         try:
             async with self._lock:
-                known = None if takes_older else self._recall()
+                known = None if allows_older else self._get_cached()
                 is_known = known is not None
-                attempts = _Attempts(change, takes_older, known, is_known)
+                attempts = _Attempts(change, allows_older, known, is_known)
                 return await self._accept(attempts)
         finally:
             self._waiting -= 1
 
-    def _recall(self) -> StoredTable | None:
+    def _get_cached(self) -> StoredTable | None:
         """Return the table known from the edit before, to save a read.
 
         Each call to the store counts, and edits come in bursts; the condition of
@@ -162,8 +162,8 @@
         read comes first: in an outage it fails without effect, where a write
         would leave open whether it took effect.
         """
-        known, in_force = self._remembered, self._table_in_force()
-        if self._clock.now() > self._remembered_at + REMEMBER_SECONDS:
+        known, in_force = self._cached, self._table_in_force()
+        if self._clock.now() > self._cached_at + CACHE_SECONDS:
             return None
         if known is None or in_force is None:
             return known
@@ -181,7 +181,7 @@
             outcome = await self._attempt(attempts)
             if outcome is not None:
                 return outcome
-        if attempts.unanswered is not None:
+        if attempts.unconfirmed is not None:
             return Failure(StoreOutcomeUnknown("it gave no answer to later reads"))
         return Failure(attempts.error or EditRaced())
 
@@ -190,18 +190,18 @@
     ) -> Result[AcceptedChange, MedlarspringError] | None:
         """Try once; None asks for another try."""
         if attempts.stored is None:
-            read = await self.read(attempts.takes_older)
+            read = await self.read(attempts.allows_older)
             if not is_successful(read):
                 attempts.error = read.failure()
-                if attempts.unanswered is not None:
+                if attempts.unconfirmed is not None:
                     return None
                 return Failure(read.failure())
-            attempts.stored, attempts.remembered = read.unwrap(), False
+            attempts.stored, attempts.is_cached = read.unwrap(), False
         stored, attempts.stored = attempts.stored, None
-        remembered, attempts.remembered = attempts.remembered, False
+        is_cached, attempts.is_cached = attempts.is_cached, False
         if (
-            attempts.unanswered is not None
-            and stored.mod_revision < attempts.unanswered
+            attempts.unconfirmed is not None
+            and stored.mod_revision < attempts.unconfirmed
         ):
             # A lagging replica shows the table from before the write whose reply
             # was lost. A refusal worked out from it would tell the operator that
@@ -210,7 +210,7 @@
         changed = attempts.change(stored.table)
         if not is_successful(changed):
             # A remembered table may be out of date; only the store refuses.
-            return None if remembered else Failure(changed.failure())
+            return None if is_cached else Failure(changed.failure())
         if changed.unwrap().record is None:
             return Success(changed.unwrap())
         return await self._commit(attempts, stored, changed.unwrap())
@@ -236,23 +236,23 @@
             )
         )
         if not is_successful(committed):
-            return self._note_failure(attempts, stored, committed.failure())
+            return self._handle_commit_failure(attempts, stored, committed.failure())
         result = committed.unwrap()
         if result.succeeded:
-            self._remember(StoredTable(change.table, result.revision))
+            self._update_cache(StoredTable(change.table, result.revision))
             self._on_accepted(change.table)
             return Success(change)
         entry = result.read_by_key.get(TABLE_KEY)
-        current = self._decode(entry, attempts.takes_older)
+        current = self._decode(entry, attempts.allows_older)
         attempts.stored = current.value_or(None)
-        self._remember(attempts.stored)
+        self._update_cache(attempts.stored)
         return None
 
-    def _remember(self, stored: StoredTable | None) -> None:
-        self._remembered = stored
-        self._remembered_at = self._clock.now()
+    def _update_cache(self, stored: StoredTable | None) -> None:
+        self._cached = stored
+        self._cached_at = self._clock.now()
 
-    def _note_failure(
+    def _handle_commit_failure(
         self, attempts: _Attempts, stored: StoredTable, error: MedlarspringError
     ) -> Result[AcceptedChange, MedlarspringError] | None:
         attempts.error = error
@@ -260,26 +260,26 @@
             # The write may still take effect. Trying again is safe: either try
             # names the same store revision, so that only one can win, and the
             # loser finds the edit's id in the table.
-            attempts.unanswered = stored.mod_revision
+            attempts.unconfirmed = stored.mod_revision
             return None
-        if attempts.unanswered is None:
+        if attempts.unconfirmed is None:
             return Failure(error)
         return None
 
     def _decode(
-        self, entry: Entry | None, takes_older: bool
+        self, entry: Entry | None, allows_older: bool
     ) -> Result[StoredTable, MedlarspringError]:
-        in_force = None if takes_older else self._table_in_force()
+        in_force = None if allows_older else self._table_in_force()
         return decode_stored(entry, in_force)
 
     def _retry_delay(self, number: int, attempts: _Attempts) -> float:
-        is_race = attempts.unanswered is None
-        cap = MAX_RACE_SECONDS if is_race else MAX_RETRY_SECONDS
+        is_conflict = attempts.unconfirmed is None
+        cap = MAX_CONFLICT_RETRY_SECONDS if is_conflict else MAX_RETRY_SECONDS
         longest = min(cap, self._retry_seconds * 2 ** min(number, 10))
         return self._rng.uniform(0, longest)
 
 
-def _widen(error: TableError) -> MedlarspringError:
+def _to_base_error(error: TableError) -> MedlarspringError:
     return error
 
 
--- a/packages/daemon/src/medlarspring_daemon/configuration/table_routes.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/table_routes.py
@@ -67,9 +67,9 @@
         return self._answer_change(edit.id, edit.operator, result)
 
     async def _republish(self, request: web.Request) -> web.Response:
-        wish = await read_body(request, Republish)
-        result = await self._editor.republish(wish, self._describe_origin(request))
-        return self._answer_change(wish.id, wish.operator, result)
+        command = await read_body(request, Republish)
+        result = await self._editor.republish(command, self._describe_origin(request))
+        return self._answer_change(command.id, command.operator, result)
 
     def _answer_change(
         self,
@@ -78,7 +78,7 @@
         result: Result[AcceptedChange, MedlarspringError],
     ) -> web.Response:
         if not is_successful(result):
-            self._note_refusal(edit_id, operator, result.failure())
+            self._record_refusal(edit_id, operator, result.failure())
         change = unwrap_or_refuse(result)
         repeated = change.record is None
         self._node.decisions.record(
@@ -110,9 +110,9 @@
             text = (await request.read()).decode("utf-8")
         except UnicodeDecodeError:
             raise Refusal(BadRequest("The sheet is not UTF-8; save it so.")) from None
-        sheet = unwrap_or_refuse(read_sheet(text))
+        csv_file = unwrap_or_refuse(read_sheet(text))
         stored = unwrap_or_refuse(await self._editor.read())
-        rows = plan_import(stored.table, sheet)
+        rows = plan_import(stored.table, csv_file)
         if not rows:
             return answer(
                 PlanAnswer(revision=stored.table.revision, rows=(), changes=())
@@ -143,7 +143,7 @@
     def _describe_origin(self, request: web.Request) -> str:
         return f"{request.remote} by {self._node.id}"
 
-    def _note_refusal(
+    def _record_refusal(
         self, edit_id: EditId, operator: str, error: MedlarspringError
     ) -> None:
         is_unknown = isinstance(error, StoreOutcomeUnknown)
--- a/packages/daemon/src/medlarspring_daemon/fleet/desk.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/command_handler.py
@@ -36,7 +36,7 @@
     from medlarspring_tables.audit import FieldValue
     from medlarspring_tables.waves import WaveRecord
 
-MAX_TRIES = 4
+MAX_ATTEMPTS = 4
 MAX_MOVES = 32
 """Moves of one command; one transaction takes no more."""
 
@@ -69,7 +69,7 @@
         )
 
 
-class FleetDesk:
+class FleetCommandHandler:
     """Writes what operators want as records; holders carry it out."""
 
     def __init__(self, store: Store, clock: Clock, entry_vm_id: str) -> None:
@@ -88,28 +88,28 @@
         return Success(tables)
 
     async def start_wave(
-        self, wanted: StartWave, config: ConfigTable, origin: str
+        self, command: StartWave, config: ConfigTable, origin: str
     ) -> Result[WaveRecord, MedlarspringError]:
         """Start a wave; the same command again changes nothing."""
         loaded = await self.load()
         if not is_successful(loaded):
             return Failure(loaded.failure())
         tables = loaded.unwrap()
-        existing = tables.waves_by_id.get(wanted.id)
-        if existing is not None and existing.created_by == wanted.operator:
+        existing = tables.waves_by_id.get(command.id)
+        if existing is not None and existing.created_by == command.operator:
             return Success(existing)
         created = create_wave(
             tables,
-            wanted.id,
-            wanted.vm_ids,
-            wanted.pool_ids,
-            wanted.operator,
+            command.id,
+            command.vm_ids,
+            command.pool_ids,
+            command.operator,
             self._clock.wall(),
         )
         if not is_successful(created):
             return Failure(created.failure())
         wave = created.unwrap()
-        audit = self._audit(config, wanted.operator, origin, "wave start", wave.id)
+        audit = self._audit(config, command.operator, origin, "wave start", wave.id)
         change = _wave_change(None, wave)
         written = await self._write(tables, [wave], audit, [change])
         if not is_successful(written):
@@ -120,12 +120,12 @@
         self,
         wave_id: WaveId,
         action: str,
-        wanted: ChangeWave,
+        command: ChangeWave,
         config: ConfigTable,
         origin: str,
     ) -> Result[WaveRecord, MedlarspringError]:
         """Pause, resume or abort a wave."""
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             loaded = await self.load()
             if not is_successful(loaded):
                 return Failure(loaded.failure())
@@ -134,12 +134,12 @@
             if wave is None:
                 remedy = "See `medlarspring wave list` for the waves."
                 return Failure(WaveRefused(wave_id, "there is no such wave", remedy))
-            changed = self._change(wave, action, wanted)
+            changed = self._change(wave, action, command)
             if not is_successful(changed):
                 return Failure(changed.failure())
             new = changed.unwrap()
             what = f"wave {action}"
-            audit = self._audit(config, wanted.operator, origin, what, wave_id)
+            audit = self._audit(config, command.operator, origin, what, wave_id)
             change = _wave_change(wave, new)
             written = await self._write(tables, [new], audit, [change])
             if not is_successful(written):
@@ -149,10 +149,10 @@
         return Failure(FleetRaced())
 
     def _change(
-        self, wave: WaveRecord, action: str, wanted: ChangeWave
+        self, wave: WaveRecord, action: str, command: ChangeWave
     ) -> Result[WaveRecord, WaveRefused]:
         now = self._clock.wall()
-        reason = wanted.reason or f"by {wanted.operator}"
+        reason = command.reason or f"by {command.operator}"
         if action == "pause":
             return pause_wave(wave, reason, now)
         if action == "resume":
@@ -160,36 +160,36 @@
         return abort_wave(wave, reason, now)
 
     async def start_moves(
-        self, wanted: StartMoves, config: ConfigTable, origin: str
+        self, command: StartMoves, config: ConfigTable, origin: str
     ) -> Result[tuple[MoveRecord, ...], MedlarspringError]:
         """Wish for moves; the same command again changes nothing."""
-        refusal = _find_refusal(wanted, config)
+        refusal = _find_refusal(command, config)
         if refusal is not None:
             return Failure(refusal)
         loaded = await self.load()
         if not is_successful(loaded):
             return Failure(loaded.failure())
         tables = loaded.unwrap()
-        moves = self._create_moves(wanted)
+        moves = self._create_moves(command)
         known = [tables.moves_by_id.get(move.id) for move in moves]
         if all(known):
             return Success(tuple(move for move in known if move is not None))
-        audit = self._audit(config, wanted.operator, origin, "move start", wanted.id)
+        audit = self._audit(config, command.operator, origin, "move start", command.id)
         changes = [_move_change(move) for move in moves]
         written = await self._write(tables, moves, audit, changes)
         if not is_successful(written):
             return Failure(written.failure())
         return Success(tuple(moves)) if written.unwrap() else Failure(FleetRaced())
 
-    def _create_moves(self, wanted: StartMoves) -> list[MoveRecord]:
-        vm_ids: list[VMId | None] = [*wanted.vm_ids] or [None] * wanted.count
+    def _create_moves(self, command: StartMoves) -> list[MoveRecord]:
+        vm_ids: list[VMId | None] = [*command.vm_ids] or [None] * command.count
         return [
             MoveRecord(
-                id=MoveId(f"{wanted.id}-{number}"),
-                from_pool_id=wanted.from_pool_id,
-                to_pool_id=wanted.to_pool_id,
+                id=MoveId(f"{command.id}-{number}"),
+                from_pool_id=command.from_pool_id,
+                to_pool_id=command.to_pool_id,
                 vm_id=vm_id,
-                created_by=wanted.operator,
+                created_by=command.operator,
                 created_at=self._clock.wall(),
             )
             for number, vm_id in enumerate(vm_ids)
@@ -229,14 +229,14 @@
         return Success(result.unwrap().succeeded)
 
 
-def _find_refusal(wanted: StartMoves, config: ConfigTable) -> MovesRefused | None:
-    for pool_id in (wanted.from_pool_id, wanted.to_pool_id):
+def _find_refusal(command: StartMoves, config: ConfigTable) -> MovesRefused | None:
+    for pool_id in (command.from_pool_id, command.to_pool_id):
         if pool_id not in config.pools_by_id:
             remedy = "See `medlarspring pool list` for the pools."
             return MovesRefused(f"there is no pool {pool_id}", remedy)
-    if wanted.from_pool_id == wanted.to_pool_id:
+    if command.from_pool_id == command.to_pool_id:
         return MovesRefused("both pools are the same", "Name two pools.")
-    count = len(wanted.vm_ids) or wanted.count
+    count = len(command.vm_ids) or command.count
     if not 1 <= count <= MAX_MOVES:
         remedy = f"Wish for 1 to {MAX_MOVES} at a time."
         return MovesRefused(f"{count} VMs in one command", remedy)
@@ -265,4 +265,4 @@
     return RowChange(kind="move", id=move.id, after=after)
 
 
-__all__ = ["FleetDesk", "FleetRaced", "MovesRefused"]
+__all__ = ["FleetCommandHandler", "FleetRaced", "MovesRefused"]
--- a/packages/daemon/src/medlarspring_daemon/fleet/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/controller.py
@@ -41,10 +41,10 @@
     from medlarspring_tables.fleet_tables import FleetTables
     from medlarspring_tables.vms import VMRecord
 
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 """Plans per tick and pool while other holders change the same records."""
 
-_EVENTS_BY_DECIDED = {
+_EVENTS_BY_KIND = {
     DecisionKind.DRAIN: Event.VM_DRAIN_INTENDED,
     DecisionKind.REBOOT: Event.VM_REBOOT_INTENDED,
     DecisionKind.MOVE: Event.VM_MOVED,
@@ -56,7 +56,7 @@
     DecisionKind.RESUME: Event.WAVE_RESUMED,
     DecisionKind.FINISH: Event.WAVE_DONE,
 }
-_WARNINGS = (DecisionKind.PUT_BACK, DecisionKind.GIVE_UP, DecisionKind.PAUSE)
+_WARNING_KINDS = (DecisionKind.PUT_BACK, DecisionKind.GIVE_UP, DecisionKind.PAUSE)
 
 
 class FleetController:
@@ -70,7 +70,7 @@
         fence: Callable[[PoolId], Expect | None],
         decisions: DecisionLog,
         log: EventLog,
-        width: WaveLimit | None = None,
+        wave_limit: WaveLimit | None = None,
         note_leaving: Callable[[VMId], None] = lambda vm_id: None,
         note_returned: Callable[[VMId, PoolId], None] = lambda vm_id, pool_id: None,
     ) -> None:
@@ -80,7 +80,7 @@
         self._fence = fence
         self._decisions = decisions
         self._log = log
-        self.width = width
+        self.wave_limit = wave_limit
         self._note_leaving = note_leaving
         self._note_returned = note_returned
         self._unsettled: dict[PoolId, Draft] = {}
@@ -107,14 +107,14 @@
             for pool_id in pool_ids
             for vm_id in self.tables.busy_vm_ids_by_pool.get(pool_id, ())
         }
-        seen = await self._vm_control.read_vms(pool_ids, busy | set(vm_ids))
-        if not isinstance(seen, Success):
+        observed = await self._vm_control.read_vms(pool_ids, busy | set(vm_ids))
+        if not isinstance(observed, Success):
             return False
         for pool_id in pool_ids:
             for vm_id in self.tables.vm_ids_by_pool.get(pool_id, ()):
                 self.tables.observations_by_id.pop(vm_id, None)
-        for sighting in seen.unwrap():
-            self.tables.observations_by_id[sighting.vm_id] = sighting
+        for observation in observed.unwrap():
+            self.tables.observations_by_id[observation.vm_id] = observation
         return True
 
     async def tick(
@@ -123,8 +123,10 @@
         """Do one round of a held pool's work; says whether its records are sure."""
         if not await self._settle(pool_id):
             return False
-        for _ in range(MAX_TRIES):
-            draft = plan_pool(self.tables, config, pool_id, vm_list, now, self.width)
+        for _ in range(MAX_ATTEMPTS):
+            draft = plan_pool(
+                self.tables, config, pool_id, vm_list, now, self.wave_limit
+            )
             if not draft.records_by_key or await self._write(pool_id, draft):
                 break
             if pool_id in self._unsettled or self.is_store_lost:
@@ -134,10 +136,10 @@
             await self._write(pool_id, draft)
         if pool_id in self._unsettled:
             return False
-        await self._act(pool_id)
+        await self._request_actions(pool_id)
         return True
 
-    async def put_back(self, pool_id: PoolId) -> None:
+    async def restore_drained_vms(self, pool_id: PoolId) -> None:
         """Put drained VMs back to work while the store cannot be reached.
 
         Without the store no reboot or move can be intended, so a drained VM
@@ -148,9 +150,9 @@
         for vm_id in sorted(self.tables.busy_vm_ids_by_pool.get(pool_id, ())):
             record = self.tables.vms_by_id[vm_id]
             if record.state is VMState.DRAINING:
-                await self._ask(record, Action.RESTORE)
+                await self._request_action(record, Action.RESTORE)
 
-    def forget_unsettled(self, pool_id: PoolId) -> None:
+    def drop_unconfirmed_write(self, pool_id: PoolId) -> None:
         """Drop a write of unknown outcome of a pool that is held no more."""
         self._unsettled.pop(pool_id, None)
 
@@ -178,9 +180,9 @@
         if result.unwrap().succeeded:
             return False
         del self._unsettled[pool_id]
-        self._take_refreshed(keys, result.unwrap())
+        self._apply_refreshed(keys, result.unwrap())
         if all(self._has_taken_effect(draft, key) for key in keys):
-            self._explain(draft)
+            self._record_decisions(draft)
         return True
 
     def _has_taken_effect(self, draft: Draft, key: str) -> bool:
@@ -223,17 +225,17 @@
         self.is_store_lost = False
         committed = result.unwrap()
         if not committed.succeeded:
-            self._take_refreshed(transaction.read_on_failure, committed)
+            self._apply_refreshed(transaction.read_on_failure, committed)
             return False
         for key, record in draft.records_by_key.items():
             if record is None:
                 self.tables.remove(key)
             else:
                 self.tables.put(record, committed.revision)
-        self._explain(draft)
+        self._record_decisions(draft)
         return True
 
-    def _take_refreshed(self, keys: Collection[str], committed: Committed) -> None:
+    def _apply_refreshed(self, keys: Collection[str], committed: Committed) -> None:
         for key in keys:
             entry = committed.read_by_key.get(key)
             if entry is None:
@@ -241,7 +243,7 @@
             else:
                 take_entry(self.tables, entry)
 
-    def _explain(self, draft: Draft) -> None:
+    def _record_decisions(self, draft: Draft) -> None:
         for note in draft.planned_decisions:
             facts = dict(note.facts)
             if note.vm_id is not None:
@@ -250,25 +252,25 @@
                 )
                 facts["vm"] = note.vm_id
                 if note.decided is DecisionKind.SERVE:
-                    self._note_serving(note.vm_id)
+                    self._report_serving(note.vm_id)
             if note.wave_id is not None:
                 self._decisions.record(
                     Subject.WAVE, note.wave_id, note.decided.value, note.rule, **facts
                 )
                 facts["wave"] = note.wave_id
-            event = _EVENTS_BY_DECIDED.get(note.decided)
+            event = _EVENTS_BY_KIND.get(note.decided)
             if event is not None:
                 write = self._log.info
-                if note.decided in _WARNINGS:
+                if note.decided in _WARNING_KINDS:
                     write = self._log.warning
                 write(event, rule=note.rule, **facts)
 
-    def _note_serving(self, vm_id: VMId) -> None:
+    def _report_serving(self, vm_id: VMId) -> None:
         record = self.tables.vms_by_id.get(vm_id)
         if record is not None:
             self._note_returned(vm_id, record.pool_id)
 
-    async def _act(self, pool_id: PoolId) -> None:
+    async def _request_actions(self, pool_id: PoolId) -> None:
         for vm_id in sorted(self.tables.busy_vm_ids_by_pool.get(pool_id, ())):
             if self._fence(pool_id) is None:
                 return
@@ -277,9 +279,9 @@
                 continue
             action = choose_action(self.tables, record)
             if action is not None:
-                await self._ask(record, action)
+                await self._request_action(record, action)
 
-    async def _ask(self, record: VMRecord, action: Action) -> None:
+    async def _request_action(self, record: VMRecord, action: Action) -> None:
         if action is Action.DRAIN:
             self._note_leaving(record.id)
         revision = self._revision_of(record.id)
--- a/packages/daemon/src/medlarspring_daemon/fleet/rounds.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/rounds.py
@@ -18,11 +18,11 @@
 
 IDLE_TICK_SECONDS = 5.0
 """A pool without wave, move or busy VM is looked at this often."""
-SIGHTING_SECONDS = 5.0
+OBSERVATION_VALID_SECONDS = 5.0
 """VMs not seen for this long count as unseen."""
 PROBE_SECONDS = (1.0, 3.0)
 """A lost store is tried again after a random time between these."""
-PUT_BACK_AFTER_SECONDS = 10.0
+RESTORE_AFTER_SECONDS = 10.0
 """Drained VMs are put back once the store has been out of reach this long."""
 
 
@@ -44,9 +44,9 @@
         self._fences: dict[PoolId, Revision] = {}
         """Holder key by pool, as of the last round with the store in reach."""
         self._ticked_at: dict[PoolId, float] = {}
-        self._seen_at: dict[PoolId, float] = {}
+        self._observed_at: dict[PoolId, float] = {}
         self._store_lost_at: float | None = None
-        self._probe_at = 0.0
+        self._next_probe_at = 0.0
 
     @property
     def is_holding(self) -> bool:
@@ -58,12 +58,12 @@
     ) -> None:
         """Do one round."""
         now = self._clock.now()
-        if self._controller.is_store_lost and now >= self._probe_at:
-            self._probe_at = now + self._rng.uniform(*PROBE_SECONDS)
+        if self._controller.is_store_lost and now >= self._next_probe_at:
+            self._next_probe_at = now + self._rng.uniform(*PROBE_SECONDS)
             await self._controller.load()
-        self._note_store(now)
+        self._update_store_state(now)
         if self._store_lost_at is not None:
-            await self._wait_for_store(self._store_lost_at, now)
+            await self._handle_store_outage(self._store_lost_at, now)
             return
         if not await self._take_over(holders):
             return
@@ -74,19 +74,19 @@
             wall = self._clock.wall()
             await self._controller.tick(pool_id, config, vm_list, wall)
 
-    def _note_store(self, now: float) -> None:
+    def _update_store_state(self, now: float) -> None:
         if not self._controller.is_store_lost:
             self._store_lost_at = None
         elif self._store_lost_at is None:
             self._store_lost_at = now
             self._log.warning(Event.FLEET_STORE_LOST, pools=len(self._fences))
 
-    async def _wait_for_store(self, lost_at: float, now: float) -> None:
-        if now - lost_at < PUT_BACK_AFTER_SECONDS:
+    async def _handle_store_outage(self, lost_at: float, now: float) -> None:
+        if now - lost_at < RESTORE_AFTER_SECONDS:
             return
         await self._observe(sorted(self._fences), now)
         for pool_id in sorted(self._fences):
-            await self._controller.put_back(pool_id)
+            await self._controller.restore_drained_vms(pool_id)
 
     async def _take_over(self, holders: Holders) -> bool:
         fences: dict[PoolId, Revision] = {}
@@ -104,7 +104,7 @@
             return False
         for pool_id, revision in self._fences.items():
             if fences.get(pool_id) != revision:
-                self._controller.forget_unsettled(pool_id)
+                self._controller.drop_unconfirmed_write(pool_id)
         self._fences = fences
         return True
 
@@ -121,16 +121,16 @@
         if not pool_ids:
             return
         if await self._controller.observe(pool_ids):
-            self._seen_at.update(dict.fromkeys(pool_ids, now))
+            self._observed_at.update(dict.fromkeys(pool_ids, now))
             return
         self._log.warning(Event.VM_CONTROL_LOST, pools=len(pool_ids))
-        self._forget_sightings(
+        self._drop_observations(
             pool_id
             for pool_id in pool_ids
-            if now - self._seen_at.get(pool_id, 0.0) > SIGHTING_SECONDS
+            if now - self._observed_at.get(pool_id, 0.0) > OBSERVATION_VALID_SECONDS
         )
 
-    def _forget_sightings(self, pool_ids: Iterable[PoolId]) -> None:
+    def _drop_observations(self, pool_ids: Iterable[PoolId]) -> None:
         for pool_id in pool_ids:
             for vm_id in self._tables.vm_ids_by_pool.get(pool_id, ()):
                 self._tables.observations_by_id.pop(vm_id, None)
--- a/packages/daemon/src/medlarspring_daemon/fleet/routes.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/routes.py
@@ -36,7 +36,7 @@
 
 if TYPE_CHECKING:
     from medlarspring_adapters.vm_control import VMControl
-    from medlarspring_daemon.fleet.desk import FleetDesk
+    from medlarspring_daemon.fleet.command_handler import FleetCommandHandler
     from medlarspring_daemon.node import Node
     from medlarspring_tables import ConfigTable
     from medlarspring_tables.fleet_tables import FleetTables
@@ -46,10 +46,13 @@
     """Answer from the records in the store, on any entry VM."""
 
     def __init__(
-        self, node: Node, desk: FleetDesk, vm_control: VMControl | None
+        self,
+        node: Node,
+        command_handler: FleetCommandHandler,
+        vm_control: VMControl | None,
     ) -> None:
         self._node = node
-        self._desk = desk
+        self._command_handler = command_handler
         self._vm_control = vm_control
 
     def routes(self) -> list[web.RouteDef]:
@@ -116,12 +119,14 @@
         return answer(view_wave(tables, wave, self._config(), self._now()))
 
     async def _start_wave(self, request: web.Request) -> web.Response:
-        wanted = await read_body(request, StartWave)
-        started = await self._desk.start_wave(wanted, self._config(), _origin(request))
+        command = await read_body(request, StartWave)
+        started = await self._command_handler.start_wave(
+            command, self._config(), _origin(request)
+        )
         return answer(await self._view(unwrap_or_refuse(started).id))
 
     async def _change_wave(self, request: web.Request) -> web.Response:
-        changed = await self._desk.change_wave(
+        changed = await self._command_handler.change_wave(
             WaveId(request.match_info["wave"]),
             request.match_info["action"],
             await read_body(request, ChangeWave),
@@ -141,18 +146,20 @@
         return answer(MovesAnswer(moves=tuple(moves)))
 
     async def _start_moves(self, request: web.Request) -> web.Response:
-        wanted = await read_body(request, StartMoves)
-        moves = await self._desk.start_moves(wanted, self._config(), _origin(request))
+        command = await read_body(request, StartMoves)
+        moves = await self._command_handler.start_moves(
+            command, self._config(), _origin(request)
+        )
         return answer(MovesAnswer(moves=unwrap_or_refuse(moves)))
 
     async def _load(self) -> FleetTables:
         """Read the records, and what the platform shows if it answers."""
-        tables = unwrap_or_refuse(await self._desk.load())
+        tables = unwrap_or_refuse(await self._command_handler.load())
         if self._vm_control is not None:
-            seen = await self._vm_control.read_vms((), ())
-            if is_successful(seen):
-                for sighting in seen.unwrap():
-                    tables.observations_by_id[sighting.vm_id] = sighting
+            observed = await self._vm_control.read_vms((), ())
+            if is_successful(observed):
+                for observation in observed.unwrap():
+                    tables.observations_by_id[observation.vm_id] = observation
         return tables
 
     def _config(self) -> ConfigTable:
--- a/packages/daemon/src/medlarspring_daemon/fleet/service.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/service.py
@@ -8,8 +8,8 @@
 from medlarspring_adapters.metrics import Metric
 from medlarspring_adapters.store_meter import Mechanism
 from medlarspring_adapters.vm_control import HttpVMControl
+from medlarspring_daemon.fleet.command_handler import FleetCommandHandler
 from medlarspring_daemon.fleet.controller import FleetController
-from medlarspring_daemon.fleet.desk import FleetDesk
 from medlarspring_daemon.fleet.feed import FleetFeed
 from medlarspring_daemon.fleet.rounds import FleetRounds
 from medlarspring_daemon.fleet.routes import FleetRoutes
@@ -33,8 +33,10 @@
         self._vm_control = vm_control
         self._tasks = Tasks(node.log)
         self._store = node.store.bill_to(Mechanism.CONTROL_WORK)
-        desk = FleetDesk(self._store, node.clock, node.id)
-        node.operator_routes.extend(FleetRoutes(node, desk, vm_control).routes())
+        command_handler = FleetCommandHandler(self._store, node.clock, node.id)
+        node.operator_routes.extend(
+            FleetRoutes(node, command_handler, vm_control).routes()
+        )
 
     async def start(self) -> None:
         """Start the loop, unless the settings name no VM control."""
--- a/packages/daemon/src/medlarspring_daemon/fleet/views.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/views.py
@@ -36,11 +36,11 @@
 
 def view_vm(tables: FleetTables, record: VMRecord) -> VMView:
     """Return a VM's record with what the platform shows."""
-    sighting = tables.observations_by_id.get(record.id)
+    observation = tables.observations_by_id.get(record.id)
     return VMView(
         record=record,
-        health=judge_vm(record, sighting).value,
-        condition=sighting.condition.value if sighting is not None else None,
+        health=judge_vm(record, observation).value,
+        condition=observation.condition.value if observation is not None else None,
     )
 
 
--- a/packages/daemon/src/medlarspring_daemon/jobs/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/controller.py
@@ -80,11 +80,11 @@
         self._clock = clock
         self._decisions = decisions
         self._fence = fence
-        self._must_load = True
+        self._is_reload_needed = True
 
-    def reload_soon(self) -> None:
+    def schedule_reload(self) -> None:
         """Read all records again at the next round."""
-        self._must_load = True
+        self._is_reload_needed = True
 
     async def load(self) -> bool:
         """Read all records; False when the store does not answer.
@@ -96,13 +96,13 @@
         if not is_successful(listing):
             return False
         self.take_listing(listing.unwrap())
-        self._must_load = False
+        self._is_reload_needed = False
         return True
 
     def take_listing(self, listing: Listing) -> None:
         """Take all records; a known job that is not among them is gone."""
         seen = {
-            self.take_record(entry.value, entry.mod_revision)
+            self.apply_record(entry.value, entry.mod_revision)
             for entry in listing.entries
         }
         revisions = self.tables.revisions_by_id
@@ -113,11 +113,11 @@
     def take_batch(self, batch: WatchBatch) -> None:
         """Take changes that a watch brought."""
         for entry in batch.changed:
-            self.take_record(entry.value, entry.mod_revision)
+            self.apply_record(entry.value, entry.mod_revision)
         for key in batch.deleted:
             forget_job(self.tables, JobId(key.rpartition("/")[2]))
 
-    def take_record(self, value: bytes, revision: Revision) -> JobId:
+    def apply_record(self, value: bytes, revision: Revision) -> JobId:
         """Take over a record from the store unless a newer one is known."""
         job = decode_job(value)
         known = self.tables.revisions_by_id.get(job.id, Revision(0))
@@ -128,7 +128,7 @@
             # the record from before this one, and undo a cancellation.
             self.tables.originals_by_id.pop(job.id, None)
             if job.attempt is not None:
-                self.workers.ask_soon(job.attempt.vm_id)
+                self.workers.schedule_poll(job.attempt.vm_id)
         return job.id
 
     async def tick(self) -> None:
@@ -138,15 +138,15 @@
         running work goes on; nothing new is decided.
         """
         self.tables.originals_by_id.clear()
-        if self._must_load:
+        if self._is_reload_needed:
             await self.load()
-        for answer in await self.workers.ask_due():
-            await self._take_answer(answer)
-        if self._must_load or self._fence() is None:
+        for answer in await self.workers.poll_due_workers():
+            await self._apply_answer(answer)
+        if self._is_reload_needed or self._fence() is None:
             return
         await self._decide()
 
-    async def drop_ended(self, kept_seconds: Seconds) -> None:
+    async def delete_ended_jobs(self, kept_seconds: Seconds) -> None:
         """Remove the records of jobs that ended longer ago than given."""
         fence = self._fence()
         oldest = self._clock.wall() - kept_seconds
@@ -180,7 +180,7 @@
     async def _save(self, jobs: list[Job]) -> set[JobId]:
         """Write changed records; what is not saved is taken back in memory."""
         fence = self._fence()
-        if fence is None or self._must_load:
+        if fence is None or self._is_reload_needed:
             for job in jobs:
                 revert_job(self.tables, job.id)
             return set()
@@ -196,38 +196,38 @@
                 continue
             revert_job(self.tables, job_id)
             if saved.outcome is not SaveOutcome.NOT_APPLIED:
-                self._must_load = True
+                self._is_reload_needed = True
         return saved_ids
 
-    async def _take_answer(self, answer: WorkerAnswer) -> None:
+    async def _apply_answer(self, answer: WorkerAnswer) -> None:
         if not is_successful(answer.reply):
-            if self.workers.is_silent_past_lease(answer.link):
-                await self._give_up(answer.job_ids)
+            if self.workers.have_leases_expired(answer.link):
+                await self._end_lost_attempts(answer.job_ids)
             return
         reports = {report.job_id: report for report in answer.reply.unwrap().reports}
         jobs = [
-            await self._take_report(self.tables.jobs_by_id[job_id], reports)
+            await self._apply_report(self.tables.jobs_by_id[job_id], reports)
             for job_id in sorted(answer.job_ids)
             if job_id in self.tables.jobs_by_id
         ]
         await self._save([job for job in jobs if job is not None])
         for report in reports.values():
-            if report.state is not TaskState.RUNNING and self._is_on_record(report):
+            if report.state is not TaskState.RUNNING and self._is_end_recorded(report):
                 answer.link.forget.add(Renewal(report.job_id, report.attempt))
 
-    async def _give_up(self, job_ids: frozenset[JobId]) -> None:
+    async def _end_lost_attempts(self, job_ids: frozenset[JobId]) -> None:
         jobs = [self.tables.jobs_by_id[job_id] for job_id in sorted(job_ids)]
         ended = [self._end(job, AttemptEnd.LOST, "worker is silent") for job in jobs]
         await self._save([job for job in ended if job is not None])
 
-    def _is_on_record(self, report: TaskReport) -> bool:
+    def _is_end_recorded(self, report: TaskReport) -> bool:
         """Tell whether the worker may drop an ended task."""
         job = self.tables.jobs_by_id.get(report.job_id)
         if job is None or job.attempt is None:
             return True
         return job.attempt.number > report.attempt
 
-    async def _take_report(
+    async def _apply_report(
         self, job: Job, reports: dict[JobId, TaskReport]
     ) -> Job | None:
         """Return the job's new record if its worker's report changes it."""
@@ -235,12 +235,12 @@
             return None
         report = reports.get(job.id)
         if report is None or report.attempt != job.attempt.number:
-            return await self._take_absence(job)
+            return await self._handle_unknown_attempt(job)
         if report.state is TaskState.RUNNING:
-            return await self._take_progress(job, report)
+            return await self._apply_running_report(job, report)
         return self._end(job, END_BY_STATE[report.state], "worker's report", report)
 
-    async def _take_progress(self, job: Job, report: TaskReport) -> Job | None:
+    async def _apply_running_report(self, job: Job, report: TaskReport) -> Job | None:
         assert job.attempt is not None
         if job.attempt.state is AttemptState.STOPPING:
             await self.workers.send_stop(job)
@@ -250,7 +250,7 @@
             resize_attempt(self.tables, job, size)
         return confirm_running(self.tables, job.id, job.attempt.number)
 
-    async def _take_absence(self, job: Job) -> Job | None:
+    async def _handle_unknown_attempt(self, job: Job) -> Job | None:
         """Act on an attempt that its worker does not know.
 
         Its order may be lost or still on its way. A start is sent again; for
--- a/packages/daemon/src/medlarspring_daemon/jobs/desk.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/request_handler.py
@@ -45,7 +45,7 @@
     from medlarspring_tables import JobId, PartnerId, PoolId
 
 MAX_SHOWN = 200
-SAVE_ROUNDS = 40
+MAX_SAVE_ROUNDS = 40
 SAVE_PAUSE_SECONDS = 0.25
 """A wave of cancellations is spread over the budget of store calls."""
 
@@ -84,7 +84,7 @@
         )
 
 
-class JobDesk:
+class JobRequestHandler:
     """Reads and writes job records without holding their pools."""
 
     def __init__(
@@ -105,17 +105,19 @@
         refused: list[RefusedJob] = []
         writes: list[JobWrite] = []
         tables_by_pool: dict[PoolId, JobTables] = {}
-        for wanted in request.jobs:
-            if wanted.pool_id not in tables_by_pool:
-                tables_by_pool[wanted.pool_id] = self._build_tables(wanted.pool_id)
-            job = _create_job(wanted, request.operator, now)
-            checked = check_job(tables_by_pool[wanted.pool_id], job)
+        for job_request in request.jobs:
+            if job_request.pool_id not in tables_by_pool:
+                tables_by_pool[job_request.pool_id] = self._build_tables(
+                    job_request.pool_id
+                )
+            job = _create_job(job_request, request.operator, now)
+            checked = check_job(tables_by_pool[job_request.pool_id], job)
             if is_successful(checked):
                 writes.append(JobWrite(job, Revision(0)))
             else:
                 refused.append(_describe_refusal(job, checked.failure()))
         audit = partial(self._create_audit, "job submit", request.operator, origin)
-        return await self._settle(writes, refused, audit)
+        return await self._save_submitted(writes, refused, audit)
 
     async def cancel(
         self, request: CancelRequest, origin: str
@@ -124,7 +126,7 @@
         audit = partial(self._create_audit, "job cancel", request.operator, origin)
         cancelled: set[JobId] = set()
         ended = remaining = 0
-        for _ in range(SAVE_ROUNDS):
+        for _ in range(MAX_SAVE_ROUNDS):
             listing = await self._jobs.read_pool(request.pool_id)
             if not is_successful(listing):
                 return Failure(listing.failure())
@@ -215,7 +217,7 @@
                 writes.append(JobWrite(record, revision))
         return writes, ended
 
-    async def _settle(
+    async def _save_submitted(
         self,
         writes: list[JobWrite],
         refused: list[RefusedJob],
@@ -228,7 +230,7 @@
             if saved.outcome is SaveOutcome.SAVED:
                 accepted.append(job.id)
                 continue
-            answer = await self._find_same(job)
+            answer = await self._find_identical_job(job)
             if is_successful(answer):
                 repeated.append(job.id)
             else:
@@ -267,7 +269,7 @@
             ),
         )
 
-    async def _find_same(self, job: Job) -> Result[Job, JobRefused]:
+    async def _find_identical_job(self, job: Job) -> Result[Job, JobRefused]:
         """Find a job on record with the same content, written before.
 
         Also after a lost reply: the submitter's retry would otherwise find its
@@ -280,28 +282,28 @@
         if entry is None:
             return Failure(JobNotSaved(job.id))
         recorded = decode_job(entry.value)
-        if _content_of(recorded) != _content_of(job):
+        if _list_content(recorded) != _list_content(job):
             return Failure(JobIdTaken(job.id))
         return Success(recorded)
 
 
-def _create_job(wanted: JobRequest, operator: str, now: float) -> Job:
+def _create_job(job_request: JobRequest, operator: str, now: float) -> Job:
     return Job(
-        id=wanted.id,
-        partner_id=wanted.partner_id,
-        pool_id=wanted.pool_id,
-        kind=wanted.kind,
-        declared=wanted.declared,
-        declared_seconds=wanted.declared_seconds,
-        urgency=wanted.urgency,
-        can_checkpoint=wanted.can_checkpoint,
-        can_throttle=wanted.can_throttle,
+        id=job_request.id,
+        partner_id=job_request.partner_id,
+        pool_id=job_request.pool_id,
+        kind=job_request.kind,
+        declared=job_request.declared,
+        declared_seconds=job_request.declared_seconds,
+        urgency=job_request.urgency,
+        can_checkpoint=job_request.can_checkpoint,
+        can_throttle=job_request.can_throttle,
         submitted_at=now,
         submitted_by=operator,
     )
 
 
-def _content_of(job: Job) -> tuple[object, ...]:
+def _list_content(job: Job) -> tuple[object, ...]:
     return (
         job.partner_id,
         job.kind,
@@ -329,4 +331,4 @@
     return {each.write.job.id for each in saved if each.outcome is SaveOutcome.SAVED}
 
 
-__all__ = ["JobDesk", "JobIdTaken", "JobNotSaved"]
+__all__ = ["JobRequestHandler", "JobIdTaken", "JobNotSaved"]
--- a/packages/daemon/src/medlarspring_daemon/jobs/routes.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/routes.py
@@ -18,7 +18,7 @@
 from medlarspring_tables import JobId, JobState, PartnerId, PoolId
 
 if TYPE_CHECKING:
-    from medlarspring_daemon.jobs.desk import JobDesk
+    from medlarspring_daemon.jobs.request_handler import JobRequestHandler
 
 MAX_JOBS_PER_CALL = 1000
 
@@ -26,8 +26,8 @@
 class JobRoutes:
     """Submit, list, show and cancel jobs."""
 
-    def __init__(self, desk: JobDesk, entry_vm: str) -> None:
-        self._desk = desk
+    def __init__(self, request_handler: JobRequestHandler, entry_vm: str) -> None:
+        self._request_handler = request_handler
         self._entry_vm = entry_vm
 
     def routes(self) -> list[web.RouteDef]:
@@ -40,21 +40,23 @@
         ]
 
     async def _submit(self, request: web.Request) -> web.Response:
-        wanted = await read_body(request, SubmitRequest)
-        if len(wanted.jobs) > MAX_JOBS_PER_CALL:
+        body = await read_body(request, SubmitRequest)
+        if len(body.jobs) > MAX_JOBS_PER_CALL:
             reason = f"Submit at most {MAX_JOBS_PER_CALL} jobs in one call."
             raise Refusal(BadRequest(reason))
-        return answer(await self._desk.submit(wanted, self._origin(request)))
+        return answer(await self._request_handler.submit(body, self._origin(request)))
 
     async def _cancel(self, request: web.Request) -> web.Response:
-        wanted = await read_body(request, CancelRequest)
+        body = await read_body(request, CancelRequest)
         return answer(
-            unwrap_or_refuse(await self._desk.cancel(wanted, self._origin(request)))
+            unwrap_or_refuse(
+                await self._request_handler.cancel(body, self._origin(request))
+            )
         )
 
     async def _list(self, request: web.Request) -> web.Response:
         partner = request.query.get("partner")
-        listed = await self._desk.list_jobs(
+        listed = await self._request_handler.list_jobs(
             PoolId(request.match_info["pool"]),
             PartnerId(partner) if partner else None,
             _read_state(request),
@@ -64,7 +66,7 @@
     async def _show(self, request: web.Request) -> web.Response:
         pool_id = PoolId(request.match_info["pool"])
         job_id = JobId(request.match_info["job"])
-        found = unwrap_or_refuse(await self._desk.find_job(pool_id, job_id))
+        found = unwrap_or_refuse(await self._request_handler.find_job(pool_id, job_id))
         if found is None:
             remedy = f"`medlarspring job list {pool_id}` shows those on record"
             raise Refusal(NotFound(f"job {job_id} in pool {pool_id}", remedy))
--- a/packages/daemon/src/medlarspring_daemon/jobs/service.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/service.py
@@ -12,7 +12,7 @@
 from medlarspring_adapters.prefix_follower import PrefixFollower
 from medlarspring_adapters.worker_control import create_worker_control
 from medlarspring_daemon.jobs.controller import JobController
-from medlarspring_daemon.jobs.desk import JobDesk
+from medlarspring_daemon.jobs.request_handler import JobRequestHandler
 from medlarspring_daemon.jobs.routes import JobRoutes
 from medlarspring_daemon.tasks import Tasks
 from medlarspring_systems.job_records import (
@@ -38,7 +38,7 @@
 TICK_SECONDS = 0.25
 REFRESH_SECONDS = 1.0
 """How often workers and partners are brought up to date."""
-DROP_EVERY_SECONDS = 60.0
+DELETE_INTERVAL_SECONDS = 60.0
 KEEP_ENDED_SECONDS = 3600.0
 """How long the record of an ended job is kept."""
 
@@ -49,7 +49,7 @@
 
     controller: JobController
     follower: PrefixFollower
-    dropped_at: Seconds
+    ended_deleted_at: Seconds
     refreshed_at: Seconds = float("-inf")
 
 
@@ -63,8 +63,10 @@
         self._pools_by_id: dict[PoolId, HeldPool] = {}
         self._session: aiohttp.ClientSession | None = None
         self._workers: WorkerControl | None = None
-        desk = JobDesk(self._jobs, node.clock, self.build_tables, self._table_revision)
-        node.operator_routes.extend(JobRoutes(desk, node.id).routes())
+        request_handler = JobRequestHandler(
+            self._jobs, node.clock, self.build_tables, self._table_revision
+        )
+        node.operator_routes.extend(JobRoutes(request_handler, node.id).routes())
 
     async def start(self) -> None:
         """Start the loop."""
@@ -98,12 +100,12 @@
             await asyncio.sleep(max(0.0, TICK_SECONDS - spent))
 
     async def _run_round(self) -> None:
-        await self._follow_holding()
+        await self._update_held_pools()
         await asyncio.gather(
             *(self._run_pool(pool) for pool in self._pools_by_id.values())
         )
 
-    async def _follow_holding(self) -> None:
+    async def _update_held_pools(self) -> None:
         """Begin with pools taken; let go of pools that others hold.
 
         A pool whose lease lapsed because the store is out of reach is kept:
@@ -142,9 +144,9 @@
             addresses = self._fill_tables(controller.tables, controller.pool_id)
             controller.workers.set_addresses(addresses)
         await controller.tick()
-        if now - pool.dropped_at >= DROP_EVERY_SECONDS:
-            pool.dropped_at = now
-            await controller.drop_ended(KEEP_ENDED_SECONDS)
+        if now - pool.ended_deleted_at >= DELETE_INTERVAL_SECONDS:
+            pool.ended_deleted_at = now
+            await controller.delete_ended_jobs(KEEP_ENDED_SECONDS)
 
     def _fill_tables(self, tables: JobTables, pool_id: PoolId) -> dict[VMId, str]:
         """Bring workers and partners up to date; returns the workers' addresses."""
@@ -158,7 +160,7 @@
             put_partner(tables, PartnerUse(row.id, row.weight, quota))
         addresses: dict[VMId, str] = {}
         for vm in vm_list.vms_by_id.values():
-            if self._pool_of(vm) != pool_id:
+            if self._find_pool_id(vm) != pool_id:
                 continue
             addresses[vm.id] = vm.address
             put_worker(tables, self._create_worker(vm, pool_id))
@@ -166,21 +168,21 @@
             forget_worker(tables, vm_id)
         return addresses
 
-    def _pool_of(self, vm: ListedVM) -> PoolId:
+    def _find_pool_id(self, vm: ListedVM) -> PoolId:
         """Return the VM's pool by its record, or by the list if it has none."""
         record = self._node.fleet_tables.vms_by_id.get(vm.id)
         return record.pool_id if record else vm.pool_id
 
     def _create_worker(self, vm: ListedVM, pool_id: PoolId) -> Worker:
         record = self._node.fleet_tables.vms_by_id.get(vm.id)
-        serves = record is None or record.state is VMState.SERVING
+        is_serving = record is None or record.state is VMState.SERVING
         return Worker(
             id=vm.id,
             pool_id=pool_id,
             rack_id=vm.rack_id,
             zone_id=vm.zone_id,
             capacity=Size(vm.cpus, vm.memory_gb, vm.accelerators),
-            accepts_work=serves and vm.state is ListedState.LIVE,
+            accepts_work=is_serving and vm.state is ListedState.LIVE,
         )
 
 
--- a/packages/daemon/src/medlarspring_daemon/jobs/workers.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/workers.py
@@ -31,7 +31,7 @@
 LEASE_MARGIN_SECONDS = 5.0
 """Added before a silent worker's tasks are taken to have ended."""
 RENEW_SECONDS = 5.0
-RENEW_SOON_SECONDS = 0.25
+POLL_DELAY_SECONDS = 0.25
 """Pause between calls to a worker from which an answer is awaited."""
 
 
@@ -79,11 +79,11 @@
             else:
                 link.address = address
 
-    def ask_soon(self, vm_id: VMId) -> None:
+    def schedule_poll(self, vm_id: VMId) -> None:
         """Expect news from a worker: ask it again after a short pause."""
         link = self._links_by_id.get(vm_id)
         if link is not None:
-            link.due_at = min(link.due_at, self._clock.now() + RENEW_SOON_SECONDS)
+            link.due_at = min(link.due_at, self._clock.now() + POLL_DELAY_SECONDS)
 
     async def send_start(self, job: Job) -> bool:
         """Order the start; False when the worker refuses this attempt for good.
@@ -94,7 +94,7 @@
         link = self._links_by_id.get(job.attempt.vm_id)
         if link is None:
             return True
-        self.ask_soon(link.id)
+        self.schedule_poll(link.id)
         order = TaskOrder(
             job_id=job.id,
             attempt=job.attempt.number,
@@ -112,13 +112,13 @@
         link = self._links_by_id.get(job.attempt.vm_id)
         if link is None:
             return False
-        self.ask_soon(link.id)
+        self.schedule_poll(link.id)
         was_cancelled = bool(job.reason)
         checkpoint = job.can_checkpoint and not was_cancelled
         order = StopOrder(job.attempt.number, checkpoint=checkpoint)
         return is_successful(await self._workers.stop(link.address, job.id, order))
 
-    async def ask_due(self) -> list[WorkerAnswer]:
+    async def poll_due_workers(self) -> list[WorkerAnswer]:
         """Renew at all workers that are due, at once, and return the answers."""
         now = self._clock.now()
         due: list[tuple[WorkerLink, frozenset[JobId]]] = []
@@ -131,11 +131,13 @@
                 continue
             if link.due_at <= now:
                 due.append((link, job_ids))
-        return list(await asyncio.gather(*(self._ask(*each) for each in due)))
+        return list(await asyncio.gather(*(self._renew_leases(*each) for each in due)))
 
-    async def _ask(self, link: WorkerLink, job_ids: frozenset[JobId]) -> WorkerAnswer:
-        asked_at = self._clock.now()
-        link.due_at = asked_at + RENEW_SECONDS
+    async def _renew_leases(
+        self, link: WorkerLink, job_ids: frozenset[JobId]
+    ) -> WorkerAnswer:
+        sent_at = self._clock.now()
+        link.due_at = sent_at + RENEW_SECONDS
         request = RenewalRequest(
             lease_seconds=TASK_LEASE_SECONDS,
             renewals=tuple(self._list_renewals(job_ids)),
@@ -151,14 +153,14 @@
         jobs = [self._tables.jobs_by_id[job_id] for job_id in sorted(job_ids)]
         return [Renewal(job.id, job.attempt.number) for job in jobs if job.attempt]
 
-    def is_silent_past_lease(self, link: WorkerLink) -> bool:
+    def have_leases_expired(self, link: WorkerLink) -> bool:
         """Tell whether all tasks of a silent worker have certainly ended.
 
         Placing them elsewhere sooner could run a job twice, since a worker
         that only lost its network goes on until the lease runs out.
         """
-        silent = self._clock.now() - link.renewed_at
-        return silent >= TASK_LEASE_SECONDS + LEASE_MARGIN_SECONDS
+        unresponsive_seconds = self._clock.now() - link.renewed_at
+        return unresponsive_seconds >= TASK_LEASE_SECONDS + LEASE_MARGIN_SECONDS
 
 
 __all__ = ["TASK_LEASE_SECONDS", "JobWorkers", "WorkerAnswer", "WorkerLink"]
--- a/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
@@ -42,9 +42,9 @@
 
 HOLDERS_PREFIX = "holders/"
 TICK_SECONDS = 0.5
-SETTLE_SECONDS = 3.0
+STARTUP_DELAY_SECONDS = 3.0
 """A new process first learns who else is there; alone it would take all pools."""
-TRY_SECONDS = 1.0
+ACQUIRE_INTERVAL_SECONDS = 1.0
 MAX_POOLS_PER_CALL = 64
 
 
@@ -65,27 +65,27 @@
         self._peers = peers
         self._tasks = Tasks(node.log)
         self.holdings = Holdings(node.id)
-        self._to_delete: list[HeldPool] = []
+        self._keys_to_delete: list[HeldPool] = []
         """Given up, but the key may still be there."""
         self._renew_at = 0.0
         self._renewal_failures = 0
         self._suspended = False
         """Whether the lease may have lapsed and nothing is done for its pools."""
-        self._try_at = 0.0
+        self._next_attempt_at = 0.0
         self._failures = 0
 
     async def start(self) -> None:
         """Begin to hold what this process is preferred for."""
         self._node.holders = self
-        self._try_at = self._node.clock.now() + SETTLE_SECONDS
+        self._next_attempt_at = self._node.clock.now() + STARTUP_DELAY_SECONDS
         self._tasks.keep(self._run)
-        self._tasks.keep(self._follow_clock)
+        self._tasks.keep(self._watch_lease_expiry)
 
     async def stop(self) -> None:
         """Give everything up at once, so that successors need not wait."""
         await self._tasks.cancel()
         lease_id = self.holdings.lease_id
-        self._note_released(self.holdings.pools_by_id.values())
+        self._log_released(self.holdings.pools_by_id.values())
         record_lapse(self.holdings)
         if lease_id is not None:
             await self._node.store.revoke_lease(LeaseId(lease_id))
@@ -104,10 +104,10 @@
     async def _run(self) -> None:
         while not self._node.stopping:
             await self._renew()
-            await self._follow_plan()
+            await self._apply_plan()
             await asyncio.sleep(TICK_SECONDS)
 
-    async def _follow_clock(self) -> None:
+    async def _watch_lease_expiry(self) -> None:
         """Log when this process stops acting by its own clock.
 
         The store may answer much later that the lease is gone; read from that
@@ -142,9 +142,9 @@
             return
         self._plan_renewal(now)
         record_lease(self.holdings, lease_id, now, min(ttl, LEASE_SECONDS))
-        self._resume()
+        self._log_resumed()
 
-    def _resume(self) -> None:
+    def _log_resumed(self) -> None:
         """Act again for pools whose keys outlived the store's silence."""
         if not self._suspended:
             return
@@ -159,16 +159,16 @@
         spread = self._node.rng.uniform(0.9, 1.1)
         self._renew_at = renewed_at + RENEW_SECONDS * spread
 
-    async def _follow_plan(self) -> None:
+    async def _apply_plan(self) -> None:
         config = self._node.config
         now = self._node.clock.now()
-        if config is None or now < self._try_at:
+        if config is None or now < self._next_attempt_at:
             return
         members = self._peers.list_steady()
         plan = plan_holders(self.holdings, config.pools_by_id, members, now)
         released = [self.holdings.pools_by_id.pop(each) for each in plan.release]
-        self._note_released(released)
-        self._to_delete += released
+        self._log_released(released)
+        self._keys_to_delete += released
         await self._delete_keys()
         if plan.acquire:
             await self._acquire(plan.acquire[:MAX_POOLS_PER_CALL])
@@ -198,11 +198,13 @@
             return
         self._failures = 0
         spread = self._node.rng.uniform(0.75, 1.25)
-        self._try_at = self._node.clock.now() + TRY_SECONDS * spread
+        self._next_attempt_at = (
+            self._node.clock.now() + ACQUIRE_INTERVAL_SECONDS * spread
+        )
         for pool_id, committed in zip(pool_ids, answer.unwrap(), strict=True):
-            self._note_attempt(pool_id, committed, lease_id)
+            self._record_acquisition(pool_id, committed, lease_id)
 
-    def _note_attempt(
+    def _record_acquisition(
         self, pool_id: PoolId, committed: Committed, lease_id: int
     ) -> None:
         if self.holdings.lease_id != lease_id:
@@ -215,7 +217,9 @@
             if found is None or found.lease_id != lease_id:
                 return
             revision = found.mod_revision
-        self._to_delete = [each for each in self._to_delete if each.pool_id != pool_id]
+        self._keys_to_delete = [
+            each for each in self._keys_to_delete if each.pool_id != pool_id
+        ]
         self.holdings.pools_by_id[pool_id] = HeldPool(pool_id, revision)
         self._node.log.info(Event.POOL_HELD, pool=pool_id, fence=revision)
 
@@ -236,7 +240,7 @@
         A key whose deletion got no answer is tried again: the lease is kept
         alive for the other pools, and the key would bar successors for ever.
         """
-        for held in list(self._to_delete):
+        for held in list(self._keys_to_delete):
             key = _key(held.pool_id)
             expect = Expect(key, held.mod_revision)
             answer = await self._node.store.commit(
@@ -245,9 +249,9 @@
             if not isinstance(answer, Success):
                 self._back_off()
                 return
-            self._to_delete.remove(held)
+            self._keys_to_delete.remove(held)
 
-    def _note_released(self, released: Iterable[HeldPool]) -> None:
+    def _log_released(self, released: Iterable[HeldPool]) -> None:
         """Log what is given up, before a successor can hold it.
 
         Logged after the key is gone, the release would stand behind the
@@ -258,8 +262,8 @@
 
     def _back_off(self) -> None:
         self._failures += 1
-        wait = TRY_SECONDS / 2 + plan_retry(self._failures, self._node.rng)
-        self._try_at = self._node.clock.now() + wait
+        wait = ACQUIRE_INTERVAL_SECONDS / 2 + plan_retry(self._failures, self._node.rng)
+        self._next_attempt_at = self._node.clock.now() + wait
 
 
 def _key(pool_id: PoolId) -> str:
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_reports.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_reports.py
@@ -13,12 +13,12 @@
     from medlarspring_daemon.node import Node
     from medlarspring_tables import MemberTable, Seconds
 
-FILL_SECONDS = 0.2
+COLLECT_INTERVAL_SECONDS = 0.2
 """What the services say is collected at most so often, for all peers at once."""
-FULL_SECONDS = 5.0
+FULL_REPORT_INTERVAL_SECONDS = 5.0
 """Unchanged usage is repeated so often, in case a report was lost."""
 
-MAX_USAGE = 32
+MAX_USAGE_ENTRIES = 32
 """Changed shares in one report; more of them wait for the next ones."""
 
 Usage = tuple[int, int, int]
@@ -30,7 +30,7 @@
 
     usage_by_share: dict[tuple[str, str], Usage | None] = field(default_factory=dict)
     """In the order of sending, the one sent longest ago first."""
-    full_at: Seconds = -FULL_SECONDS
+    full_sent_at: Seconds = -FULL_REPORT_INTERVAL_SECONDS
 
 
 class ReportBuilder:
@@ -40,16 +40,16 @@
         self._node = node
         self._members = members
         self._sequence = 0
-        self._filled = peer_pb2.Report()
-        self._filled_at: Seconds | None = None
+        self._collected = peer_pb2.Report()
+        self._collected_at: Seconds | None = None
         self._sent_by_id: dict[EntryVMId, SentUsage] = {}
 
     def build(self, recipient: EntryVMId) -> peer_pb2.Report:
         """Return the next report for one peer."""
         now = self._node.clock.now()
-        self._fill(now)
+        self._collect(now)
         report = peer_pb2.Report()
-        report.CopyFrom(self._filled)
+        report.CopyFrom(self._collected)
         self._sequence += 1
         report.sequence = self._sequence
         report.leaving = self._node.stopping
@@ -59,7 +59,7 @@
             report.heard.append(recipient)
         if self._node.config is not None:
             report.table_revision = self._node.config.revision
-        self._leave_out_unchanged(report, recipient, now)
+        self._remove_unchanged(report, recipient, now)
         return report
 
     def forget(self) -> None:
@@ -67,10 +67,13 @@
         for entry_vm_id in self._sent_by_id.keys() - self._members.members_by_id.keys():
             del self._sent_by_id[entry_vm_id]
 
-    def _fill(self, now: Seconds) -> None:
-        if self._filled_at is not None and now - self._filled_at < FILL_SECONDS:
+    def _collect(self, now: Seconds) -> None:
+        if (
+            self._collected_at is not None
+            and now - self._collected_at < COLLECT_INTERVAL_SECONDS
+        ):
             return
-        self._filled_at = now
+        self._collected_at = now
         report = peer_pb2.Report(
             sender=self._node.id,
             incarnation=self._node.incarnation,
@@ -81,14 +84,14 @@
         )
         for part in self._node.report_parts:
             part.fill_report(report)
-        self._filled = report
+        self._collected = report
 
-    def _leave_out_unchanged(
+    def _remove_unchanged(
         self, report: peer_pb2.Report, recipient: EntryVMId, now: Seconds
     ) -> None:
         sent = self._sent_by_id.setdefault(recipient, SentUsage())
-        if now - sent.full_at >= FULL_SECONDS:
-            sent.full_at = now
+        if now - sent.full_sent_at >= FULL_REPORT_INTERVAL_SECONDS:
+            sent.full_sent_at = now
             sent.usage_by_share = dict.fromkeys(sent.usage_by_share)
         else:
             report.ClearField("operator_address")
@@ -108,18 +111,18 @@
 
     Hundreds of partners at work would fill every report; each gets its turn.
     """
-    order = {share: place for place, share in enumerate(sent.usage_by_share)}
+    order = {share: position for position, share in enumerate(sent.usage_by_share)}
     changed = []
     for usage in report.usage:
-        facts = (usage.slot_ms, usage.waiting, usage.running)
+        values = (usage.slot_ms, usage.waiting, usage.running)
         share = (usage.partner, usage.pool)
-        if sent.usage_by_share.get(share) != facts:
-            changed.append((order.get(share, -1), share, facts, usage))
+        if sent.usage_by_share.get(share) != values:
+            changed.append((order.get(share, -1), share, values, usage))
     changed.sort(key=lambda each: each[0])
-    for _, share, facts, _ in changed[:MAX_USAGE]:
+    for _, share, values, _ in changed[:MAX_USAGE_ENTRIES]:
         sent.usage_by_share.pop(share, None)
-        sent.usage_by_share[share] = facts
-    return [each[3] for each in changed[:MAX_USAGE]]
+        sent.usage_by_share[share] = values
+    return [each[3] for each in changed[:MAX_USAGE_ENTRIES]]
 
 
 def to_heartbeat(report: peer_pb2.Report) -> Heartbeat:
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_answers.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_request_handler.py
@@ -21,7 +21,7 @@
 WRONG_TOKEN_LOG_SECONDS = 10.0
 
 
-class ReportTaker(Protocol):
+class ReportReceiver(Protocol):
     """Learns from the reports that peers send."""
 
     def take_report(self, report: peer_pb2.Report) -> None:
@@ -33,21 +33,23 @@
         ...
 
 
-class PeerAnswers:
+class PeerRequestHandler:
     """Implements ``PeerHandlers``."""
 
-    def __init__(self, node: Node, reports: ReportBuilder, taker: ReportTaker) -> None:
+    def __init__(
+        self, node: Node, reports: ReportBuilder, receiver: ReportReceiver
+    ) -> None:
         self._node = node
         self._reports = reports
-        self._taker = taker
-        self._packed: tuple[ConfigTable, bytes] | None = None
+        self._receiver = receiver
+        self._compressed: tuple[ConfigTable, bytes] | None = None
         self._wrong_token_logged_at = -WRONG_TOKEN_LOG_SECONDS
 
     def exchange(self, report: peer_pb2.Report) -> peer_pb2.Report:
         """Take a peer's report and return the own one."""
-        self._taker.take_report(report)
+        self._receiver.take_report(report)
         reply = self._reports.build(EntryVMId(report.sender))
-        self._taker.note_bytes(reply, report)
+        self._receiver.note_bytes(reply, report)
         return reply
 
     def grant_slots(self, request: peer_pb2.SlotRequest) -> peer_pb2.SlotReply:
@@ -65,7 +67,7 @@
             return peer_pb2.TableReply()
         if table.revision <= request.known_revision:
             return peer_pb2.TableReply(revision=table.revision)
-        return peer_pb2.TableReply(revision=table.revision, table=self._pack(table))
+        return peer_pb2.TableReply(revision=table.revision, table=self._compress(table))
 
     def find_decisions(self, query: peer_pb2.DecisionQuery) -> peer_pb2.DecisionReply:
         """Return what is remembered about a subject."""
@@ -86,11 +88,11 @@
         self._wrong_token_logged_at = now
         self._node.log.warning(Event.PEER_TOKEN_WRONG)
 
-    def _pack(self, table: ConfigTable) -> bytes:
-        if self._packed is None or self._packed[0] is not table:
+    def _compress(self, table: ConfigTable) -> bytes:
+        if self._compressed is None or self._compressed[0] is not table:
             encoded = msgspec.json.encode(table)
-            self._packed = (table, zlib.compress(encoded, COMPRESSION_LEVEL))
-        return self._packed[1]
+            self._compressed = (table, zlib.compress(encoded, COMPRESSION_LEVEL))
+        return self._compressed[1]
 
 
-__all__ = ["PeerAnswers", "ReportTaker"]
+__all__ = ["PeerRequestHandler", "ReportReceiver"]
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_service.py
@@ -18,8 +18,8 @@
     create_peer_client,
 )
 from medlarspring_adapters.peer_server import create_peer_server
-from medlarspring_daemon.membership.peer_answers import PeerAnswers
 from medlarspring_daemon.membership.peer_reports import ReportBuilder, to_heartbeat
+from medlarspring_daemon.membership.peer_request_handler import PeerRequestHandler
 from medlarspring_daemon.tasks import Tasks
 from medlarspring_systems import membership
 from medlarspring_systems.exchange import ExchangePlan, forget, list_due, note_bytes
@@ -33,10 +33,10 @@
     from medlarspring_tables import ConfigTable, Seconds, VMList
 
 TICK_SECONDS = 0.1
-EXCHANGE_SECONDS = 1.0
-FETCH_SECONDS = 3.0
-ASK_SECONDS = 2.0
-FAREWELL_SECONDS = 0.5
+EXCHANGE_TIMEOUT_SECONDS = 1.0
+FETCH_TABLE_TIMEOUT_SECONDS = 3.0
+FIND_DECISIONS_TIMEOUT_SECONDS = 2.0
+LEAVING_TIMEOUT_SECONDS = 0.5
 FAILURES_BEFORE_RECONNECT = 2
 FRAMING_BYTES = 240
 """HTTP/2 and TCP framing of one exchange, both directions."""
@@ -50,28 +50,30 @@
         section = node.settings.peer
         self._token = section.token_file.read_text(encoding="utf-8").strip()
         self.members = MemberTable(node.id, ZoneId(node.settings.entry_vm.zone))
-        self.news = asyncio.Event()
+        self.newer_table_seen = asyncio.Event()
         """Set when a report named a newer table than that in force."""
         self.bytes_exchanged = 0
         self.slot_bytes = 0
         self.calls = 0
         self._reports = ReportBuilder(node, self.members)
-        self._answers = PeerAnswers(node, self._reports, self)
-        self._server = create_peer_server(section.listen, self._token, self._answers)
+        self._request_handler = PeerRequestHandler(node, self._reports, self)
+        self._server = create_peer_server(
+            section.listen, self._token, self._request_handler
+        )
         self._plan = ExchangePlan()
         self._clients_by_id: dict[EntryVMId, PeerClient] = {}
         self._failures_by_id: dict[EntryVMId, int] = {}
         self._in_flight: set[EntryVMId] = set()
-        self._tried: set[EntryVMId] = set()
+        self._contacted: set[EntryVMId] = set()
         self._tasks = Tasks(node.log)
-        self._list_taken: VMList | None = None
+        self._applied_vm_list: VMList | None = None
         self._ticked_at = node.clock.now()
 
     async def start(self) -> None:
         """Open the peer port and begin to exchange reports."""
         self._node.addresses["peer"] = await self._server.start()
         self._node.peers = self
-        self._node.config_listeners.append(self._spread_table)
+        self._node.config_listeners.append(self._announce_table)
         self._ticked_at = self._node.clock.now()
         self._tasks.keep(self._run)
 
@@ -79,8 +81,10 @@
         """Tell the peers that this process leaves, then close the port."""
         await self._tasks.cancel()
         heard = list(self.heard_by_id.values())
-        farewells = [self._exchange(member, FAREWELL_SECONDS) for member in heard]
-        await asyncio.gather(*farewells)
+        leaving_exchanges = [
+            self._exchange(member, LEAVING_TIMEOUT_SECONDS) for member in heard
+        ]
+        await asyncio.gather(*leaving_exchanges)
         for client in self._clients_by_id.values():
             await client.close()
         self._clients_by_id.clear()
@@ -117,16 +121,16 @@
         ids = membership.list_steady(self.members, now, own_zone_only=own_zone_only)
         return [self.members.members_by_id[each] for each in ids]
 
-    def has_asked_zone(self) -> bool:
+    def has_contacted_zone(self) -> bool:
         """Return whether each listed peer of the zone answered or failed once."""
-        if self._list_taken is None:
+        if self._applied_vm_list is None:
             return False
-        near = {
+        own_zone_ids = {
             member.id
             for member in self.members.members_by_id.values()
             if member.listed and member.zone_id == self.members.own_zone_id
         }
-        return near <= self._tried
+        return own_zone_ids <= self._contacted
 
     async def call_grant_slots(
         self,
@@ -139,7 +143,7 @@
         if member is None:
             return Failure(PeerUnreachable(entry_vm_id, "it is not known"))
         answer = await self._open_client(member).grant_slots(request, timeout_seconds)
-        self._note_answer(member, answer)
+        self._record_call_result(member, answer)
         self.slot_bytes += request.ByteSize() + FRAMING_BYTES
         if isinstance(answer, Success):
             self.slot_bytes += answer.unwrap().ByteSize()
@@ -153,21 +157,26 @@
         if member is None:
             return Failure(PeerUnreachable(entry_vm_id, "it is not known"))
         request = peer_pb2.TableRequest(known_revision=known)
-        answer = await self._open_client(member).fetch_table(request, FETCH_SECONDS)
-        self._note_answer(member, answer)
+        answer = await self._open_client(member).fetch_table(
+            request, FETCH_TABLE_TIMEOUT_SECONDS
+        )
+        self._record_call_result(member, answer)
         if not isinstance(answer, Success):
             return Failure(answer.failure())
-        packed = answer.unwrap().table
-        self.bytes_exchanged += len(packed) + FRAMING_BYTES
-        return Success(zlib.decompress(packed) if packed else b"")
+        compressed = answer.unwrap().table
+        self.bytes_exchanged += len(compressed) + FRAMING_BYTES
+        return Success(zlib.decompress(compressed) if compressed else b"")
 
     async def find_decisions(self, kind: str, id: str) -> list[bytes]:  # noqa: A002
         """Return what this process and all heard peers remember, as JSON."""
         query = peer_pb2.DecisionQuery(kind=kind, id=id)
-        found = list(self._answers.find_decisions(query).decisions)
+        found = list(self._request_handler.find_decisions(query).decisions)
         clients = [self._open_client(each) for each in self.heard_by_id.values()]
         answers = await asyncio.gather(
-            *(client.find_decisions(query, ASK_SECONDS) for client in clients)
+            *(
+                client.find_decisions(query, FIND_DECISIONS_TIMEOUT_SECONDS)
+                for client in clients
+            )
         )
         for answer in answers:
             if isinstance(answer, Success):
@@ -178,15 +187,15 @@
         """Learn from one report, unless it is late or sent twice."""
         now = self._node.clock.now()
         heartbeat = to_heartbeat(report)
-        is_news, changes = membership.take_heartbeat(self.members, heartbeat, now)
+        is_new, changes = membership.take_heartbeat(self.members, heartbeat, now)
         self._log_changes(changes)
-        if not is_news:
+        if not is_new:
             return
         for part in self._node.report_parts:
             part.take_report(report)
         known = self._node.config.revision if self._node.config else 0
         if heartbeat.table_revision > known:
-            self.news.set()
+            self.newer_table_seen.set()
 
     def note_bytes(self, sent: peer_pb2.Report, received: peer_pb2.Report) -> None:
         """Count what one exchange took."""
@@ -208,9 +217,9 @@
             membership.note_freeze(self.members, gap, now)
             self._node.log.warning(Event.FROZEN, seconds=round(gap, 3))
         vm_list = self._node.vm_list
-        if vm_list is not None and vm_list is not self._list_taken:
+        if vm_list is not None and vm_list is not self._applied_vm_list:
             membership.take_list(self.members, vm_list, now)
-            self._list_taken = vm_list
+            self._applied_vm_list = vm_list
         self._log_changes(membership.tick(self.members, now))
         for member in list_due(self._plan, self.members, now, self._node.rng):
             self._begin_exchange(member)
@@ -219,9 +228,9 @@
         if member.id in self._in_flight:
             return
         self._in_flight.add(member.id)
-        self._tasks.start(self._exchange(member, EXCHANGE_SECONDS))
+        self._tasks.start(self._exchange(member, EXCHANGE_TIMEOUT_SECONDS))
 
-    def _spread_table(self, table: ConfigTable) -> None:
+    def _announce_table(self, table: ConfigTable) -> None:
         """Tell the zone of a newer table at once, not at the next interval."""
         for member in self.heard_by_id.values():
             if member.zone_id != self.members.own_zone_id:
@@ -236,7 +245,7 @@
             answer = await client.exchange(report, timeout_seconds)
         finally:
             self._in_flight.discard(member.id)
-        self._note_answer(member, answer)
+        self._record_call_result(member, answer)
         if not isinstance(answer, Success):
             return
         reply = answer.unwrap()
@@ -248,9 +257,9 @@
             now = self._node.clock.now()
             self._log_changes(membership.note_refused(self.members, member.id, now))
         self.take_report(reply)
-        self._repeat_if_outdated(member, report)
+        self._repeat_if_table_changed(member, report)
 
-    def _repeat_if_outdated(self, member: Member, sent: peer_pb2.Report) -> None:
+    def _repeat_if_table_changed(self, member: Member, sent: peer_pb2.Report) -> None:
         """Tell the zone at once of a table that came in force during the call."""
         table = self._node.config
         if table is None or member.zone_id != self.members.own_zone_id:
@@ -268,9 +277,11 @@
         self._clients_by_id[member.id] = client
         return client
 
-    def _note_answer(self, member: Member, answer: Result[Any, PeerError]) -> None:
+    def _record_call_result(
+        self, member: Member, answer: Result[Any, PeerError]
+    ) -> None:
         now = self._node.clock.now()
-        self._tried.add(member.id)
+        self._contacted.add(member.id)
         if isinstance(answer, Success):
             member.reached_at = now
             self._failures_by_id[member.id] = 0
--- a/packages/daemon/src/medlarspring_daemon/operators/audit_reader.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/audit_reader.py
@@ -27,7 +27,7 @@
 
 
 async def read_audit(
-    store: Store, newest: Revision, wanted: AuditFilter, limit: int
+    store: Store, newest: Revision, audit_filter: AuditFilter, limit: int
 ) -> Result[AuditAnswer, StoreError]:
     """Return the newest matching records, oldest first.
 
@@ -45,9 +45,9 @@
             for entry in listing.unwrap().entries
         ]
         page.sort(key=lambda record: (record.revision, record.at))
-        found = [record for record in page if matches(record, wanted)]
+        found = [record for record in page if matches(record, audit_filter)]
         records = found + records
-        is_old = bool(page) and page[-1].at < wanted.since
+        is_old = bool(page) and page[-1].at < audit_filter.since
         if len(records) >= limit or start == 0 or is_old:
             start = Revision(0)
             break
--- a/packages/daemon/src/medlarspring_daemon/operators/audit_routes.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/audit_routes.py
@@ -41,9 +41,9 @@
     async def _search(self, request: web.Request) -> web.Response:
         limit = read_number(request, "limit", DEFAULT_RECORDS, MAX_RECORDS)
         before = read_number(request, "before", MAX_REVISION, MAX_REVISION)
-        wanted = _read_filter(request)
+        audit_filter = _read_filter(request)
         newest = min(await self._find_newest(), Revision(before - 1))
-        found = await read_audit(self._store, newest, wanted, limit)
+        found = await read_audit(self._store, newest, audit_filter, limit)
         return answer(unwrap_or_refuse(found))
 
     async def _find_newest(self) -> Revision:
--- a/packages/daemon/src/medlarspring_daemon/operators/service.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/service.py
@@ -60,7 +60,7 @@
         self._runner: web.AppRunner | None = None
         self._server: CallerServer | None = None
         self._listener: asyncio.Server | None = None
-        self._sweep: asyncio.Task[None] | None = None
+        self._sweep_task: asyncio.Task[None] | None = None
         self._status = StatusRoutes(node)
         self._editor = TableEditor(
             node.store.bill_to(Mechanism.EDITS),
@@ -75,7 +75,7 @@
         settings = self._node.settings.operator
         self._token = settings.token_file.read_text(encoding="utf-8").strip().encode()
         app = web.Application(
-            middlewares=[self._answer_problems, self._check_token],
+            middlewares=[self._convert_errors, self._check_token],
             client_max_size=self._limits.max_body_bytes,
         )
         app.add_routes(TableRoutes(self._node, self._editor).routes())
@@ -84,18 +84,18 @@
         app.add_routes(self._node.operator_routes)
         self._runner = web.AppRunner(app)
         await self._runner.setup()
-        inner = self._runner.server
-        assert inner is not None
+        app_server = self._runner.server
+        assert app_server is not None
         self._server = CallerServer(
-            inner.request_handler,
+            app_server.request_handler,
             self._limits,
-            self._note_failure,
-            request_factory=inner.request_factory,
+            self._log_failure,
+            request_factory=app_server.request_factory,
             # An operator who breaks off a command must not stop an edit between
             # its write and the answer that his retry will look for.
             handler_cancellation=False,
         )
-        self._sweep = asyncio.create_task(self._server.sweep())
+        self._sweep_task = asyncio.create_task(self._server.sweep())
         host, _, port = settings.listen.rpartition(":")
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
@@ -111,16 +111,16 @@
         if self._server is not None:
             self._server.pre_shutdown()
             await self._server.shutdown(SHUTDOWN_SECONDS)
-        if self._sweep is not None:
-            self._sweep.cancel()
+        if self._sweep_task is not None:
+            self._sweep_task.cancel()
         if self._runner is not None:
             await self._runner.cleanup()
 
-    def _note_failure(self, error: BaseException | None) -> None:
+    def _log_failure(self, error: BaseException | None) -> None:
         self._node.log.error(Event.OPERATOR_FAILED, path="", error=repr(error))
 
     @web.middleware
-    async def _answer_problems(
+    async def _convert_errors(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
         try:
--- a/packages/daemon/src/medlarspring_daemon/operators/status.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/status.py
@@ -18,9 +18,9 @@
     from medlarspring_daemon.node import Node
     from medlarspring_tables import ConfigTable, Member, Seconds
 
-SLOW_POLLS = 3
+STALE_AFTER_POLLS = 3
 """Polls of the VM list that may fail before it counts as stale."""
-SLOW_STORE_SECONDS = 1.0
+STORE_OUTAGE_SECONDS = 1.0
 """Shorter failures of the store are lost calls, not an outage."""
 
 _RANK = {health: rank for rank, health in enumerate(Health)}
@@ -32,19 +32,19 @@
     def __init__(self, node: Node) -> None:
         self._node = node
         self._in_force_since: Seconds | None = None
-        node.config_listeners.append(self._note_table)
+        node.config_listeners.append(self._record_table)
 
     def describe(self) -> StatusAnswer:
         """Return the state of this entry VM as it knows it."""
         node = self._node
-        findings = tuple(self._find())
-        place = node.settings.entry_vm
+        findings = tuple(self._list_findings())
+        entry_vm_settings = node.settings.entry_vm
         return StatusAnswer(
             entry_vm=node.id,
-            zone=place.zone,
-            region=place.region,
+            zone=entry_vm_settings.zone,
+            region=entry_vm_settings.region,
             at=node.clock.wall(),
-            health=worst(findings),
+            health=find_worst_health(findings),
             table_revision=node.config.revision if node.config else None,
             stopping=node.stopping,
             findings=findings,
@@ -57,10 +57,10 @@
             addresses=dict(node.addresses),
         )
 
-    def _note_table(self, table: ConfigTable) -> None:
+    def _record_table(self, table: ConfigTable) -> None:
         self._in_force_since = self._node.clock.now()
 
-    def _find(self) -> Iterator[Finding]:
+    def _list_findings(self) -> Iterator[Finding]:
         if self._node.stopping:
             detail = "shutting down; requests in flight are finished"
             yield Finding(area="daemon", health=Health.DEGRADED, detail=detail)
@@ -74,7 +74,7 @@
     def _check_store(self) -> Finding:
         calls = self._node.store.calls
         failing = self._node.store.failing_seconds()
-        if failing >= SLOW_STORE_SECONDS:
+        if failing >= STORE_OUTAGE_SECONDS:
             return Finding(
                 area="store",
                 health=Health.CUT_OFF,
@@ -138,7 +138,7 @@
         age = self._node.clock.now() - vm_list.read_at
         vms = len(vm_list.vms_by_id)
         detail = f"{vms} upstream VMs, read {age:.0f} s ago"
-        if age <= SLOW_POLLS * self._node.settings.vm_list.poll_seconds:
+        if age <= STALE_AFTER_POLLS * self._node.settings.vm_list.poll_seconds:
             return Finding(area="vm list", health=Health.OK, detail=detail)
         since = self._to_wall(vm_list.read_at)
         return Finding(area="vm list", health=Health.STALE, detail=detail, since=since)
@@ -165,7 +165,7 @@
         return self._node.clock.wall() - (self._node.clock.now() - at)
 
 
-def worst(findings: Iterable[Finding]) -> Health:
+def find_worst_health(findings: Iterable[Finding]) -> Health:
     """Return the worst health among the findings."""
     found = (finding.health for finding in findings)
     return max(found, key=_RANK.__getitem__, default=Health.OK)
@@ -175,4 +175,4 @@
     return peer.state in (MemberState.SILENT, MemberState.LISTED, MemberState.DEAD)
 
 
-__all__ = ["StatusReporter", "worst"]
+__all__ = ["StatusReporter", "find_worst_health"]
--- a/packages/daemon/tests/test_audit_trail.py
+++ b/packages/daemon/tests/test_audit_trail.py
@@ -55,7 +55,7 @@
     return [int(entry.key.partition("/")[2]) for entry in listing.entries]
 
 
-async def test_two_entry_vms_trim_the_same_trail_without_harm(node):
+async def test_concurrent_trims_keep_unexpired_records(node):
     """
     Two entry VMs begin a round at once. Each step names the mark that it read,
     so that one of two racing steps is written; the other's is given up, and the
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("fault", ["down", "lose_replies", "lose_requests"])
-async def test_round_that_meets_a_failing_store_is_ended_and_done_later(node, fault):
+async def test_trim_round_is_aborted_on_store_failure_and_repeated_later(node, fault):
     await write_records(node.store, range(10), at=0.0)
     faults = node.store._inner.faults
     setattr(faults, fault, True if fault == "down" else 1)
--- a/packages/daemon/tests/test_config_service.py
+++ b/packages/daemon/tests/test_config_service.py
@@ -70,11 +70,11 @@
     return all(table is not None and table.revision == revision for table in tables)
 
 
-def taken(node: ControlNode) -> list[object]:
+def list_tables_in_force(node: ControlNode) -> list[object]:
     return [record["revision"] for record in node.events(TABLE_IN_FORCE)]
 
 
-async def test_two_of_a_zone_watch_and_the_others_hear_from_them(start: Start):
+async def test_two_entry_vms_of_a_zone_watch_and_inform_the_others(start: Start):
     state = create_state(1)
     nodes = [await start(name, state) for name in "abcd"]
     list_nodes(nodes)
@@ -119,7 +119,7 @@
     await wait_until(lambda: is_in_force(2, *nodes))
 
 
-async def test_older_answer_of_the_store_is_reported_and_not_taken(start: Start):
+async def test_older_table_of_the_store_is_reported_and_not_applied(start: Start):
     """
     The store is restored from a backup: the table it gives out is older than
     the one in force. Callers must not see accepted limits revert; operators
@@ -154,7 +154,7 @@
     second = await start("b", create_state(4))
     list_nodes([first, second])
     await wait_until(lambda: is_in_force(5, second))
-    assert taken(second) == [5]
+    assert list_tables_in_force(second) == [5]
 
 
 async def test_start_while_the_store_is_down(start: Start):
--- a/packages/daemon/tests/test_fleet_desk.py
+++ b/packages/daemon/tests/test_fleet_command_handler.py
@@ -9,7 +9,7 @@
 from medlarspring_adapters.store import Put, Transaction
 from medlarspring_bench.key_value_state import KeyValueState
 from medlarspring_bench.memory_store import MemoryStore
-from medlarspring_daemon.fleet.desk import FleetDesk
+from medlarspring_daemon.fleet.command_handler import FleetCommandHandler
 from medlarspring_tables import (
     ConfigTable,
     PoolId,
@@ -49,23 +49,23 @@
 
 
 @pytest.fixture
-def desk(store) -> FleetDesk:
-    return FleetDesk(store, ManualClock(), "e1")
+def handler(store) -> FleetCommandHandler:
+    return FleetCommandHandler(store, ManualClock(), "e1")
 
 
-async def change(desk, action, reason=""):
+async def change(handler, action, reason=""):
     wanted = ChangeWave(operator="asha", reason=reason)
-    return await desk.change_wave(WAVE, action, wanted, CONFIG, "10.0.0.9")
+    return await handler.change_wave(WAVE, action, wanted, CONFIG, "10.0.0.9")
 
 
-async def test_wave_is_started_paused_resumed_and_aborted_with_audit(desk, store):
+async def test_wave_is_started_paused_resumed_and_aborted_with_audit(handler, store):
     start = StartWave(id=WAVE, operator="asha", pool_ids=(PoolId("a"),))
-    wave = (await desk.start_wave(start, CONFIG, "10.0.0.9")).unwrap()
+    wave = (await handler.start_wave(start, CONFIG, "10.0.0.9")).unwrap()
     assert wave.vm_ids == {"a0", "a1"}
-    assert (await change(desk, "pause", "storm")).unwrap().reason == "storm"
-    assert (await change(desk, "resume")).unwrap().state is WaveState.RUNNING
-    assert (await change(desk, "abort")).unwrap().state is WaveState.ABORTED
-    assert "aborted" in (await change(desk, "pause")).failure().message()
+    assert (await change(handler, "pause", "storm")).unwrap().reason == "storm"
+    assert (await change(handler, "resume")).unwrap().state is WaveState.RUNNING
+    assert (await change(handler, "abort")).unwrap().state is WaveState.ABORTED
+    assert "aborted" in (await change(handler, "pause")).failure().message()
     audit = (await store.read_prefix("audit/")).unwrap().entries
     records = [msgspec.json.decode(entry.value, type=AuditRecord) for entry in audit]
     actions = {record.action for record in records}
@@ -73,7 +73,7 @@
     assert {record.operator for record in records} == {"asha"}
 
 
-async def test_command_repeated_after_a_lost_reply_is_applied_once(desk, store):
+async def test_command_repeated_after_a_lost_reply_is_applied_once(handler, store):
     """
     The reply to "wave start" is lost after the write took effect. The operator
     is told that the outcome is unknown and repeats the command with the same
@@ -81,19 +81,19 @@
     """
     start = StartWave(id=WAVE, operator="asha")
     store.faults.lose_replies = 1
-    lost = await desk.start_wave(start, CONFIG, "10.0.0.9")
+    lost = await handler.start_wave(start, CONFIG, "10.0.0.9")
     assert "same id" in lost.failure().message()
-    again = await desk.start_wave(start, CONFIG, "10.0.0.9")
+    again = await handler.start_wave(start, CONFIG, "10.0.0.9")
     assert len(again.unwrap().vm_ids) == 4
     assert len((await store.read_prefix("audit/")).unwrap().entries) == 1
 
 
-async def test_moves_are_wished_for_once(desk):
+async def test_moves_are_requested_once(handler):
     wish = StartMoves(
         id="m", operator="asha", from_pool_id=PoolId("a"), to_pool_id=PoolId("b")
     )
-    first = (await desk.start_moves(wish, CONFIG, "10.0.0.9")).unwrap()
-    assert (await desk.start_moves(wish, CONFIG, "10.0.0.9")).unwrap() == first
+    first = (await handler.start_moves(wish, CONFIG, "10.0.0.9")).unwrap()
+    assert (await handler.start_moves(wish, CONFIG, "10.0.0.9")).unwrap() == first
 
 
 @pytest.mark.parametrize(
@@ -105,10 +105,10 @@
         ({"count": 33}, "33 VMs"),
     ],
 )
-async def test_moves_that_cannot_be_are_refused_with_the_reason(desk, changes, reason):
+async def test_impossible_moves_are_refused_with_the_reason(handler, changes, reason):
     wish = StartMoves(
         id="m", operator="asha", from_pool_id=PoolId("a"), to_pool_id=PoolId("b")
     )
     wish = msgspec.structs.replace(wish, **changes)
-    refused = await desk.start_moves(wish, CONFIG, "10.0.0.9")
+    refused = await handler.start_moves(wish, CONFIG, "10.0.0.9")
     assert reason in refused.failure().message()
--- a/packages/daemon/tests/test_fleet_rounds.py
+++ b/packages/daemon/tests/test_fleet_rounds.py
@@ -5,7 +5,7 @@
 from medlarspring_bench.fleet_checker import FleetChecker
 from medlarspring_bench.fleet_world import FleetShape, FleetWorld
 from medlarspring_bench.vm_control_state import Condition, VMTimes
-from medlarspring_daemon.fleet.rounds import PUT_BACK_AFTER_SECONDS
+from medlarspring_daemon.fleet.rounds import RESTORE_AFTER_SECONDS
 from medlarspring_tables import VMId, WaveId
 from medlarspring_tables.vms import VMState
 from medlarspring_tables.waves import WaveRecord
@@ -28,7 +28,7 @@
     return sum(row.condition is condition for row in rows)
 
 
-def test_store_outage_starts_nothing_and_puts_drained_vms_back(world):
+def test_store_outage_starts_nothing_and_restores_drained_vms(world):
     """
     The store goes down while the first VMs of a wave are drained. No reboot can
     be intended, so they would stand idle for the whole outage: after ten
@@ -42,7 +42,7 @@
     world.processes[0].store.faults.down = True
     world.run_rounds(5, seconds=1.0)
     assert count(world, Condition.SERVING) == 12
-    world.run_rounds(int(PUT_BACK_AFTER_SECONDS) + 5, seconds=1.0)
+    world.run_rounds(int(RESTORE_AFTER_SECONDS) + 5, seconds=1.0)
     assert count(world, Condition.SERVING) == 16
     world.run_rounds(60, seconds=10.0)
     assert checker.drains == 4
@@ -72,7 +72,7 @@
     assert checker.violations == []
 
 
-def test_silent_vm_control_starts_no_further_drain(world):
+def test_unresponsive_vm_control_starts_no_further_drain(world):
     """
     The platform's VM control gives no answer. Nobody knows which VMs serve, so
     after a few seconds all count as unseen and none is drained.
--- a/packages/daemon/tests/test_fleet_service.py
+++ b/packages/daemon/tests/test_fleet_service.py
@@ -99,7 +99,9 @@
             await asyncio.sleep(0.01)
 
 
-async def test_wave_goes_on_under_a_successor(state, platform, tmp_path, monkeypatch):
+async def test_wave_goes_on_under_the_next_holder(
+    state, platform, tmp_path, monkeypatch
+):
     """
     An operator starts a wave over one pool; after the first reboot the entry VM
     that holds the pool shuts down. Another one adopts nothing anew, goes on
@@ -127,7 +129,7 @@
     assert [row.boot for row in vm_state.rows_by_id.values()] == [2, 2, 2, 2]
 
 
-async def test_request_path_is_told_of_each_vm_that_a_wave_brings_back(
+async def test_request_path_is_notified_of_each_vm_that_a_wave_returns(
     state, platform, tmp_path, monkeypatch
 ):
     monkeypatch.setattr(fleet_service, "TICK_SECONDS", 0.02)
@@ -155,7 +157,7 @@
             return await response.read()
 
 
-async def test_client_tells_refusals_from_silence(platform):
+async def test_client_distinguishes_refusals_from_missing_answers(platform):
     vm_state, url = platform
     control = HttpVMControl(url, timeout_seconds=1.0)
     seen = (await control.act(VMS[0], Action.DRAIN, Revision(7))).unwrap()
--- a/packages/daemon/tests/test_holder_service.py
+++ b/packages/daemon/tests/test_holder_service.py
@@ -81,7 +81,7 @@
     assert asyncio.get_running_loop().time() - began < 3.0
 
 
-async def test_shutdown_tells_which_pools_are_given_up(start: Start):
+async def test_shutdown_logs_the_released_pools(start: Start):
     """
     A holder shuts down and a successor logs that it holds the pools. Without a
     word of the first one the log would show two holders at the same time.
--- a/packages/daemon/tests/test_job_controller.py
+++ b/packages/daemon/tests/test_job_controller.py
@@ -34,7 +34,7 @@
         )
         pool.jobs_by_id[job.id] = job
         await pool.submitter.save([JobWrite(job, Revision(0))], None)
-    pool.holder.controller.reload_soon()
+    pool.holder.controller.schedule_reload()
 
 
 def read_job(pool: FakePool, id: str) -> Job:
@@ -140,7 +140,7 @@
     await holder.run_round()
     await pool.cancel(JobId("job"))
     entry = (await pool.submitter.read_job(PoolId("survey"), JobId("job"))).unwrap()
-    holder.controller.take_record(entry.value, entry.mod_revision)
+    holder.controller.apply_record(entry.value, entry.mod_revision)
     holder.store.running.set()
     await run_rounds(pool)
     assert read_job(pool, "job").state is JobState.CANCELLED
--- a/packages/daemon/tests/test_job_desk.py
+++ b/packages/daemon/tests/test_job_request_handler.py
@@ -8,7 +8,7 @@
 from medlarspring_adapters.job_store import JobStore
 from medlarspring_bench.key_value_state import KeyValueState
 from medlarspring_bench.memory_store import MemoryStore
-from medlarspring_daemon.jobs.desk import JobDesk
+from medlarspring_daemon.jobs.request_handler import JobRequestHandler
 from medlarspring_systems.job_records import put_partner, put_worker
 from medlarspring_tables import (
     JobId,
@@ -44,11 +44,13 @@
 
 
 @pytest.fixture
-def desk(store) -> JobDesk:
-    return JobDesk(JobStore(store), ManualClock(), build_tables, lambda: Revision(7))
+def handler(store) -> JobRequestHandler:
+    return JobRequestHandler(
+        JobStore(store), ManualClock(), build_tables, lambda: Revision(7)
+    )
 
 
-def wish(id: str, cpus: float = 1.0, partner: str = "north") -> JobRequest:
+def create_request(id: str, cpus: float = 1.0, partner: str = "north") -> JobRequest:
     return JobRequest(
         id=JobId(id),
         partner_id=PartnerId(partner),
@@ -58,25 +60,25 @@
     )
 
 
-def submission(*wishes: JobRequest) -> SubmitRequest:
-    return SubmitRequest(jobs=wishes, operator="asha")
+def submission(*requests: JobRequest) -> SubmitRequest:
+    return SubmitRequest(jobs=requests, operator="asha")
 
 
 @pytest.mark.parametrize(
     ("again", "accepted", "repeated", "code"),
     [
-        (wish("a"), 0, 1, ""),
-        (wish("a", cpus=2.0), 0, 0, "job-id-taken"),
-        (wish("b"), 1, 0, ""),
-        (wish("b", cpus=48.0), 0, 0, "no-worker-large-enough"),
-        (wish("b", partner="nobody"), 0, 0, "partner-unknown"),
+        (create_request("a"), 0, 1, ""),
+        (create_request("a", cpus=2.0), 0, 0, "job-id-taken"),
+        (create_request("b"), 1, 0, ""),
+        (create_request("b", cpus=48.0), 0, 0, "no-worker-large-enough"),
+        (create_request("b", partner="nobody"), 0, 0, "partner-unknown"),
     ],
 )
-async def test_each_job_is_accepted_once_or_told_why_not(
-    desk, again, accepted, repeated, code
+async def test_each_job_is_accepted_once_or_refused_with_the_reason(
+    handler, again, accepted, repeated, code
 ):
-    await desk.submit(submission(wish("a")), ORIGIN)
-    answer = await desk.submit(submission(again), ORIGIN)
+    await handler.submit(submission(create_request("a")), ORIGIN)
+    answer = await handler.submit(submission(again), ORIGIN)
     assert (len(answer.accepted), len(answer.repeated)) == (accepted, repeated)
     assert [refusal.code for refusal in answer.refused] == ([code] if code else [])
 
@@ -84,8 +86,8 @@
 @pytest.mark.parametrize(
     ("fault", "outcome"), [("lose_replies", "repeated"), ("lose_requests", "refused")]
 )
-async def test_submitter_is_not_left_in_doubt_by_a_lost_reply(
-    desk, store, fault, outcome
+async def test_submitter_learns_the_outcome_after_a_lost_reply(
+    handler, store, fault, outcome
 ):
     """
     The record is written, or not, and the store's reply is lost either way.
@@ -93,33 +95,35 @@
     its retry never finds its own job and takes it for somebody else's.
     """
     setattr(store.faults, fault, 1)
-    answer = await desk.submit(submission(wish("a")), ORIGIN)
+    answer = await handler.submit(submission(create_request("a")), ORIGIN)
     assert len(getattr(answer, outcome)) == 1
-    again = await desk.submit(submission(wish("a")), ORIGIN)
+    again = await handler.submit(submission(create_request("a")), ORIGIN)
     assert len(again.accepted) + len(again.repeated) == 1
 
 
-async def test_ten_thousand_cancellations_cost_store_calls_by_the_batch(desk, store):
+async def test_ten_thousand_cancellations_cost_store_calls_by_the_batch(handler, store):
     for start in range(0, 10_000, 1000):
-        wishes = [wish(f"j{number:05}") for number in range(start, start + 1000)]
-        await desk.submit(submission(*wishes), ORIGIN)
+        requests = [
+            create_request(f"j{number:05}") for number in range(start, start + 1000)
+        ]
+        await handler.submit(submission(*requests), ORIGIN)
     store.calls_by_kind.clear()
-    answer = await desk.cancel(CancelRequest(pool_id=POOL, operator="asha"), ORIGIN)
+    answer = await handler.cancel(CancelRequest(pool_id=POOL, operator="asha"), ORIGIN)
     assert (answer.unwrap().cancelled, answer.unwrap().remaining) == (10_000, 0)
     assert sum(store.calls_by_kind.values()) <= 10_000 / 63 + 3
-    listed = await desk.list_jobs(POOL, None, JobState.CANCELLED)
+    listed = await handler.list_jobs(POOL, None, JobState.CANCELLED)
     assert listed.unwrap().counts_by_state == {"cancelled": 10_000}
 
 
-async def test_waiting_job_shows_what_it_waits_for(desk):
-    await desk.submit(submission(wish("a", cpus=30.0)), ORIGIN)
-    view = (await desk.find_job(POOL, JobId("a"))).unwrap()
+async def test_waiting_job_shows_what_it_waits_for(handler):
+    await handler.submit(submission(create_request("a", cpus=30.0)), ORIGIN)
+    view = (await handler.find_job(POOL, JobId("a"))).unwrap()
     assert "spare" in view.waits_for
 
 
-async def test_submission_and_cancellation_are_on_the_audit_trail(desk, store):
-    await desk.submit(submission(wish("a"), wish("b")), ORIGIN)
-    await desk.cancel(CancelRequest(pool_id=POOL, operator="juma"), ORIGIN)
+async def test_submission_and_cancellation_are_on_the_audit_trail(handler, store):
+    await handler.submit(submission(create_request("a"), create_request("b")), ORIGIN)
+    await handler.cancel(CancelRequest(pool_id=POOL, operator="juma"), ORIGIN)
     entries = (await store.read_prefix("audit/000000000007-")).unwrap().entries
     records = [msgspec.json.decode(entry.value, type=AuditRecord) for entry in entries]
     found = {
--- a/packages/daemon/tests/test_peer_service.py
+++ b/packages/daemon/tests/test_peer_service.py
@@ -17,7 +17,7 @@
     list_nodes,
 )
 from medlarspring_bench.key_value_state import KeyValueState
-from medlarspring_daemon.membership.peer_reports import MAX_USAGE
+from medlarspring_daemon.membership.peer_reports import MAX_USAGE_ENTRIES
 from medlarspring_tables import EntryVMId
 
 if TYPE_CHECKING:
@@ -52,18 +52,18 @@
             await asyncio.sleep(0.01)
 
 
-class Part:
+class RecordingComponent:
     """A service that reports demand and keeps what it hears."""
 
     def __init__(self, filled: peer_pb2.Report) -> None:
         self.filled = filled
-        self.taken: list[peer_pb2.Report] = []
+        self.applied_reports: list[peer_pb2.Report] = []
 
     def fill_report(self, report: peer_pb2.Report) -> None:
         report.MergeFrom(self.filled)
 
     def take_report(self, report: peer_pb2.Report) -> None:
-        self.taken.append(report)
+        self.applied_reports.append(report)
 
 
 def create_usage(*amounts: int) -> peer_pb2.Report:
@@ -80,38 +80,58 @@
     between them only what changed, or 370 partners would cost 10 KB a report.
     """
     first, second = await start("a"), await start("b")
-    parts = [Part(create_usage(1, 2, 3)), Part(create_usage())]
-    first.node.report_parts.append(parts[0])
-    second.node.report_parts.append(parts[1])
+    components = [
+        RecordingComponent(create_usage(1, 2, 3)),
+        RecordingComponent(create_usage()),
+    ]
+    first.node.report_parts.append(components[0])
+    second.node.report_parts.append(components[1])
     list_nodes([first, second])
-    await wait_until(lambda: parts[0].taken and len(parts[1].taken) > 1)
+    await wait_until(
+        lambda: components[0].applied_reports and len(components[1].applied_reports) > 1
+    )
     assert first.peers.zone_members == second.peers.zone_members == (A, B)
-    parts[0].filled = create_usage(1, 2, 9)
-    seen = len(parts[1].taken)
-    await wait_until(lambda: any(each.usage for each in parts[1].taken[seen:]))
-    changed = next(each for each in parts[1].taken[seen:] if each.usage)
+    components[0].filled = create_usage(1, 2, 9)
+    seen = len(components[1].applied_reports)
+    await wait_until(
+        lambda: any(each.usage for each in components[1].applied_reports[seen:])
+    )
+    changed = next(each for each in components[1].applied_reports[seen:] if each.usage)
     assert [(each.partner, each.slot_ms) for each in changed.usage] == [
         ("partner-2", 9)
     ]
     assert second.peers.members.members_by_id[A].hears_us
 
 
-async def test_every_share_gets_its_turn_when_too_many_change(start: Start):
+async def test_every_share_is_reported_when_too_many_change(start: Start):
     """
     400 partners are at work. A report holds 32 of their shares, and if it
     always held the same ones, the others' shares would never be corrected.
     """
     first, second = await start("a"), await start("b")
-    parts = [Part(create_usage(*range(1, 401))), Part(create_usage())]
-    first.node.report_parts.append(parts[0])
-    second.node.report_parts.append(parts[1])
+    components = [
+        RecordingComponent(create_usage(*range(1, 401))),
+        RecordingComponent(create_usage()),
+    ]
+    first.node.report_parts.append(components[0])
+    second.node.report_parts.append(components[1])
     list_nodes([first, second])
     await wait_until(
         lambda: (
-            len({use.partner for each in parts[1].taken for use in each.usage}) > 399
+            len(
+                {
+                    use.partner
+                    for each in components[1].applied_reports
+                    for use in each.usage
+                }
+            )
+            > 399
         )
     )
-    assert max(len(each.usage) for each in parts[1].taken) == MAX_USAGE
+    assert (
+        max(len(each.usage) for each in components[1].applied_reports)
+        == MAX_USAGE_ENTRIES
+    )
 
 
 async def test_wrong_token_is_refused_and_logged(start: Start):
@@ -124,7 +144,7 @@
     assert not first.peers.heard_by_id
 
 
-async def test_farewell_takes_a_peer_off_at_once(start: Start):
+async def test_leaving_report_removes_a_peer_at_once(start: Start):
     first, second = await start("a"), await start("b")
     list_nodes([first, second])
     await wait_until(lambda: first.peers.heard_by_id and second.peers.heard_by_id)
@@ -133,7 +153,7 @@
     assert first.peers.zone_members == (A,)
 
 
-async def test_refused_connection_proves_the_end_and_silence_does_not(start: Start):
+async def test_refused_connection_ends_a_peer_and_a_timeout_does_not(start: Start):
     """
     One peer ends: its port refuses, and what it promised is void at once.
     The other is cut off: its port does not answer, and its process may still
@@ -160,7 +180,7 @@
     cut_off.close()
 
 
-async def test_new_vm_at_an_old_address_voids_the_old_one(start: Start):
+async def test_new_vm_at_an_old_address_ends_the_old_one(start: Start):
     """
     A VM is replaced by one with the same address and another id before the list
     says so. The answer to a call names the new one, so the old one has ended.
--- a/packages/daemon/tests/test_table_editor.py
+++ b/packages/daemon/tests/test_table_editor.py
@@ -18,7 +18,7 @@
 from medlarspring_tables import ConfigTable, EditId, Revision, RowKind
 
 
-class Desk:
+class EditorNode:
     """One entry VM's editor, and the table that it has seen in force."""
 
     def __init__(self, store: MemoryStore, seed: int) -> None:
@@ -28,11 +28,11 @@
             ManualClock(),
             random.Random(seed),
             table_in_force=lambda: self.in_force,
-            on_accepted=self._take,
+            on_accepted=self._set_in_force,
             retry_seconds=0.0,
         )
 
-    def _take(self, table: ConfigTable) -> None:
+    def _set_in_force(self, table: ConfigTable) -> None:
         self.in_force = table
 
     async def accept(self, edit: TableEdit):
@@ -45,8 +45,8 @@
 
 
 @pytest.fixture
-def desk(store) -> Desk:
-    return Desk(store, 1)
+def editor_node(store) -> EditorNode:
+    return EditorNode(store, 1)
 
 
 def add_pool(name: str, wanted: int = 8) -> TableEdit:
@@ -81,10 +81,10 @@
     return [str(record.edit_id) for record in answer.records]
 
 
-async def test_edit_and_its_audit_record_are_written_together(store, desk):
-    accepted = (await desk.accept(add_pool("consent"))).unwrap()
+async def test_edit_and_its_audit_record_are_written_together(store, editor_node):
+    accepted = (await editor_node.accept(add_pool("consent"))).unwrap()
     table = await read_table(store)
-    assert table == accepted.table == desk.in_force
+    assert table == accepted.table == editor_node.in_force
     assert await read_trail(store) == ["add-consent"]
     assert store.calls_by_kind["txn"] == 1
 
@@ -95,10 +95,10 @@
     the whole table, so each round one wins; the others find the table changed,
     apply their edit to the new one and try again. None is lost or refused.
     """
-    desks = [Desk(store, seed) for seed in range(8)]
+    editor_nodes = [EditorNode(store, seed) for seed in range(8)]
     edits = [add_pool(f"pool-{number}") for number in range(48)]
     results = await asyncio.gather(
-        *(desks[number % 8].accept(edit) for number, edit in enumerate(edits))
+        *(editor_nodes[number % 8].accept(edit) for number, edit in enumerate(edits))
     )
     assert all(result.unwrap().record for result in results)
     table = await read_table(store)
@@ -107,9 +107,9 @@
     assert sorted(await read_trail(store)) == sorted(edit.id for edit in edits)
 
 
-async def test_edits_of_one_row_through_two_entry_vms_conflict(store, desk):
-    await desk.accept(add_pool("consent"))
-    first, second = Desk(store, 2), Desk(store, 3)
+async def test_edits_of_one_row_through_two_entry_vms_conflict(store, editor_node):
+    await editor_node.accept(add_pool("consent"))
+    first, second = EditorNode(store, 2), EditorNode(store, 3)
     results = await asyncio.gather(
         first.accept(set_pool("consent", 9, 1, "first")),
         second.accept(set_pool("consent", 10, 1, "second")),
@@ -126,7 +126,9 @@
     ("faults", "writes"),
     [({"lose_replies": 1}, 1), ({"lose_requests": 1}, 2), ({"lose_replies": 2}, 1)],
 )
-async def test_edit_whose_reply_is_lost_is_accepted_once(store, desk, faults, writes):
+async def test_edit_whose_reply_is_lost_is_accepted_once(
+    store, editor_node, faults, writes
+):
     """
     The store's answer to the write is lost, after it took effect or before. The
     editor reads the table again: it finds the edit's id there, or tries the same
@@ -135,14 +137,14 @@
     """
     for name, count in faults.items():
         setattr(store.faults, name, count)
-    accepted = (await desk.accept(add_pool("consent"))).unwrap()
+    accepted = (await editor_node.accept(add_pool("consent"))).unwrap()
     assert accepted.revision == 1
     assert await read_trail(store) == ["add-consent"]
     assert store.calls_by_kind["txn"] == writes
 
 
 async def test_outcome_is_unknown_when_the_store_stays_down_after_a_lost_reply(
-    store, desk, monkeypatch
+    store, editor_node, monkeypatch
 ):
     """
     The write took effect, its reply is lost and the store goes down. "Nothing
@@ -158,25 +160,25 @@
 
     store.faults.lose_replies = 1
     monkeypatch.setattr(store, "commit", commit_then_go_down)
-    unknown = (await desk.accept(add_pool("consent"))).failure()
+    unknown = (await editor_node.accept(add_pool("consent"))).failure()
     assert unknown.code == "store-outcome-unknown"
 
     monkeypatch.undo()
     store.come_up()
-    again = (await Desk(store, 2).accept(add_pool("consent"))).unwrap()
+    again = (await EditorNode(store, 2).accept(add_pool("consent"))).unwrap()
     assert again.record is None
     assert (await read_table(store)).revision == 1
 
 
 async def test_lagging_replica_does_not_turn_an_accepted_edit_into_a_refusal(
-    store, desk, monkeypatch
+    store, editor_node, monkeypatch
 ):
     """
     The row is added and changed; the reply to the change is lost, and the next
     read is served by a replica that doesn't have the row yet. Judged by that
     table the edit would be refused, though it was accepted.
     """
-    other = Desk(store, 2)
+    other = EditorNode(store, 2)
     await other.accept(add_pool("rings"))
     old = await store.read(TABLE_KEY)
     await other.accept(add_pool("consent"))
@@ -189,66 +191,70 @@
 
     monkeypatch.setattr(store, "read", read_lagging)
     store.faults.lose_replies = 1
-    accepted = await desk.accept(set_pool("consent", 9, 2, "change"))
+    accepted = await editor_node.accept(set_pool("consent", 9, 2, "change"))
     assert accepted.unwrap().revision == 3
 
 
-async def test_store_that_is_down_refuses_without_effect(store, desk):
+async def test_store_that_is_down_refuses_without_effect(store, editor_node):
     store.go_down()
-    assert (await desk.accept(add_pool("a"))).failure().code == "store-unavailable"
+    assert (
+        await editor_node.accept(add_pool("a"))
+    ).failure().code == "store-unavailable"
 
 
-async def test_store_restored_from_a_backup_takes_no_edit(store, desk):
+async def test_store_restored_from_a_backup_refuses_edits(store, editor_node):
     """
     The platform restores the store from a backup that is older than the table in
     force. An edit on top of it would get a revision that every node has passed:
     accepted, and never in force. It is refused with the remedy.
     """
     for name in ("a", "b", "c"):
-        await desk.accept(add_pool(name))
+        await editor_node.accept(add_pool(name))
     backup = msgspec.structs.replace(await read_table(store), revision=Revision(1))
     put = Put(TABLE_KEY, msgspec.json.encode(backup))
     await store.commit(Transaction(expects=(), writes=(put,)))
-    refusal = (await desk.accept(add_pool("d"))).failure()
+    refusal = (await editor_node.accept(add_pool("d"))).failure()
     assert refusal.code == "store-older"
     assert "medlarspring table republish" in refusal.message()
     assert (await read_table(store)).revision == 1
 
 
-async def test_value_of_another_version_is_not_overwritten(store, desk):
+async def test_value_of_another_version_is_not_overwritten(store, editor_node):
     put = Put(TABLE_KEY, b'{"revision": "seven"}')
     await store.commit(Transaction(expects=(), writes=(put,)))
-    assert (await desk.accept(add_pool("a"))).failure().code == "table-unreadable"
+    assert (
+        await editor_node.accept(add_pool("a"))
+    ).failure().code == "table-unreadable"
 
 
-async def test_table_in_force_is_put_back_into_a_restored_store(store, desk):
+async def test_table_in_force_is_put_back_into_a_restored_store(store, editor_node):
     """
     The store came back from a backup at revision 1 while revision 3 is in force.
     An operator puts the table in force back: it becomes revision 4, which every
     node takes, edits go on from there, and the trail says what was put back.
     """
     for name in ("a", "b", "c"):
-        await desk.accept(add_pool(name))
+        await editor_node.accept(add_pool(name))
     backup = msgspec.structs.replace(
         await read_table(store), revision=Revision(1), pools_by_id={}
     )
     put = Put(TABLE_KEY, msgspec.json.encode(backup))
     await store.commit(Transaction(expects=(), writes=(put,)))
 
-    wish = Republish(id=EditId("back"), operator="asha")
-    change = (await desk.editor.republish(wish, "test")).unwrap()
+    republish_request = Republish(id=EditId("back"), operator="asha")
+    change = (await editor_node.editor.republish(republish_request, "test")).unwrap()
     assert change.revision == 4
     assert {row.id for row in change.record.changes} == {"a", "b", "c"}
-    again = (await desk.editor.republish(wish, "test")).unwrap()
+    again = (await editor_node.editor.republish(republish_request, "test")).unwrap()
     assert again.record is None
-    assert (await desk.accept(add_pool("d"))).unwrap().revision == 5
+    assert (await editor_node.accept(add_pool("d"))).unwrap().revision == 5
 
     other = Republish(id=EditId("other"), operator="asha")
-    refusal = (await desk.editor.republish(other, "test")).failure()
+    refusal = (await editor_node.editor.republish(other, "test")).failure()
     assert refusal.code == "store-current"
 
 
-async def test_outage_between_two_edits_is_told_as_not_applied(store, monkeypatch):
+async def test_outage_between_two_edits_is_reported_as_not_applied(store, monkeypatch):
     """
     An edit was accepted, minutes pass, the store goes down and an operator edits
     again. A write that breaks off would leave the outcome open; the store is
@@ -261,23 +267,23 @@
     await editor.accept(add_pool("a"), "test")
     clock.advance(60.0)
 
-    async def break_off(transaction):
+    async def fail_commit(transaction):
         return Failure(StoreOutcomeUnknown("the connection broke"))
 
-    monkeypatch.setattr(store, "commit", break_off)
+    monkeypatch.setattr(store, "commit", fail_commit)
     store.go_down()
     refusal = (await editor.accept(add_pool("b"), "test")).failure()
     assert refusal.code == "store-unavailable"
 
 
-async def test_table_that_is_only_remembered_refuses_nothing(store):
+async def test_cached_table_refuses_nothing(store):
     """
     Within one second an operator edits here, another changes a row at another
     entry VM, and the first edits that row as he now reads it. The table that
     this entry VM remembers doesn't have the change; judged by it, the edit would
     conflict with itself.
     """
-    here, there = Desk(store, 1), Desk(store, 2)
+    here, there = EditorNode(store, 1), EditorNode(store, 2)
     await here.accept(add_pool("a"))
     await there.accept(set_pool("a", 9, 1, "there"))
     assert (await here.accept(set_pool("a", 10, 2, "here"))).unwrap().revision == 3
--- a/packages/daemon/tests/test_table_machine.py
+++ b/packages/daemon/tests/test_table_machine.py
@@ -28,49 +28,49 @@
 from medlarspring_tables import ConfigTable, EditId, Revision, RowKind
 from medlarspring_tables.audit import AUDIT_PREFIX, AuditRecord
 
-DESKS = 3
+EDITORS = 3
 POOLS = ("north", "south", "west")
 SERVICES = ("consent", "survey")
 
 
-class TurnStore:
+class InterleavingStore:
     """Lets other tasks run before and after each call, and holds writes back."""
 
     def __init__(self, inner: MemoryStore, rng: random.Random) -> None:
         self._inner = inner
         self._rng = rng
         self.late_writes = []
-        self.hold_back = 0
+        self.delayed_writes = 0
         """So many of the next writes look lost and take effect later, or never."""
 
     async def read(self, key):
-        await self._yield_turn()
+        await self._yield_to_tasks()
         answer = await self._inner.read(key)
-        await self._yield_turn()
+        await self._yield_to_tasks()
         return answer
 
     async def commit(self, transaction):
-        await self._yield_turn()
-        if self.hold_back:
-            self.hold_back -= 1
+        await self._yield_to_tasks()
+        if self.delayed_writes:
+            self.delayed_writes -= 1
             self.late_writes.append(transaction)
             return Failure(StoreOutcomeUnknown("held back on the way"))
         answer = await self._inner.commit(transaction)
-        await self._yield_turn()
+        await self._yield_to_tasks()
         return answer
 
-    async def _yield_turn(self) -> None:
+    async def _yield_to_tasks(self) -> None:
         for _ in range(self._rng.randrange(4)):
             await asyncio.sleep(0)
 
 
 @dataclass
-class Fate:
+class SentEdit:
     """What an operator was told about his edit."""
 
     edit: TableEdit
     revision: int | None = None
-    verdicts: list[str] = field(default_factory=list)
+    outcomes: list[str] = field(default_factory=list)
 
 
 EDITS = st.one_of(
@@ -101,22 +101,22 @@
         self.rng = random.Random(seed)
         self.clock = ManualClock()
         self.inner = create_memory_store(self.clock)
-        self.store = TurnStore(self.inner, self.rng)
+        self.store = InterleavingStore(self.inner, self.rng)
         self.seen = ConfigTable()
-        self.in_force_by_desk = [None] * DESKS
-        self.editors = [self._open_desk(number) for number in range(DESKS)]
-        self.fates_by_id = {}
+        self.in_force_by_editor = [None] * EDITORS
+        self.editors = [self._create_editor(number) for number in range(EDITORS)]
+        self.sent_edits_by_id = {}
 
-    def _open_desk(self, number):
-        def take(table):
-            self.in_force_by_desk[number] = table
+    def _create_editor(self, number):
+        def set_in_force(table):
+            self.in_force_by_editor[number] = table
 
         return TableEditor(
             self.store,
             self.clock,
             self.rng,
-            lambda: self.in_force_by_desk[number],
-            take,
+            lambda: self.in_force_by_editor[number],
+            set_in_force,
             retry_seconds=0.0,
         )
 
@@ -124,28 +124,34 @@
     def operators_read(self):
         self.seen = self._read_table()
 
-    @rule(wishes=st.lists(EDITS, min_size=1, max_size=4), whole=st.booleans())
-    def operators_race(self, wishes, whole):
-        rows = list({(w[0], w[1]): self._build_row(w) for w in wishes}.values())
+    @rule(row_requests=st.lists(EDITS, min_size=1, max_size=4), whole=st.booleans())
+    def operators_race(self, row_requests, whole):
+        rows = list({(w[0], w[1]): self._build_row(w) for w in row_requests}.values())
         groups = [tuple(rows)] if whole else [(row,) for row in rows]
-        fates = [self._open_fate(group) for group in groups]
-        self._send_all(fates)
+        sent_edits = [self._create_sent_edit(group) for group in groups]
+        self._send_all(sent_edits)
 
-    @precondition(lambda self: self.fates_by_id)
+    @precondition(lambda self: self.sent_edits_by_id)
     @rule(data=st.data())
     def operators_repeat(self, data):
         names = data.draw(
-            st.lists(st.sampled_from(sorted(self.fates_by_id)), max_size=3)
+            st.lists(st.sampled_from(sorted(self.sent_edits_by_id)), max_size=3)
         )
-        fates = [self.fates_by_id[name] for name in dict.fromkeys(names)]
+        sent_edits = [self.sent_edits_by_id[name] for name in dict.fromkeys(names)]
         # An edit that was refused is over; a retry of it would be a new wish.
-        self._send_all([fate for fate in fates if "refused" not in fate.verdicts])
+        self._send_all(
+            [
+                sent_edit
+                for sent_edit in sent_edits
+                if "refused" not in sent_edit.outcomes
+            ]
+        )
 
     @rule(replies=st.integers(0, 2), requests=st.integers(0, 2), late=st.integers(0, 2))
     def writes_will_be_lost(self, replies, requests, late):
         self.inner.faults.lose_replies = replies
         self.inner.faults.lose_requests = requests
-        self.store.hold_back = late
+        self.store.delayed_writes = late
 
     @rule()
     def late_writes_arrive(self):
@@ -157,10 +163,10 @@
     def store_goes_down_or_comes_up(self, down):
         self.inner.faults.down = down
 
-    @rule(number=st.integers(0, DESKS - 1))
+    @rule(number=st.integers(0, EDITORS - 1))
     def entry_vm_is_replaced(self, number):
-        self.in_force_by_desk[number] = None
-        self.editors[number] = self._open_desk(number)
+        self.in_force_by_editor[number] = None
+        self.editors[number] = self._create_editor(number)
 
     @rule(seconds=st.floats(0.0, 5.0))
     def time_passes(self, seconds):
@@ -188,16 +194,18 @@
         for record in self._read_trail():
             assert record.edit_id not in revisions_by_id, "accepted twice"
             revisions_by_id[record.edit_id] = record.revision
-        for name, fate in self.fates_by_id.items():
-            if "accepted" in fate.verdicts:
-                assert revisions_by_id.get(name) == fate.revision
-            elif "refused" in fate.verdicts or set(fate.verdicts) == {"not sent"}:
+        for name, sent_edit in self.sent_edits_by_id.items():
+            if "accepted" in sent_edit.outcomes:
+                assert revisions_by_id.get(name) == sent_edit.revision
+            elif "refused" in sent_edit.outcomes or set(sent_edit.outcomes) == {
+                "not sent"
+            }:
                 assert name not in revisions_by_id
 
     @invariant()
     def edits_were_taken_on_the_rows_that_operators_had_read(self):
         for record in self._read_trail():
-            edits = self.fates_by_id[record.edit_id].edit.rows
+            edits = self.sent_edits_by_id[record.edit_id].edit.rows
             read_by_row = {
                 (each.kind.value, each.id): each.row_revision for each in edits
             }
@@ -213,8 +221,8 @@
         if hasattr(self, "loop"):
             self.loop.close()
 
-    def _build_row(self, wish):
-        kind, name, vms, fields = wish
+    def _build_row(self, row_request):
+        kind, name, vms, fields = row_request
         current = split_rows(self.seen)[kind].get(name)
         if current is None:
             action = RowAction.ADD
@@ -230,35 +238,35 @@
             row_revision=current.revision if current else Revision(0),
         )
 
-    def _open_fate(self, rows):
-        name = EditId(f"edit-{len(self.fates_by_id):04}")
-        fate = Fate(TableEdit(id=name, operator="asha", rows=rows))
-        self.fates_by_id[name] = fate
-        return fate
+    def _create_sent_edit(self, rows):
+        name = EditId(f"edit-{len(self.sent_edits_by_id):04}")
+        sent_edit = SentEdit(TableEdit(id=name, operator="asha", rows=rows))
+        self.sent_edits_by_id[name] = sent_edit
+        return sent_edit
 
-    def _send_all(self, fates):
-        async def send(fate):
+    def _send_all(self, sent_edits):
+        async def send(sent_edit):
             editor = self.rng.choice(self.editors)
-            return fate, await editor.accept(fate.edit, "test")
+            return sent_edit, await editor.accept(sent_edit.edit, "test")
 
         async def send_all():
-            return await asyncio.gather(*map(send, fates))
+            return await asyncio.gather(*map(send, sent_edits))
 
-        for fate, result in self.loop.run_until_complete(send_all()):
-            self._note(fate, result)
+        for sent_edit, result in self.loop.run_until_complete(send_all()):
+            self._record_outcome(sent_edit, result)
 
-    def _note(self, fate, result):
+    def _record_outcome(self, sent_edit, result):
         if is_successful(result):
-            fate.verdicts.append("accepted")
-            fate.revision = result.unwrap().revision
+            sent_edit.outcomes.append("accepted")
+            sent_edit.revision = result.unwrap().revision
         elif result.failure().code == "store-outcome-unknown":
-            fate.verdicts.append("unknown")
+            sent_edit.outcomes.append("unknown")
         elif result.failure().code == "store-unavailable":
             # True of this sending; an earlier one of the same edit may be open.
-            fate.verdicts.append("not sent")
+            sent_edit.outcomes.append("not sent")
         else:
-            assert "accepted" not in fate.verdicts, result.failure()
-            fate.verdicts.append("refused")
+            assert "accepted" not in sent_edit.outcomes, result.failure()
+            sent_edit.outcomes.append("refused")
 
     def _read_table(self):
         entry = self._find(TABLE_KEY)
