--- a/packages/daemon/src/medlarspring_daemon/configuration/__init__.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/__init__.py
@@ -1,3 +1,3 @@
-"""The operators' table: what is in force, and how edits become so."""
+"""The operators' configuration table: distribution to entry VMs, and edits."""
 
 from __future__ import annotations
--- a/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
@@ -37,7 +37,7 @@
 
 
 class ConfigService:
-    """The only writer of ``node.config``."""
+    """Applies new tables from the store and peers; only writer of ``node.config``."""
 
     def __init__(self, node: Node, peers: PeerService) -> None:
         self._node = node
@@ -53,26 +53,26 @@
         node.status_sources.append(self._list_findings)
 
     async def start(self) -> None:
-        """Begin to ask the store and the peers; the first answer is not awaited."""
+        """Start reading from the store and peers without awaiting the first answer."""
         self.distribution.started_at = self._node.clock.now()
         self._tasks.keep(self._run_store)
         self._tasks.keep(self._run_peers)
         self._tasks.keep(self._run_startup)
 
     async def stop(self) -> None:
-        """End watching."""
+        """Cancel the background tasks."""
         await self._tasks.cancel()
 
     def apply_accepted(self, table: ConfigTable) -> None:
-        """Put a table in force that this process has just committed itself.
+        """Put in force a table that this process has just committed.
 
-        The store may go down before its watch says so, and this process would be
-        the only one that knows of the accepted edit.
+        If the store goes down before its watch reports the edit, this process is
+        the only one that knows of it.
         """
         self._offer(table, Source.STORE)
 
     def _list_findings(self) -> Iterator[Finding]:
-        """Tell operators when the store's table is not the one in force."""
+        """Yield a finding while the store holds an older table than that in force."""
         since = self.distribution.store_older_since
         if since is None:
             return
@@ -89,7 +89,10 @@
         )
 
     async def _run_startup(self) -> None:
-        """Until a table is in force, see whether the peers were asked."""
+        """Release a held table once the peers of the zone have been contacted.
+
+        Checks until a table is in force, then waits until it is cancelled.
+        """
         while self.distribution.in_force is None:
             self.distribution.peers_asked = self._peers.has_contacted_zone()
             held = self.distribution.held
@@ -112,11 +115,11 @@
             await self._watch_while_due(Revision(revision + 1))
 
     def _should_read_store(self) -> bool:
-        """Return whether to ask the store now.
+        """Return whether to read the table from the store now.
 
-        A process that got no answer goes on asking although it is no watcher,
-        seldom: it tells its peers that the store fails it, and would otherwise
-        never find out that this is over.
+        After a failed read a process that is not a watcher also keeps reading, at
+        increasing intervals. It reports the failure to its peers and would
+        otherwise not detect that the store is reachable again.
         """
         if self.distribution.in_force is None or self._failures > 0:
             return True
@@ -128,7 +131,7 @@
         return is_watcher(self._node.id, zone_id, steady_peers)
 
     async def _read(self) -> Revision | None:
-        """Read the table; return the store's revision, None without an answer."""
+        """Read the table; return the store's revision, or None if the read failed."""
         answer = await self._node.store.read_prefix(CONFIG_KEY)
         if not isinstance(answer, Success):
             if not self._is_lost:
@@ -150,7 +153,7 @@
 
     async def _watch_while_due(self, start: Revision) -> None:
         if not self._is_watcher():
-            # Without a table the loop comes here at each turn.
+            # While no table is in force, every iteration of the loop gets here.
             await asyncio.sleep(self._node.rng.uniform(0.5, 1.5) * TICK_SECONDS)
             return
         began = self._node.clock.now()
@@ -166,7 +169,7 @@
         if not self._is_watcher():
             self._set_watching(False)
             return
-        # A watch that ends at once would otherwise be a tight loop of calls.
+        # Backs off if watches end at once, which would cause a tight loop of calls.
         if self._node.clock.now() - began >= SHORT_WATCH_SECONDS:
             self._short_watches = 0
         else:
@@ -187,7 +190,7 @@
                     self._apply_missing_table()
 
     async def _run_peers(self) -> None:
-        """Fetch the table from a peer whenever one has a newer one."""
+        """Fetch the table from a peer whenever a peer has a newer one."""
         while True:
             known = Revision(0)
             if self.distribution.in_force is not None:
@@ -222,7 +225,7 @@
         self._offer(table, source)
 
     def _apply_missing_table(self) -> None:
-        """The store has no table: a new fleet, or one that was emptied."""
+        """Handle a store without a table (a new fleet, or a deleted table)."""
         if self.distribution.in_force is None:
             self._log_store_state(Verdict.SAME, Event.STORE_HAS_NO_TABLE, Revision(0))
             return
@@ -255,7 +258,7 @@
     def _log_store_state(
         self, verdict: Verdict, event: Event, revision: Revision
     ) -> None:
-        """Log a state of the store's table once, not at each read."""
+        """Log a change in the state of the store's table, not every read."""
         if self._store_state is verdict:
             return
         self._store_state = verdict
--- a/packages/daemon/src/medlarspring_daemon/configuration/editor_errors.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/editor_errors.py
@@ -1,4 +1,4 @@
-"""Why the table editor took no edit, each with its remedy."""
+"""Errors of the table editor, each with a message that names a remedy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 TABLE_KEY = "config/table"
 MAX_WAITING_EDITS = 128
-"""Edits that wait for their turn at this entry VM."""
+"""Maximum number of edits queued at this entry VM."""
 
 
 class StoreTableOlder(TableError):
@@ -25,7 +25,7 @@
         self.in_force = in_force
 
     def message(self) -> str:
-        """Name the command that puts the table in force back."""
+        """Describe the cause and name the command that restores the table in force."""
         return (
             f"The store holds the table of revision {self.stored}, but revision"
             f" {self.in_force} is in force: the store was restored from a backup, or"
@@ -44,7 +44,7 @@
     code = "table-unreadable"
 
     def message(self) -> str:
-        """Name the ways out."""
+        """Name the remedies."""
         return (
             f"The value of {TABLE_KEY} in the store is not a table that this version"
             " reads. Nothing was changed; upgrade this entry VM, or put the table in"
@@ -53,12 +53,12 @@
 
 
 class EditRaced(TableError):
-    """Other edits were accepted first at each attempt."""
+    """Every attempt conflicted with another edit that was accepted first."""
 
     code = "edit-raced"
 
     def message(self) -> str:
-        """Ask for a repetition."""
+        """Ask the operator to repeat the command."""
         return (
             "Other edits were accepted first at each attempt. Nothing was changed;"
             " repeat the command."
@@ -66,12 +66,12 @@
 
 
 class EditorBusy(TableError):
-    """Too many edits wait at this entry VM."""
+    """The queue of edits at this entry VM is full."""
 
     code = "editor-busy"
 
     def message(self) -> str:
-        """Ask for a repetition."""
+        """Ask the operator to repeat the command later or at another entry VM."""
         return (
             f"{MAX_WAITING_EDITS} edits wait at this entry VM already. Nothing was"
             " changed; repeat the command in a few seconds, or at another entry VM."
@@ -79,12 +79,12 @@
 
 
 class NoTableInForce(TableError):
-    """This entry VM has no table to put back."""
+    """This entry VM has no table in force that could be republished."""
 
     code = "not-ready"
 
     def message(self) -> str:
-        """Send the operator to another entry VM."""
+        """Tell the operator to use another entry VM."""
         return (
             "This entry VM has no table in force. Nothing was changed; give the"
             " --address of one whose `medlarspring status` shows a table revision."
--- a/packages/daemon/src/medlarspring_daemon/configuration/store_service.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/store_service.py
@@ -9,13 +9,13 @@
 
 
 class StoreService:
-    """Started first, so that it is stopped last."""
+    """Closes the store client; started first, so that it is stopped last."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     async def start(self) -> None:
-        """Do nothing; the client connects at its first call."""
+        """Do nothing; the client connects on its first call."""
 
     async def stop(self) -> None:
         """Close all connections."""
--- a/packages/daemon/src/medlarspring_daemon/configuration/stored_table.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/stored_table.py
@@ -1,4 +1,4 @@
-"""The table as it stands in the store."""
+"""Decodes the table read from the store and checks it against the one in force."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredTable:
-    """The table as it stands in the store."""
+    """A table read from the store, with the revision of its key."""
 
     table: ConfigTable
     mod_revision: Revision
@@ -32,7 +32,11 @@
 def decode_stored(
     entry: Entry | None, in_force: ConfigTable | None
 ) -> Result[StoredTable, MedlarspringError]:
-    """Return the store's table; one older than that in force is an error."""
+    """Return the decoded table, an empty one if ``entry`` is None.
+
+    Fails with ``TableUnreadable`` if it cannot be decoded, and with
+    ``StoreTableOlder`` if it is older than the table in force.
+    """
     stored = StoredTable(ConfigTable(), Revision(0))
     if entry is not None:
         try:
@@ -40,8 +44,8 @@
         except msgspec.DecodeError:
             return Failure(TableUnreadable())
         stored = StoredTable(table, entry.mod_revision)
-    # A store restored from a backup, or a lagging replica, would take the edit on
-    # top of an old table: every node keeps the newer one, and the accepted edit
+    # A store restored from a backup, or a lagging replica, would accept an edit on
+    # top of an old table. Every node keeps the newer table, so the accepted edit
     # would never be in force.
     if in_force is not None and stored.table.revision < in_force.revision:
         return Failure(StoreTableOlder(stored.table.revision, in_force.revision))
@@ -49,7 +53,10 @@
 
 
 async def read_revision(store: Store) -> Result[Revision, MedlarspringError]:
-    """Return the revision of the store's table, whatever is in force here."""
+    """Return the revision of the store's table without comparing it with any other.
+
+    It is 0 if the store has no table.
+    """
     entry = await store.read(TABLE_KEY)
     if not is_successful(entry):
         return Failure(entry.failure())
--- a/packages/daemon/src/medlarspring_daemon/configuration/table_editor.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/table_editor.py
@@ -1,4 +1,4 @@
-"""Takes operators' edits into the store, each at most once."""
+"""Commits operators' edits of the table to the store, each at most once."""
 
 from __future__ import annotations
 
@@ -41,31 +41,31 @@
 
 MAX_ATTEMPTS = 100
 MAX_SECONDS = 20.0
-"""Longest time for one edit; the command line waits longer than this."""
+"""Time limit for one edit; the command line's timeout is longer."""
 MAX_RETRY_SECONDS = 0.5
 MAX_CONFLICT_RETRY_SECONDS = 0.1
-"""Longest wait after another entry VM was first; a write takes milliseconds."""
+"""Longest delay after a conflict with another entry VM; a write takes milliseconds."""
 CACHE_SECONDS = 1.0
-"""Time between two edits of a burst in which the table is not read anew."""
+"""How long after a write the cached table is used instead of reading the store."""
 
 
 Change = Callable[[ConfigTable], "Result[AcceptedChange, TableError]"]
-"""Makes the next table from the one in the store."""
+"""Computes the next table from the one in the store."""
 
 
 @dataclass(slots=True)
 class _Attempts:
-    """What the attempts to take one edit have shown so far."""
+    """State of the attempts to commit one edit."""
 
     change: Change
     allows_older: bool = False
     """Whether the store's table may be older than the one in force."""
     stored: StoredTable | None = None
-    """The newest table known, if it is still worth trying on."""
+    """Newest known table, to which the next attempt applies the change."""
     is_cached: bool = False
-    """Whether it comes from an earlier edit instead of from the store."""
+    """Whether ``stored`` was cached by an earlier edit, not read for this one."""
     unconfirmed: Revision | None = None
-    """Store revision named by a write whose reply was lost."""
+    """Expected store revision of a write whose reply was lost."""
     error: MedlarspringError | None = None
 
 
@@ -90,13 +90,16 @@
         self._lock = asyncio.Lock()
         self._waiting = 0
         self._cached: StoredTable | None = None
-        """The table that the last write or conflict showed."""
+        """Table known from the last write or conflict."""
         self._cached_at: Seconds = 0.0
 
     async def read(
         self, allows_older: bool = False
     ) -> Result[StoredTable, MedlarspringError]:
-        """Return the store's table; an older one than in force is an error."""
+        """Return the store's table.
+
+        Unless ``allows_older``, a table older than the one in force is an error.
+        """
         entry = await self._store.read(TABLE_KEY)
         if not is_successful(entry):
             return Failure(entry.failure())
@@ -105,10 +108,10 @@
     async def accept(
         self, edit: TableEdit, origin: str
     ) -> Result[AcceptedChange, MedlarspringError]:
-        """Apply one edit whole, or say why the table is as before.
+        """Apply one edit atomically, or return why the table is unchanged.
 
-        Only ``StoreOutcomeUnknown`` leaves open whether it was accepted; the
-        operator repeats the edit with the same id.
+        Only after ``StoreOutcomeUnknown`` may the edit have been accepted; the
+        operator repeats it with the same id.
         """
 
         def change(table: ConfigTable) -> Result[AcceptedChange, TableError]:
@@ -119,7 +122,7 @@
     async def republish(
         self, request: Republish, origin: str
     ) -> Result[AcceptedChange, MedlarspringError]:
-        """Put the table in force back into a store that holds an older one."""
+        """Write the table in force to a store that holds an older one."""
         in_force = self._table_in_force()
         if in_force is None:
             return Failure(NoTableInForce())
@@ -132,7 +135,7 @@
     async def preview(
         self, edit: TableEdit, origin: str
     ) -> Result[AcceptedChange, MedlarspringError]:
-        """Return what an edit would do, without doing it."""
+        """Return what an edit would change, without committing it."""
         stored = await self.read()
         if not is_successful(stored):
             return Failure(stored.failure())
@@ -155,12 +158,12 @@
             self._waiting -= 1
 
     def _get_cached(self) -> StoredTable | None:
-        """Return the table known from the edit before, to save a read.
+        """Return the table known from the previous edit, to save a read.
 
-        Each call to the store counts, and edits come in bursts; the condition of
-        the write shows it when the table has changed since. After a pause the
-        read comes first: in an outage it fails without effect, where a write
-        would leave open whether it took effect.
+        Store calls are limited and edits come in bursts. If the table has changed
+        since, the condition of the write fails. After ``CACHE_SECONDS`` the table
+        is read first: in an outage a failed read has no effect, while the outcome
+        of a failed write would be unknown.
         """
         known, in_force = self._cached, self._table_in_force()
         if self._clock.now() > self._cached_at + CACHE_SECONDS:
@@ -188,7 +191,7 @@
     async def _attempt(
         self, attempts: _Attempts
     ) -> Result[AcceptedChange, MedlarspringError] | None:
-        """Try once; None asks for another try."""
+        """Try once; return None if another attempt is needed."""
         if attempts.stored is None:
             read = await self.read(attempts.allows_older)
             if not is_successful(read):
@@ -203,13 +206,13 @@
             attempts.unconfirmed is not None
             and stored.mod_revision < attempts.unconfirmed
         ):
-            # A lagging replica shows the table from before the write whose reply
-            # was lost. A refusal worked out from it would tell the operator that
-            # an accepted edit was not; only a table as new as the write decides.
+            # A lagging replica returned the table from before the write whose
+            # reply was lost. A refusal based on it would report an accepted edit
+            # as refused, so only a table at least as new as the write is used.
             return None
         changed = attempts.change(stored.table)
         if not is_successful(changed):
-            # A remembered table may be out of date; only the store refuses.
+            # A cached table may be outdated; only one from the store may refuse.
             return None if is_cached else Failure(changed.failure())
         if changed.unwrap().record is None:
             return Success(changed.unwrap())
@@ -221,9 +224,9 @@
         assert change.record is not None
         committed = await self._store.commit(
             Transaction(
-                # Another entry VM may have written since the table was read. Its
-                # edit would vanish under ours; the store refuses our write unless
-                # the table is still the one that we changed.
+                # Another entry VM may have written since the table was read. This
+                # condition prevents overwriting its edit: the store refuses the
+                # write unless the table is still the one that was read.
                 expects=(Expect(TABLE_KEY, stored.mod_revision),),
                 writes=(
                     Put(TABLE_KEY, msgspec.json.encode(change.table)),
@@ -257,9 +260,9 @@
     ) -> Result[AcceptedChange, MedlarspringError] | None:
         attempts.error = error
         if isinstance(error, StoreOutcomeUnknown):
-            # The write may still take effect. Trying again is safe: either try
-            # names the same store revision, so that only one can win, and the
-            # loser finds the edit's id in the table.
+            # The write may still take effect. Retrying is safe: both writes expect
+            # the same store revision, so only one can succeed, and the other
+            # attempt then finds the edit's id in the table.
             attempts.unconfirmed = stored.mod_revision
             return None
         if attempts.unconfirmed is None:
--- a/packages/daemon/src/medlarspring_daemon/configuration/table_routes.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/table_routes.py
@@ -1,4 +1,4 @@
-"""Routes of the operator port for the operators' table."""
+"""Routes of the operator port for the configuration table."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class TableRoutes:
-    """Show, edit, import and export the table."""
+    """Handlers that show, edit, import and export the table."""
 
     def __init__(self, node: Node, editor: TableEditor) -> None:
         self._node = node
@@ -109,7 +109,9 @@
         try:
             text = (await request.read()).decode("utf-8")
         except UnicodeDecodeError:
-            raise Refusal(BadRequest("The sheet is not UTF-8; save it so.")) from None
+            raise Refusal(
+                BadRequest("The CSV file is not UTF-8; save it in that encoding.")
+            ) from None
         csv_file = unwrap_or_refuse(read_sheet(text))
         stored = unwrap_or_refuse(await self._editor.read())
         rows = plan_import(stored.table, csv_file)
--- a/packages/daemon/src/medlarspring_daemon/fleet/command_handler.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/command_handler.py
@@ -1,4 +1,4 @@
-"""Operators' commands on waves and moves, from the records in the store."""
+"""Handles operators' commands on waves and moves, using the records in the store."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 
 MAX_ATTEMPTS = 4
 MAX_MOVES = 32
-"""Moves of one command; one transaction takes no more."""
+"""Limit of moves for one command, as all are written in one transaction."""
 
 
 class MovesRefused(MedlarspringError):
-    """Moves cannot be wished for as stated."""
+    """The requested moves are invalid."""
 
     code = "moves-refused"
 
@@ -52,17 +52,17 @@
         self.remedy = remedy
 
     def message(self) -> str:
-        """Say why and what to do."""
+        """Return the reason and a remedy."""
         return f"No VM is moved: {self.reason}. {self.remedy}"
 
 
 class FleetRaced(MedlarspringError):
-    """Others changed the record at the same time, again and again."""
+    """Every attempt conflicted with a concurrent change of the same record."""
 
     code = "edit-raced"
 
     def message(self) -> str:
-        """Say that a repetition is safe."""
+        """Say that nothing was changed and that the command can be repeated."""
         return (
             "Others changed the same record at the same time and nothing was"
             " changed by this command. Repeat it."
@@ -70,7 +70,7 @@
 
 
 class FleetCommandHandler:
-    """Writes what operators want as records; holders carry it out."""
+    """Writes operators' commands as records, which the holders of pools carry out."""
 
     def __init__(self, store: Store, clock: Clock, entry_vm_id: str) -> None:
         self._store = store
@@ -90,7 +90,7 @@
     async def start_wave(
         self, command: StartWave, config: ConfigTable, origin: str
     ) -> Result[WaveRecord, MedlarspringError]:
-        """Start a wave; the same command again changes nothing."""
+        """Start a wave; a repetition of the command changes nothing."""
         loaded = await self.load()
         if not is_successful(loaded):
             return Failure(loaded.failure())
@@ -162,7 +162,7 @@
     async def start_moves(
         self, command: StartMoves, config: ConfigTable, origin: str
     ) -> Result[tuple[MoveRecord, ...], MedlarspringError]:
-        """Wish for moves; the same command again changes nothing."""
+        """Request moves; a repetition of the command changes nothing."""
         refusal = _find_refusal(command, config)
         if refusal is not None:
             return Failure(refusal)
@@ -215,7 +215,10 @@
         audit: AuditRecord,
         changes: Sequence[RowChange],
     ) -> Result[bool, MedlarspringError]:
-        """Write records and the audit record of the change, all or none."""
+        """Write records and their audit record in one transaction.
+
+        Returns False if a record was changed concurrently and nothing was written.
+        """
         audit = msgspec.structs.replace(audit, changes=tuple(changes))
         expects = tuple(
             Expect(key_of(record), tables.revision_of(key_of(record)))
@@ -238,7 +241,7 @@
         return MovesRefused("both pools are the same", "Name two pools.")
     count = len(command.vm_ids) or command.count
     if not 1 <= count <= MAX_MOVES:
-        remedy = f"Wish for 1 to {MAX_MOVES} at a time."
+        remedy = f"Request 1 to {MAX_MOVES} moves at a time."
         return MovesRefused(f"{count} VMs in one command", remedy)
     return None
 
--- a/packages/daemon/src/medlarspring_daemon/fleet/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/controller.py
@@ -1,4 +1,4 @@
-"""Carries the fleet's decisions out: intent first, then the action."""
+"""Carries out decisions on VMs: writes the intent, then requests the action."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     from medlarspring_tables.vms import VMRecord
 
 MAX_ATTEMPTS = 3
-"""Plans per tick and pool while other holders change the same records."""
+"""Limit of plans per tick and pool while other holders change the same records."""
 
 _EVENTS_BY_KIND = {
     DecisionKind.DRAIN: Event.VM_DRAIN_INTENDED,
@@ -60,7 +60,7 @@
 
 
 class FleetController:
-    """Brings the records of held pools forward and the platform after them."""
+    """Advances the records of held pools and makes the platform follow them."""
 
     def __init__(
         self,
@@ -85,10 +85,10 @@
         self._note_returned = note_returned
         self._unsettled: dict[PoolId, Draft] = {}
         self.is_store_lost = False
-        """Whether the last call of the store failed."""
+        """Whether the last call to the store failed."""
 
     async def load(self) -> bool:
-        """Read all fleet records; says whether that succeeded."""
+        """Read all fleet records; return whether that succeeded."""
         for prefix in TYPES_BY_PREFIX:
             listed = await self._store.read_prefix(prefix)
             if not isinstance(listed, Success):
@@ -101,7 +101,10 @@
     async def observe(
         self, pool_ids: Collection[PoolId], vm_ids: Collection[VMId] = ()
     ) -> bool:
-        """Look at the VMs of pools; what is not seen now counts as unseen."""
+        """Read the state of the pools' VMs from the platform; return whether it worked.
+
+        VMs that are missing from the answer lose their observation.
+        """
         busy = {
             vm_id
             for pool_id in pool_ids
@@ -120,7 +123,10 @@
     async def tick(
         self, pool_id: PoolId, config: ConfigTable, vm_list: VMList | None, now: float
     ) -> bool:
-        """Do one round of a held pool's work; says whether its records are sure."""
+        """Run one round of a held pool's work.
+
+        Returns False if the outcome of a write is unknown or the store failed.
+        """
         if not await self._settle(pool_id):
             return False
         for _ in range(MAX_ATTEMPTS):
@@ -140,12 +146,12 @@
         return True
 
     async def restore_drained_vms(self, pool_id: PoolId) -> None:
-        """Put drained VMs back to work while the store cannot be reached.
+        """Restore drained VMs to service while the store cannot be reached.
 
-        Without the store no reboot or move can be intended, so a drained VM
-        would stand idle for the whole outage. The restoration carries the
-        drain's own revision: it closes that intent for good, and whoever
-        holds the pool after the outage sees it and takes the VM off the list.
+        Without the store no intent of a reboot or move can be written, so a
+        drained VM would be idle for the whole outage. The restoration carries the
+        revision of the drain and thereby ends that intent. The holder of the pool
+        after the outage observes this and removes the VM from the disruptions.
         """
         for vm_id in sorted(self.tables.busy_vm_ids_by_pool.get(pool_id, ())):
             record = self.tables.vms_by_id[vm_id]
@@ -153,16 +159,17 @@
                 await self._request_action(record, Action.RESTORE)
 
     def drop_unconfirmed_write(self, pool_id: PoolId) -> None:
-        """Drop a write of unknown outcome of a pool that is held no more."""
+        """Drop the unconfirmed write of a pool that is no longer held."""
         self._unsettled.pop(pool_id, None)
 
     async def _settle(self, pool_id: PoolId) -> bool:
-        """Find out what became of a write whose reply was lost.
+        """Determine the outcome of a write whose reply was lost.
 
-        No action is taken before that. The write is not sent again: its plan
-        is from before the loss, and VMs may have failed since, so the pool
-        could fall under its budget. One call reads all its records instead; it
-        names the holder key as absent, which fails while the pool is held.
+        Returns whether it is known; no action is requested before that. The write
+        is not repeated: VMs may have failed since it was planned, and the pool
+        could fall below its budget. Instead one transaction reads all its records.
+        It expects the holder key to be absent, so it fails while the pool is held
+        and returns the records.
         """
         draft = self._unsettled.get(pool_id)
         if draft is None:
@@ -198,10 +205,11 @@
         return await self._commit(pool_id, self._to_transaction(draft, fence), draft)
 
     def _to_transaction(self, draft: Draft, fence: Expect) -> Transaction:
-        # A holder paused past its lease would drain further VMs on top of its
-        # successor's. The write expects its own holder key and the revision of
-        # each record it was planned from; once a successor has taken the key
-        # or written any of them, the store refuses it whole.
+        # A holder that was paused past its lease could drain VMs in addition to
+        # those that the next holder drains. The write therefore expects the holder
+        # key and the revision of each record that it was planned from. Once the
+        # next holder has acquired the key or written a record, the store refuses
+        # the whole transaction.
         expects = [fence]
         writes: list[Put | Delete] = []
         for key, record in draft.records_by_key.items():
@@ -297,7 +305,7 @@
                 action=action.value,
                 reason=result.failure().message(),
             )
-        # The sighting may be older than the refusal, so it is not used again.
+        # The observation may be older than the refusal, so it is not used again.
         self.tables.observations_by_id.pop(record.id, None)
 
     def _revision_of(self, vm_id: VMId) -> Revision:
--- a/packages/daemon/src/medlarspring_daemon/fleet/feed.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/feed.py
@@ -1,4 +1,4 @@
-"""Keeps the fleet's records current by watches."""
+"""Keeps the fleet records in memory up to date with watches of the store."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
     from medlarspring_tables.fleet_tables import FleetTables
 
 WATCHED_PREFIXES = tuple(f"{FLEET_PREFIX}{kind}/" for kind in ("vms", "waves", "moves"))
-"""Written by other holders and by operators.
+"""Prefixes of records that other holders and operators write.
 
 The lists of disruptions are not watched: a pool's list has one writer, and a
-zone's list is read again whenever a write of it conflicts.
+zone's list is read again whenever a write to it conflicts.
 """
 
 
 class RecordListener:
-    """Takes the records under one prefix into the tables."""
+    """Applies the records under one prefix to the tables."""
 
     def __init__(self, tables: FleetTables, prefix: str) -> None:
         self._tables = tables
         self._prefix = prefix
 
     def take_listing(self, listing: Listing) -> None:
-        """Take all records."""
+        """Apply a listing of all records; records that it lacks are removed."""
         take_listing(self._tables, self._prefix, listing)
 
     def take_batch(self, batch: WatchBatch) -> None:
-        """Take changes."""
+        """Apply the changes and deletions that a watch reported."""
         for key in batch.deleted:
             self._tables.remove(key, batch.revision)
         for entry in batch.changed:
@@ -42,7 +42,7 @@
 
 
 class FleetFeed:
-    """Follows every prefix that others write."""
+    """Watches every prefix in ``WATCHED_PREFIXES``."""
 
     def __init__(self, store: Store, tables: FleetTables, rng: random.Random) -> None:
         self._followers = [
@@ -51,12 +51,12 @@
         ]
 
     def start(self) -> None:
-        """Begin to follow; nothing happens if that has begun already."""
+        """Start all watches; has no effect if they are running."""
         for follower in self._followers:
             follower.start()
 
     async def stop(self) -> None:
-        """End all watches."""
+        """Stop all watches."""
         for follower in self._followers:
             await follower.stop()
 
--- a/packages/daemon/src/medlarspring_daemon/fleet/rounds.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/rounds.py
@@ -1,4 +1,4 @@
-"""One round of fleet control work over all pools that this process holds."""
+"""Runs rounds of fleet control work over all pools that this process holds."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     from medlarspring_tables import ConfigTable, PoolId, Revision, VMList
 
 IDLE_TICK_SECONDS = 5.0
-"""A pool without wave, move or busy VM is looked at this often."""
+"""Interval of rounds for a pool without open waves, open moves or busy VMs."""
 OBSERVATION_VALID_SECONDS = 5.0
-"""VMs not seen for this long count as unseen."""
+"""Observations of VMs are dropped if none succeeded for longer than this."""
 PROBE_SECONDS = (1.0, 3.0)
-"""A lost store is tried again after a random time between these."""
+"""Range of the random delay between reads of a store that does not answer."""
 RESTORE_AFTER_SECONDS = 10.0
-"""Drained VMs are put back once the store has been out of reach this long."""
+"""Drained VMs are restored once the store has been unreachable for this long."""
 
 
 class FleetRounds:
-    """Takes pools over, looks at their VMs and ticks those that are due."""
+    """Takes over pools, observes their VMs and runs the pools that are due."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._rng = rng
         self._log = log
         self._fences: dict[PoolId, Revision] = {}
-        """Holder key by pool, as of the last round with the store in reach."""
+        """Holder key's revision by pool, from the last round that read the store."""
         self._ticked_at: dict[PoolId, float] = {}
         self._observed_at: dict[PoolId, float] = {}
         self._store_lost_at: float | None = None
@@ -56,7 +56,7 @@
     async def run(
         self, holders: Holders, config: ConfigTable, vm_list: VMList | None
     ) -> None:
-        """Do one round."""
+        """Run one round."""
         now = self._clock.now()
         if self._controller.is_store_lost and now >= self._next_probe_at:
             self._next_probe_at = now + self._rng.uniform(*PROBE_SECONDS)
@@ -96,9 +96,9 @@
                 fences[pool_id] = fence.mod_revision
         if fences == self._fences:
             return True
-        # A pool is lost when another process takes it, or when the store cannot
-        # be reached and the lease lapses. In the second case drained VMs would
-        # stand idle with nobody to reboot them, so the pools are let go only
+        # A pool is lost when another process acquires it, or when the store cannot
+        # be reached and the lease expires. In the second case drained VMs would
+        # stay idle because no process can reboot them, so pools are given up only
         # once the store has answered.
         if not await self._controller.load():
             return False
--- a/packages/daemon/src/medlarspring_daemon/fleet/routes.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/routes.py
@@ -1,4 +1,4 @@
-"""Routes of the operator port for pools, VMs, waves, moves and spare."""
+"""Routes of the operator port for pools, VMs, waves, moves and spare capacity."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class FleetRoutes:
-    """Answer from the records in the store, on any entry VM."""
+    """Handlers that use the records in the store; any entry VM can serve them."""
 
     def __init__(
         self,
@@ -153,7 +153,7 @@
         return answer(MovesAnswer(moves=unwrap_or_refuse(moves)))
 
     async def _load(self) -> FleetTables:
-        """Read the records, and what the platform shows if it answers."""
+        """Read the fleet records, and the platform's view of the VMs if available."""
         tables = unwrap_or_refuse(await self._command_handler.load())
         if self._vm_control is not None:
             observed = await self._vm_control.read_vms((), ())
--- a/packages/daemon/src/medlarspring_daemon/fleet/service.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/service.py
@@ -1,4 +1,4 @@
-"""Runs the control work of the pools that this process holds."""
+"""Runs the fleet control work of the pools that this process holds."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FleetService:
-    """Does a round each second and follows the records while it holds pools."""
+    """Runs a round every second, and watches the records while it holds pools."""
 
     def __init__(self, node: Node, vm_control: VMControl | None) -> None:
         self._node = node
@@ -39,13 +39,13 @@
         )
 
     async def start(self) -> None:
-        """Start the loop, unless the settings name no VM control."""
+        """Start the loop if a VM control is configured."""
         if self._vm_control is not None:
             vm_control = self._vm_control
             self._tasks.keep(lambda: self._run(vm_control))
 
     async def stop(self) -> None:
-        """Stop between two calls; the records let a successor go on."""
+        """Stop the loop; the next holder continues from the records in the store."""
         await self._tasks.cancel()
         if isinstance(self._vm_control, HttpVMControl):
             await self._vm_control.close()
@@ -102,7 +102,7 @@
 def create_fleet_service(
     node: Node, vm_control: VMControl | None = None
 ) -> FleetService:
-    """Return the service; without a VM control it does nothing."""
+    """Return the service; without a VM control it only serves operators' requests."""
     section = node.settings.vm_control
     if vm_control is None and section is not None:
         vm_control = HttpVMControl(section.url, section.timeout_seconds)
--- a/packages/daemon/src/medlarspring_daemon/fleet/views.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/views.py
@@ -1,4 +1,4 @@
-"""Fleet records as operators see them."""
+"""Converts fleet records to the views that operators get."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def view_pool(tables: FleetTables, row: PoolRow) -> PoolView:
-    """Return a pool against its budget."""
+    """Return a pool's counts of VMs and its budget."""
     counted = count_availability(Draft(tables), row)
     return PoolView(
         id=row.id,
@@ -35,7 +35,7 @@
 
 
 def view_vm(tables: FleetTables, record: VMRecord) -> VMView:
-    """Return a VM's record with what the platform shows."""
+    """Return a VM's record with its health and the platform's condition."""
     observation = tables.observations_by_id.get(record.id)
     return VMView(
         record=record,
@@ -47,7 +47,7 @@
 def view_wave(
     tables: FleetTables, wave: WaveRecord, config: ConfigTable, now: float
 ) -> WaveView:
-    """Return a wave with its progress, its expected end and its blocks."""
+    """Return a wave with its progress, expected end and reasons for waiting."""
     progress = measure_progress(
         Draft(tables), wave, config.pools_by_id, config.fleet, now
     )
@@ -70,7 +70,7 @@
 def view_spare(
     tables: FleetTables, config: ConfigTable, domain: FailureDomain
 ) -> SpareAnswer:
-    """Return the spare of the fleet."""
+    """Return the spare capacity held and needed for failures of a domain."""
     report = report_spare(tables, config.pools_by_id, config.fleet, domain)
     return SpareAnswer(
         held=report.held,
--- a/packages/daemon/src/medlarspring_daemon/fleet/vm_list_service.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/vm_list_service.py
@@ -20,12 +20,12 @@
 FIRST_RETRY_SECONDS = 0.5
 JITTER = 0.1
 BYTES_PER_SECOND = 2_000.0
-"""A long list is read more seldom, to stay within what a node may spend."""
+"""A long list is read less often, to limit the traffic of a node to this rate."""
 MAX_WAIT_SECONDS = 30.0
 
 
 class VMListService:
-    """The only writer of ``node.vm_list``."""
+    """Polls the VM list; only writer of ``node.vm_list``."""
 
     def __init__(self, node: Node, client: VMListClient) -> None:
         self._node = node
@@ -35,11 +35,11 @@
         self._tasks = Tasks(node.log)
 
     async def start(self) -> None:
-        """Begin to poll; the first answer is not waited for."""
+        """Start polling without awaiting the first answer."""
         self._tasks.keep(self._run)
 
     async def stop(self) -> None:
-        """End polling."""
+        """Stop polling."""
         await self._tasks.cancel()
 
     async def _run(self) -> None:
--- a/packages/daemon/src/medlarspring_daemon/jobs/__init__.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/__init__.py
@@ -1,3 +1,3 @@
-"""Jobs of pools and their attempts on workers."""
+"""Control of the jobs of pools and of their attempts on workers."""
 
 from __future__ import annotations
--- a/packages/daemon/src/medlarspring_daemon/jobs/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/controller.py
@@ -1,4 +1,4 @@
-"""Runs the jobs of one pool: intent first, then the order to the worker."""
+"""Runs the jobs of one pool: writes each intent, then sends the order to the worker."""
 
 from __future__ import annotations
 
@@ -57,11 +57,11 @@
 
 
 class JobController:
-    """The jobs of one pool, as long as this process holds the pool.
+    """Runs the jobs of one pool while this process holds the pool.
 
-    The record of a job decides who runs it. Every change is written with the
-    record's revision before a worker hears of it, and taken back in memory
-    when the store refuses it.
+    The record of a job in the store decides which worker runs it. Every change is
+    written with the record's expected revision before any order is sent to a
+    worker, and reverted in memory if the store refuses it.
     """
 
     def __init__(
@@ -83,14 +83,14 @@
         self._is_reload_needed = True
 
     def schedule_reload(self) -> None:
-        """Read all records again at the next round."""
+        """Make the next round read all records again."""
         self._is_reload_needed = True
 
     async def load(self) -> bool:
-        """Read all records; False when the store does not answer.
+        """Read all records; return False if the store does not answer.
 
-        Also done when a write's outcome is unknown or another writer was
-        first: the store, not memory, says what holds.
+        This is also done after a write with an unknown outcome or a conflict,
+        because the store is authoritative, not the records in memory.
         """
         listing = await self._jobs.read_pool(self.pool_id)
         if not is_successful(listing):
@@ -100,7 +100,7 @@
         return True
 
     def take_listing(self, listing: Listing) -> None:
-        """Take all records; a known job that is not among them is gone."""
+        """Apply a listing of all records; known jobs that it lacks are removed."""
         seen = {
             self.apply_record(entry.value, entry.mod_revision)
             for entry in listing.entries
@@ -111,31 +111,31 @@
                 forget_job(self.tables, job_id)
 
     def take_batch(self, batch: WatchBatch) -> None:
-        """Take changes that a watch brought."""
+        """Apply the changes that a watch reported."""
         for entry in batch.changed:
             self.apply_record(entry.value, entry.mod_revision)
         for key in batch.deleted:
             forget_job(self.tables, JobId(key.rpartition("/")[2]))
 
     def apply_record(self, value: bytes, revision: Revision) -> JobId:
-        """Take over a record from the store unless a newer one is known."""
+        """Apply a record from the store unless a newer one is known; return its id."""
         job = decode_job(value)
         known = self.tables.revisions_by_id.get(job.id, Revision(0))
         if revision > known:
             put_job(self.tables, job)
             self.tables.revisions_by_id[job.id] = revision
-            # A write in flight will be refused; taking it back would restore
-            # the record from before this one, and undo a cancellation.
+            # A write in flight will be refused. Reverting it would restore the
+            # record from before this one and undo a cancellation.
             self.tables.originals_by_id.pop(job.id, None)
             if job.attempt is not None:
                 self.workers.schedule_poll(job.attempt.vm_id)
         return job.id
 
     async def tick(self) -> None:
-        """Run one round: hear the workers, decide, write, tell the workers.
+        """Run one round: poll workers, decide, write records, send orders.
 
-        While the store is out of reach, leases are still renewed, so that
-        running work goes on; nothing new is decided.
+        While the store is unreachable, task leases are still renewed so that
+        running tasks continue, but no new decisions are made.
         """
         self.tables.originals_by_id.clear()
         if self._is_reload_needed:
@@ -147,7 +147,7 @@
         await self._decide()
 
     async def delete_ended_jobs(self, kept_seconds: Seconds) -> None:
-        """Remove the records of jobs that ended longer ago than given."""
+        """Delete the records of jobs that ended more than ``kept_seconds`` ago."""
         fence = self._fence()
         oldest = self._clock.wall() - kept_seconds
         ended = [
@@ -178,7 +178,10 @@
         await asyncio.gather(*orders)
 
     async def _save(self, jobs: list[Job]) -> set[JobId]:
-        """Write changed records; what is not saved is taken back in memory."""
+        """Write changed records and return the ids of those saved.
+
+        Records that were not saved are reverted in memory.
+        """
         fence = self._fence()
         if fence is None or self._is_reload_needed:
             for job in jobs:
@@ -221,7 +224,10 @@
         await self._save([job for job in ended if job is not None])
 
     def _is_end_recorded(self, report: TaskReport) -> bool:
-        """Tell whether the worker may drop an ended task."""
+        """Return whether the record shows that this attempt ended.
+
+        The worker may then forget the task.
+        """
         job = self.tables.jobs_by_id.get(report.job_id)
         if job is None or job.attempt is None:
             return True
@@ -251,11 +257,11 @@
         return confirm_running(self.tables, job.id, job.attempt.number)
 
     async def _handle_unknown_attempt(self, job: Job) -> Job | None:
-        """Act on an attempt that its worker does not know.
+        """Handle an attempt that is missing from its worker's report.
 
-        Its order may be lost or still on its way. A start is sent again; for
-        an attempt to be stopped, the stop is what keeps a late start from
-        running, so only its receipt ends the attempt.
+        Its order may be lost or delayed. A start is sent again. If the attempt is
+        to be stopped, the stop order keeps a delayed start from running, so the
+        attempt ends only once the worker has confirmed the stop.
         """
         assert job.attempt is not None
         if job.attempt.state is AttemptState.INTENDED:
--- a/packages/daemon/src/medlarspring_daemon/jobs/request_handler.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/request_handler.py
@@ -1,4 +1,4 @@
-"""Takes jobs and cancellations from operators, at any entry VM."""
+"""Handles operators' job submissions, cancellations and queries on any entry VM."""
 
 from __future__ import annotations
 
@@ -47,11 +47,11 @@
 MAX_SHOWN = 200
 MAX_SAVE_ROUNDS = 40
 SAVE_PAUSE_SECONDS = 0.25
-"""A wave of cancellations is spread over the budget of store calls."""
+"""Pause between rounds of writes, to stay within the budget of store calls."""
 
 
 class JobIdTaken(JobRefused):
-    """Another job has this id."""
+    """Another job with this id exists."""
 
     code = "job-id-taken"
 
@@ -60,7 +60,7 @@
         self.job_id = job_id
 
     def message(self) -> str:
-        """Say what to do."""
+        """Tell the operator to submit the job under another id."""
         return (
             f"Job {self.job_id} is on record with other content. Submit it under"
             " another id, or look at it with `medlarspring job show`."
@@ -77,7 +77,7 @@
         self.job_id = job_id
 
     def message(self) -> str:
-        """Say what to do."""
+        """Tell the operator to submit the job again under the same id."""
         return (
             f"The store did not confirm job {self.job_id}. Submit it again under"
             " the same id: it is recorded once."
@@ -85,7 +85,7 @@
 
 
 class JobRequestHandler:
-    """Reads and writes job records without holding their pools."""
+    """Reads and writes job records; does not need to hold their pools."""
 
     def __init__(
         self,
@@ -100,7 +100,7 @@
         self._table_revision = table_revision
 
     async def submit(self, request: SubmitRequest, origin: str) -> SubmitAnswer:
-        """Accept or refuse each job on its own."""
+        """Accept or refuse each job individually."""
         now = self._clock.wall()
         refused: list[RefusedJob] = []
         writes: list[JobWrite] = []
@@ -122,7 +122,7 @@
     async def cancel(
         self, request: CancelRequest, origin: str
     ) -> Result[CancelAnswer, StoreError]:
-        """Cancel jobs of a pool; races with the holder are tried again."""
+        """Cancel matching jobs of a pool; conflicts with the holder are retried."""
         audit = partial(self._create_audit, "job cancel", request.operator, origin)
         cancelled: set[JobId] = set()
         ended = remaining = 0
@@ -152,7 +152,7 @@
     async def list_jobs(
         self, pool_id: PoolId, partner_id: PartnerId | None, state: JobState | None
     ) -> Result[JobsAnswer, StoreError]:
-        """Return the newest jobs of a pool that match."""
+        """Return the newest matching jobs of a pool, and its job counts by state."""
         read = await self._read_tables(pool_id)
         if not is_successful(read):
             return Failure(read.failure())
@@ -170,7 +170,7 @@
     async def find_job(
         self, pool_id: PoolId, job_id: JobId
     ) -> Result[JobView | None, StoreError]:
-        """Return one job and, while it waits, why."""
+        """Return one job, with the reason if it waits; None if it does not exist."""
         read = await self._read_tables(pool_id)
         if not is_successful(read):
             return Failure(read.failure())
@@ -242,10 +242,10 @@
     def _create_audit(
         self, action: str, operator: str, origin: str, writes: Sequence[JobWrite]
     ) -> AuditRecord:
-        """Return the record of what was asked for one batch.
+        """Return the audit record of the requested changes of one batch.
 
-        It stands beside the jobs in one store call. A job that somebody else
-        changed first is named in it though it was left as it was.
+        It is written in the same store call as the jobs. A job that was not saved
+        because another writer changed it first is listed nevertheless.
         """
         return AuditRecord(
             revision=self._table_revision(),
@@ -270,10 +270,10 @@
         )
 
     async def _find_identical_job(self, job: Job) -> Result[Job, JobRefused]:
-        """Find a job on record with the same content, written before.
+        """Return the recorded job with this id if its content is identical.
 
-        Also after a lost reply: the submitter's retry would otherwise find its
-        own job and take it for somebody else's.
+        After a lost reply a retry finds its own job, which must not be reported
+        as another job with the same id.
         """
         found = await self._jobs.read_job(job.pool_id, job.id)
         if not is_successful(found):
--- a/packages/daemon/src/medlarspring_daemon/jobs/routes.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/routes.py
@@ -24,14 +24,14 @@
 
 
 class JobRoutes:
-    """Submit, list, show and cancel jobs."""
+    """Handlers that submit, list, show and cancel jobs."""
 
     def __init__(self, request_handler: JobRequestHandler, entry_vm: str) -> None:
         self._request_handler = request_handler
         self._entry_vm = entry_vm
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of jobs."""
+        """Return the routes for jobs."""
         return [
             web.post("/v1/jobs", self._submit),
             web.post("/v1/jobs/cancel", self._cancel),
--- a/packages/daemon/src/medlarspring_daemon/jobs/service.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/service.py
@@ -37,7 +37,7 @@
 
 TICK_SECONDS = 0.25
 REFRESH_SECONDS = 1.0
-"""How often workers and partners are brought up to date."""
+"""Interval at which workers and partners are updated from the configuration."""
 DELETE_INTERVAL_SECONDS = 60.0
 KEEP_ENDED_SECONDS = 3600.0
 """How long the record of an ended job is kept."""
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class HeldPool:
-    """The work on one pool's jobs."""
+    """Controller and watch of one pool's jobs, with the times of periodic work."""
 
     controller: JobController
     follower: PrefixFollower
@@ -54,7 +54,7 @@
 
 
 class JobService:
-    """One controller for each held pool, all run by one loop."""
+    """Runs one controller for each held pool in a single loop."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -69,13 +69,13 @@
         node.operator_routes.extend(JobRoutes(request_handler, node.id).routes())
 
     async def start(self) -> None:
-        """Start the loop."""
+        """Open the HTTP session to workers and start the loop."""
         self._session = aiohttp.ClientSession()
         self._workers = create_worker_control(self._session)
         self._tasks.keep(self._run)
 
     async def stop(self) -> None:
-        """Stop between two rounds; a successor goes on from the records."""
+        """Stop the loop; the next holder continues from the records in the store."""
         await self._tasks.cancel()
         for pool in self._pools_by_id.values():
             await pool.follower.stop()
@@ -106,11 +106,11 @@
         )
 
     async def _update_held_pools(self) -> None:
-        """Begin with pools taken; let go of pools that others hold.
+        """Start controllers for acquired pools and stop those of lost pools.
 
-        A pool whose lease lapsed because the store is out of reach is kept:
-        without a fence its controller writes nothing, but it renews the tasks'
-        leases, so that running work outlives the outage.
+        While the store is unreachable, pools whose lease expired are kept: their
+        controllers cannot write without the fencing revision, but they renew the
+        tasks' leases so that running tasks survive the outage.
         """
         held = self._node.holders.held_pools()
         for pool_id in held - self._pools_by_id.keys():
@@ -149,7 +149,7 @@
             await controller.delete_ended_jobs(KEEP_ENDED_SECONDS)
 
     def _fill_tables(self, tables: JobTables, pool_id: PoolId) -> dict[VMId, str]:
-        """Bring workers and partners up to date; returns the workers' addresses."""
+        """Update workers and partners; return the workers' addresses."""
         config = self._node.config
         vm_list = self._node.vm_list
         if config is None or vm_list is None:
@@ -169,7 +169,7 @@
         return addresses
 
     def _find_pool_id(self, vm: ListedVM) -> PoolId:
-        """Return the VM's pool by its record, or by the list if it has none."""
+        """Return the pool in the VM's record, or in the VM list if it has no record."""
         record = self._node.fleet_tables.vms_by_id.get(vm.id)
         return record.pool_id if record else vm.pool_id
 
@@ -187,7 +187,7 @@
 
 
 def create_job_service(node: Node) -> JobService:
-    """Return the service; its routes are added to the operator port."""
+    """Return the service; creating it adds its routes to the operator port."""
     return JobService(node)
 
 
--- a/packages/daemon/src/medlarspring_daemon/jobs/workers.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/workers.py
@@ -1,4 +1,4 @@
-"""The talk with the workers of one pool: orders out, renewals and reports in."""
+"""Calls to the workers of one pool: task orders, lease renewals and reports."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
 
 TASK_LEASE_SECONDS = 30.0
 LEASE_MARGIN_SECONDS = 5.0
-"""Added before a silent worker's tasks are taken to have ended."""
+"""Time added to the lease before an unresponsive worker's tasks count as ended."""
 RENEW_SECONDS = 5.0
 POLL_DELAY_SECONDS = 0.25
-"""Pause between calls to a worker from which an answer is awaited."""
+"""Delay of the next poll of a worker to which an order was sent."""
 
 
 @dataclass(slots=True)
 class WorkerLink:
-    """What is known of the talk with one worker."""
+    """State of the calls to one worker."""
 
     id: VMId
     address: str
     renewed_at: Seconds
-    """When its tasks' leases were last renewed, or the latest they can be."""
+    """When its tasks' leases were last renewed, or the latest possible time."""
     due_at: Seconds = 0.0
     forget: set[Renewal] = field(default_factory=set)
 
@@ -66,10 +66,10 @@
         self._links_by_id: dict[VMId, WorkerLink] = {}
 
     def set_addresses(self, addresses_by_id: dict[VMId, str]) -> None:
-        """Name the workers' addresses; new ones count as just renewed.
+        """Set the workers' addresses; new workers count as just renewed.
 
-        A successor does not know when its predecessor last renewed a worker's
-        tasks. Taking the present as that time only waits longer.
+        A new holder does not know when the previous holder last renewed a worker's
+        tasks. Assuming the current time is safe and only waits longer.
         """
         now = self._clock.now()
         for vm_id, address in addresses_by_id.items():
@@ -80,15 +80,15 @@
                 link.address = address
 
     def schedule_poll(self, vm_id: VMId) -> None:
-        """Expect news from a worker: ask it again after a short pause."""
+        """Poll a worker again after a short delay, as its state is about to change."""
         link = self._links_by_id.get(vm_id)
         if link is not None:
             link.due_at = min(link.due_at, self._clock.now() + POLL_DELAY_SECONDS)
 
     async def send_start(self, job: Job) -> bool:
-        """Order the start; False when the worker refuses this attempt for good.
+        """Send a start order; return False if the worker refuses the attempt.
 
-        A lost order is repeated at the next renewal.
+        A lost order is sent again after the next renewal.
         """
         assert job.attempt is not None
         link = self._links_by_id.get(job.attempt.vm_id)
@@ -107,7 +107,7 @@
         return is_successful(sent) or not isinstance(sent.failure(), WorkerRefused)
 
     async def send_stop(self, job: Job) -> bool:
-        """Order a stop; True when the worker confirmed that it has the order."""
+        """Send a stop order; return whether the worker confirmed its receipt."""
         assert job.attempt is not None
         link = self._links_by_id.get(job.attempt.vm_id)
         if link is None:
@@ -119,14 +119,15 @@
         return is_successful(await self._workers.stop(link.address, job.id, order))
 
     async def poll_due_workers(self) -> list[WorkerAnswer]:
-        """Renew at all workers that are due, at once, and return the answers."""
+        """Renew leases at all due workers concurrently and return their answers."""
         now = self._clock.now()
         due: list[tuple[WorkerLink, frozenset[JobId]]] = []
         for link in self._links_by_id.values():
             worker = self._tables.workers_by_id.get(link.id)
             job_ids = frozenset(worker.job_ids if worker else ())
             if not job_ids and not link.forget:
-                # With nothing to renew, silence tells nothing.
+                # Without tasks no calls are made, so the time since the last
+                # renewal must not count against the worker.
                 link.renewed_at = now
                 continue
             if link.due_at <= now:
@@ -154,10 +155,10 @@
         return [Renewal(job.id, job.attempt.number) for job in jobs if job.attempt]
 
     def have_leases_expired(self, link: WorkerLink) -> bool:
-        """Tell whether all tasks of a silent worker have certainly ended.
+        """Return whether all tasks of an unresponsive worker have certainly ended.
 
-        Placing them elsewhere sooner could run a job twice, since a worker
-        that only lost its network goes on until the lease runs out.
+        Placing them elsewhere sooner could run a job twice, since a worker that
+        only lost its network runs its tasks until their leases expire.
         """
         unresponsive_seconds = self._clock.now() - link.renewed_at
         return unresponsive_seconds >= TASK_LEASE_SECONDS + LEASE_MARGIN_SECONDS
--- a/packages/daemon/src/medlarspring_daemon/membership/__init__.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/__init__.py
@@ -1,3 +1,3 @@
-"""The other entry VMs, and who holds which pool's control work."""
+"""Membership of entry VMs, and which of them holds each pool's control work."""
 
 from __future__ import annotations
--- a/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
@@ -1,4 +1,4 @@
-"""Holds the control work of pools under one store lease."""
+"""Acquires and keeps the control work of pools under one store lease."""
 
 from __future__ import annotations
 
@@ -43,13 +43,16 @@
 HOLDERS_PREFIX = "holders/"
 TICK_SECONDS = 0.5
 STARTUP_DELAY_SECONDS = 3.0
-"""A new process first learns who else is there; alone it would take all pools."""
+"""Delay after the start, in which the process learns of its peers.
+
+Without it a new process knows no other member and acquires all pools.
+"""
 ACQUIRE_INTERVAL_SECONDS = 1.0
 MAX_POOLS_PER_CALL = 64
 
 
 class HolderRecord(Struct, frozen=True):
-    """Value of a holder key, for people."""
+    """Value of a holder key; informational, never read by other processes."""
 
     entry_vm: str
     incarnation: int
@@ -58,7 +61,7 @@
 
 
 class HolderService:
-    """Implements ``Holders``; one lease keeps all keys of this process."""
+    """Implements ``Holders``; all keys of this process are attached to one lease."""
 
     def __init__(self, node: Node, peers: PeerService) -> None:
         self._node = node
@@ -66,23 +69,26 @@
         self._tasks = Tasks(node.log)
         self.holdings = Holdings(node.id)
         self._keys_to_delete: list[HeldPool] = []
-        """Given up, but the key may still be there."""
+        """Released pools whose keys may still exist in the store."""
         self._renew_at = 0.0
         self._renewal_failures = 0
         self._suspended = False
-        """Whether the lease may have lapsed and nothing is done for its pools."""
+        """Whether the lease may have expired, so that no work is done for its pools."""
         self._next_attempt_at = 0.0
         self._failures = 0
 
     async def start(self) -> None:
-        """Begin to hold what this process is preferred for."""
+        """Start acquiring the pools for which this process is the preferred holder."""
         self._node.holders = self
         self._next_attempt_at = self._node.clock.now() + STARTUP_DELAY_SECONDS
         self._tasks.keep(self._run)
         self._tasks.keep(self._watch_lease_expiry)
 
     async def stop(self) -> None:
-        """Give everything up at once, so that successors need not wait."""
+        """Release all pools by revoking the lease, so that others can acquire them.
+
+        Otherwise they would have to wait until the lease expires.
+        """
         await self._tasks.cancel()
         lease_id = self.holdings.lease_id
         self._log_released(self.holdings.pools_by_id.values())
@@ -91,11 +97,11 @@
             await self._node.store.revoke_lease(LeaseId(lease_id))
 
     def held_pools(self) -> frozenset[PoolId]:
-        """Return the pools held for certain, by this process's own clock."""
+        """Return the pools whose lease is still valid by this process's own clock."""
         return list_held_pools(self.holdings, self._node.clock.now())
 
     def fence(self, pool_id: PoolId) -> Expect | None:
-        """Return the condition that each write of the pool's work must carry."""
+        """Return the condition to add to each write for the pool; None if not held."""
         revision = find_fencing_revision(self.holdings, pool_id, self._node.clock.now())
         if revision is None:
             return None
@@ -108,10 +114,10 @@
             await asyncio.sleep(TICK_SECONDS)
 
     async def _watch_lease_expiry(self) -> None:
-        """Log when this process stops acting by its own clock.
+        """Log when the lease expires by this process's own clock.
 
-        The store may answer much later that the lease is gone; read from that
-        line alone, two processes would seem to have held a pool at once.
+        The store may report the expiry much later. Logged only then, two processes
+        would appear to have held a pool at the same time.
         """
         while True:
             now = self._node.clock.now()
@@ -145,7 +151,7 @@
         self._log_resumed()
 
     def _log_resumed(self) -> None:
-        """Act again for pools whose keys outlived the store's silence."""
+        """End the suspension after a renewal and log the pools as held again."""
         if not self._suspended:
             return
         self._suspended = False
@@ -211,8 +217,9 @@
             return
         revision = committed.revision
         if not committed.succeeded:
-            # After a lost answer the key is already there with this lease; taken
-            # for another holder's it would stay ours and unserved for ever.
+            # If the reply to an earlier write was lost, the key already exists with
+            # this lease. If it were attributed to another holder, this process would
+            # keep it alive and no process would ever serve the pool.
             found = committed.read_by_key.get(_key(pool_id))
             if found is None or found.lease_id != lease_id:
                 return
@@ -235,10 +242,10 @@
         return True
 
     async def _delete_keys(self) -> None:
-        """Delete the keys of pools given up before; none is acted on any more.
+        """Delete the keys of released pools, on which no more work is done.
 
-        A key whose deletion got no answer is tried again: the lease is kept
-        alive for the other pools, and the key would bar successors for ever.
+        A deletion without a reply is retried: the lease stays alive for the other
+        pools, so a remaining key would block other holders for ever.
         """
         for held in list(self._keys_to_delete):
             key = _key(held.pool_id)
@@ -252,10 +259,10 @@
             self._keys_to_delete.remove(held)
 
     def _log_released(self, released: Iterable[HeldPool]) -> None:
-        """Log what is given up, before a successor can hold it.
+        """Log the release of pools before another process can acquire them.
 
-        Logged after the key is gone, the release would stand behind the
-        successor's word that it holds the pool, as if both had acted.
+        If this were logged after the deletion of the key, it could follow the log
+        line of the next holder, as if both had held the pool at the same time.
         """
         for held in released:
             self._node.log.info(Event.POOL_RELEASED, pool=held.pool_id)
@@ -271,7 +278,7 @@
 
 
 def create_holder_service(node: Node, peers: PeerService) -> HolderService:
-    """Return the service that holds control work."""
+    """Return the service that acquires the control work of pools."""
     return HolderService(node, peers)
 
 
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_reports.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_reports.py
@@ -1,4 +1,4 @@
-"""Builds the reports that peers exchange, and hands on those that arrive."""
+"""Builds the reports that are sent to peers, and decodes received ones."""
 
 from __future__ import annotations
 
@@ -14,27 +14,28 @@
     from medlarspring_tables import MemberTable, Seconds
 
 COLLECT_INTERVAL_SECONDS = 0.2
-"""What the services say is collected at most so often, for all peers at once."""
+"""Shortest time between collections of the services' data, shared by all peers."""
 FULL_REPORT_INTERVAL_SECONDS = 5.0
-"""Unchanged usage is repeated so often, in case a report was lost."""
+"""Interval at which unchanged usage is sent again, in case a report was lost."""
 
 MAX_USAGE_ENTRIES = 32
-"""Changed shares in one report; more of them wait for the next ones."""
+"""Maximum number of changed shares in one report; later reports carry the rest."""
 
 Usage = tuple[int, int, int]
+"""Slot time in ms, waiting and running requests."""
 
 
 @dataclass(slots=True)
 class SentUsage:
-    """What one peer was told last, by partner and pool."""
+    """The usage that one peer was sent last, by partner and pool."""
 
     usage_by_share: dict[tuple[str, str], Usage | None] = field(default_factory=dict)
-    """In the order of sending, the one sent longest ago first."""
+    """In the order of sending, oldest first; None if it must be sent again."""
     full_sent_at: Seconds = -FULL_REPORT_INTERVAL_SECONDS
 
 
 class ReportBuilder:
-    """Makes one report per peer and call; only what changed goes into it."""
+    """Builds a report for each exchange that contains only what changed."""
 
     def __init__(self, node: Node, members: MemberTable) -> None:
         self._node = node
@@ -53,8 +54,8 @@
         self._sequence += 1
         report.sequence = self._sequence
         report.leaving = self._node.stopping
-        # All names would be most of a report in a large fleet; a peer only
-        # needs to know whether its own reports arrive.
+        # Naming every member that was heard would make up most of a report in a
+        # large fleet. A peer only needs to know whether its own reports arrive.
         if recipient in list_heard(self._members):
             report.heard.append(recipient)
         if self._node.config is not None:
@@ -63,7 +64,7 @@
         return report
 
     def forget(self) -> None:
-        """Drop what is kept about members that are gone."""
+        """Delete the state of members that are no longer in the member table."""
         for entry_vm_id in self._sent_by_id.keys() - self._members.members_by_id.keys():
             del self._sent_by_id[entry_vm_id]
 
@@ -107,9 +108,10 @@
 def _choose_changed(
     report: peer_pb2.Report, sent: SentUsage
 ) -> list[peer_pb2.PartnerUsage]:
-    """Return what changed, new shares first, then those sent longest ago.
+    """Return the changed shares, new ones first, then those sent longest ago.
 
-    Hundreds of partners at work would fill every report; each gets its turn.
+    With hundreds of active partners not all changes fit into one report; this
+    order ensures that every share is sent eventually.
     """
     order = {share: position for position, share in enumerate(sent.usage_by_share)}
     changed = []
@@ -126,7 +128,7 @@
 
 
 def to_heartbeat(report: peer_pb2.Report) -> Heartbeat:
-    """Return the facts that membership needs."""
+    """Return the fields of a report that membership needs."""
     return Heartbeat(
         sender=EntryVMId(report.sender),
         incarnation=report.incarnation,
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_request_handler.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_request_handler.py
@@ -1,4 +1,4 @@
-"""What this process answers on its peer port."""
+"""Handles the calls that peers make to this process's peer port."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 
 class ReportReceiver(Protocol):
-    """Learns from the reports that peers send."""
+    """Processes the reports that peers send."""
 
     def take_report(self, report: peer_pb2.Report) -> None:
-        """Learn from one report."""
+        """Apply one report."""
         ...
 
     def note_bytes(self, sent: peer_pb2.Report, received: peer_pb2.Report) -> None:
-        """Count what one exchange took."""
+        """Count the bytes of one exchange."""
         ...
 
 
 class PeerRequestHandler:
-    """Implements ``PeerHandlers``."""
+    """Implements ``PeerHandlers``, the calls of the peer port."""
 
     def __init__(
         self, node: Node, reports: ReportBuilder, receiver: ReportReceiver
@@ -46,14 +46,14 @@
         self._wrong_token_logged_at = -WRONG_TOKEN_LOG_SECONDS
 
     def exchange(self, report: peer_pb2.Report) -> peer_pb2.Report:
-        """Take a peer's report and return the own one."""
+        """Apply a peer's report and return this process's report."""
         self._receiver.take_report(report)
         reply = self._reports.build(EntryVMId(report.sender))
         self._receiver.note_bytes(reply, report)
         return reply
 
     def grant_slots(self, request: peer_pb2.SlotRequest) -> peer_pb2.SlotReply:
-        """Grant slots of upstream VMs."""
+        """Grant slots of upstream VMs; the reply has no grants during shutdown."""
         if self._node.slot_granter is None or self._node.stopping:
             return peer_pb2.SlotReply(
                 sender=self._node.id, incarnation=self._node.incarnation
@@ -61,7 +61,7 @@
         return self._node.slot_granter.grant_slots(request)
 
     def fetch_table(self, request: peer_pb2.TableRequest) -> peer_pb2.TableReply:
-        """Return the table in force if it is newer than the asker's."""
+        """Return the table in force if it is newer than the caller's."""
         table = self._node.config
         if table is None:
             return peer_pb2.TableReply()
@@ -70,7 +70,7 @@
         return peer_pb2.TableReply(revision=table.revision, table=self._compress(table))
 
     def find_decisions(self, query: peer_pb2.DecisionQuery) -> peer_pb2.DecisionReply:
-        """Return what is remembered about a subject."""
+        """Return the recorded decisions on a subject; none if its kind is unknown."""
         try:
             subject = Subject(query.kind)
         except ValueError:
@@ -81,7 +81,7 @@
         )
 
     def note_wrong_token(self) -> None:
-        """Log the refusal, seldom, since the caller will try again."""
+        """Log a call with a wrong token, at most once in 10 s since callers retry."""
         now = self._node.clock.now()
         if now - self._wrong_token_logged_at < WRONG_TOKEN_LOG_SECONDS:
             return
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_service.py
@@ -1,4 +1,4 @@
-"""Exchanges reports with the other entry VMs and calls them for others."""
+"""Exchanges reports with the other entry VMs and makes calls to them for services."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         self._token = section.token_file.read_text(encoding="utf-8").strip()
         self.members = MemberTable(node.id, ZoneId(node.settings.entry_vm.zone))
         self.newer_table_seen = asyncio.Event()
-        """Set when a report named a newer table than that in force."""
+        """Set when a report names a newer table than the one in force."""
         self.bytes_exchanged = 0
         self.slot_bytes = 0
         self.calls = 0
@@ -70,7 +70,7 @@
         self._ticked_at = node.clock.now()
 
     async def start(self) -> None:
-        """Open the peer port and begin to exchange reports."""
+        """Open the peer port and start exchanging reports."""
         self._node.addresses["peer"] = await self._server.start()
         self._node.peers = self
         self._node.config_listeners.append(self._announce_table)
@@ -78,7 +78,7 @@
         self._tasks.keep(self._run)
 
     async def stop(self) -> None:
-        """Tell the peers that this process leaves, then close the port."""
+        """Send the peers a last report marked as leaving, then close the port."""
         await self._tasks.cancel()
         heard = list(self.heard_by_id.values())
         leaving_exchanges = [
@@ -93,12 +93,12 @@
 
     @property
     def heard_by_id(self) -> Mapping[EntryVMId, Member]:
-        """Other entry VMs heard within the timeout and not leaving."""
+        """Other entry VMs that were heard within the timeout and are not leaving."""
         return membership.list_heard(self.members)
 
     @property
     def known_by_id(self) -> Mapping[EntryVMId, Member]:
-        """All other entry VMs that are listed or were heard lately."""
+        """All other entry VMs that are listed or were recently heard."""
         return self.members.members_by_id
 
     @property
@@ -108,7 +108,7 @@
 
     @property
     def refused_by_id(self) -> Mapping[EntryVMId, Seconds]:
-        """When a peer's port refused a connection and nothing was heard since."""
+        """Time of a refused connection, for peers that were not heard since."""
         return {
             member.id: member.refused_at
             for member in self.members.members_by_id.values()
@@ -116,13 +116,13 @@
         }
 
     def list_steady(self, *, own_zone_only: bool = False) -> list[Member]:
-        """Return the heard peers that are fit for duties."""
+        """Return the heard peers to which duties may be assigned."""
         now = self._node.clock.now()
         ids = membership.list_steady(self.members, now, own_zone_only=own_zone_only)
         return [self.members.members_by_id[each] for each in ids]
 
     def has_contacted_zone(self) -> bool:
-        """Return whether each listed peer of the zone answered or failed once."""
+        """Return whether a call to each listed peer of the zone has completed."""
         if self._applied_vm_list is None:
             return False
         own_zone_ids = {
@@ -138,7 +138,7 @@
         request: peer_pb2.SlotRequest,
         timeout_seconds: Seconds,
     ) -> Result[peer_pb2.SlotReply, PeerError]:
-        """Ask one peer for slots."""
+        """Request slots from one peer."""
         member = self.members.members_by_id.get(entry_vm_id)
         if member is None:
             return Failure(PeerUnreachable(entry_vm_id, "it is not known"))
@@ -152,7 +152,7 @@
     async def fetch_table(
         self, entry_vm_id: EntryVMId, known: Revision
     ) -> Result[bytes, PeerError]:
-        """Return a peer's table as JSON, empty if it is not newer."""
+        """Return a peer's table as JSON, or empty bytes if it is not newer."""
         member = self.members.members_by_id.get(entry_vm_id)
         if member is None:
             return Failure(PeerUnreachable(entry_vm_id, "it is not known"))
@@ -168,7 +168,7 @@
         return Success(zlib.decompress(compressed) if compressed else b"")
 
     async def find_decisions(self, kind: str, id: str) -> list[bytes]:  # noqa: A002
-        """Return what this process and all heard peers remember, as JSON."""
+        """Return the decisions recorded by this process and heard peers, as JSON."""
         query = peer_pb2.DecisionQuery(kind=kind, id=id)
         found = list(self._request_handler.find_decisions(query).decisions)
         clients = [self._open_client(each) for each in self.heard_by_id.values()]
@@ -184,7 +184,7 @@
         return found
 
     def take_report(self, report: peer_pb2.Report) -> None:
-        """Learn from one report, unless it is late or sent twice."""
+        """Apply one report, unless it is outdated or a duplicate."""
         now = self._node.clock.now()
         heartbeat = to_heartbeat(report)
         is_new, changes = membership.take_heartbeat(self.members, heartbeat, now)
@@ -198,7 +198,7 @@
             self.newer_table_seen.set()
 
     def note_bytes(self, sent: peer_pb2.Report, received: peer_pb2.Report) -> None:
-        """Count what one exchange took."""
+        """Count one exchange and its bytes, including protocol overhead."""
         exchanged = sent.ByteSize() + received.ByteSize() + FRAMING_BYTES
         self.bytes_exchanged += exchanged
         self.calls += 1
@@ -231,7 +231,7 @@
         self._tasks.start(self._exchange(member, EXCHANGE_TIMEOUT_SECONDS))
 
     def _announce_table(self, table: ConfigTable) -> None:
-        """Tell the zone of a newer table at once, not at the next interval."""
+        """Report a newer table to the zone at once, not at the next interval."""
         for member in self.heard_by_id.values():
             if member.zone_id != self.members.own_zone_id:
                 continue
@@ -251,16 +251,16 @@
         reply = answer.unwrap()
         self.note_bytes(report, reply)
         if reply.sender != member.id:
-            # The platform gave the address to a new VM before its list says so.
-            # Whoever had it is gone; waiting for its silence would keep its
-            # slots and duties bound to a VM that does not exist.
+            # The platform assigned the address to a new VM and has not yet updated
+            # its list. The previous VM has ended; until it timed out, its slots and
+            # pools would stay assigned to a VM that does not exist.
             now = self._node.clock.now()
             self._log_changes(membership.note_refused(self.members, member.id, now))
         self.take_report(reply)
         self._repeat_if_table_changed(member, report)
 
     def _repeat_if_table_changed(self, member: Member, sent: peer_pb2.Report) -> None:
-        """Tell the zone at once of a table that came in force during the call."""
+        """Exchange again at once if a newer table came in force during the call."""
         table = self._node.config
         if table is None or member.zone_id != self.members.own_zone_id:
             return
@@ -295,10 +295,10 @@
             self._drop_client(member.id)
 
     def _drop_client(self, entry_vm_id: EntryVMId) -> None:
-        """Connect afresh next time.
+        """Close the connection to a peer; the next call opens a new one.
 
-        A connection that has gone silent for good fails call after call while a
-        new one would work; the keepalive finds out too, but only after 12 s.
+        Calls on a dead connection keep failing although a new connection would
+        work, and the keepalive detects this only after 12 s.
         """
         client = self._clients_by_id.pop(entry_vm_id, None)
         if client is not None:
@@ -317,7 +317,7 @@
 
 
 def create_peer_service(node: Node) -> PeerService:
-    """Return the service of the peer port."""
+    """Return the service that owns the peer port and the member table."""
     return PeerService(node)
 
 
--- a/packages/daemon/src/medlarspring_daemon/operators/__init__.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/__init__.py
@@ -1,3 +1,3 @@
-"""The operators' port: answers, audit, status, metrics of control work."""
+"""The operator port: responses, audit trail, status and control metrics."""
 
 from __future__ import annotations
--- a/packages/daemon/src/medlarspring_daemon/operators/answers.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/answers.py
@@ -1,4 +1,4 @@
-"""Answers of the operator port: JSON documents and problems."""
+"""Responses of the operator port: JSON documents and problem details."""
 
 from __future__ import annotations
 
@@ -40,14 +40,15 @@
     "body-too-large": 413,
     "request-too-slow": 408,
 }
-"""HTTP status of each refusal; all others are 422, understood and refused."""
+"""HTTP status by error code."""
 REFUSED = 422
+"""HTTP status of every other error code: understood and refused."""
 BODY_SECONDS = 10.0
-"""Longest time for the body of a request."""
+"""Time limit for reading a request's body."""
 
 
 class BadRequest(MedlarspringError):
-    """The request isn't one that the operator port understands."""
+    """The request is malformed."""
 
     code = "bad-request"
 
@@ -68,14 +69,14 @@
     def message(self) -> str:
         """Name the option that gives the token."""
         return (
-            "The operator port wants the token of its settings ([operator]"
+            "The operator port requires the token of its settings ([operator]"
             " token_file). Give the same token with --token-file, or in the file that"
             " MEDLARSPRING_TOKEN_FILE names."
         )
 
 
 class NotFound(MedlarspringError):
-    """There is no such thing."""
+    """The requested resource does not exist."""
 
     code = "not-found"
 
@@ -85,12 +86,12 @@
         self.remedy = remedy
 
     def message(self) -> str:
-        """Say what is missing and how to list what there is."""
+        """Name the missing resource and a remedy."""
         return f"There is no {self.what}; {self.remedy}."
 
 
 class BodyTooLarge(MedlarspringError):
-    """The body of the request is over the port's limit."""
+    """The request's body exceeds the port's limit."""
 
     code = "body-too-large"
 
@@ -101,13 +102,13 @@
     def message(self) -> str:
         """Name the limit."""
         return (
-            f"The operator port takes at most {self.max_bytes} bytes at once. Nothing"
-            " was changed; send it in smaller parts."
+            f"The operator port accepts at most {self.max_bytes} bytes per request."
+            " Nothing was changed; send it in smaller parts."
         )
 
 
 class RequestTooSlow(MedlarspringError):
-    """The request was not sent, or not answered, in time."""
+    """The request was not received or not completed in time."""
 
     code = "request-too-slow"
 
@@ -116,15 +117,15 @@
         self.seconds = seconds
 
     def message(self) -> str:
-        """Name the limit; a change may have been made."""
+        """Name the limit and say that a change may have been made."""
         return (
-            f"The request took more than {self.seconds:g} s and was given up. A change"
-            " may have been made: repeat it with the same id."
+            f"The request took more than {self.seconds:g} s and was cancelled. A"
+            " change may have been made: repeat it with the same id."
         )
 
 
 class RequestFailed(MedlarspringError):
-    """A fault of the daemon itself."""
+    """The daemon failed with an unexpected exception."""
 
     code = "request-failed"
 
@@ -133,7 +134,7 @@
         self.detail = detail
 
     def message(self) -> str:
-        """Say where to look."""
+        """Tell the operator to repeat an edit, and which log event to report."""
         return (
             f"The daemon failed on this request ({self.detail}). An edit may have"
             " been accepted: repeat it with the same id, and report event 8004 of the"
@@ -142,7 +143,7 @@
 
 
 def answer(document: object, status: int = 200) -> web.Response:
-    """Return a JSON answer."""
+    """Return a JSON response."""
     return web.Response(
         body=msgspec.json.encode(document),
         status=status,
@@ -168,7 +169,7 @@
         content_type="application/problem+json",
     )
     if isinstance(error, BodyTooLarge | RequestTooSlow):
-        # What is left of the body would be taken for the next request.
+        # The unread rest of the body would be parsed as the next request.
         response.force_close()
     return response
 
@@ -182,14 +183,14 @@
 
 
 def unwrap_or_refuse(result: Result[T, E]) -> T:
-    """Return the value, or end the request with the failure's problem."""
+    """Return the value, or raise ``Refusal`` with the failure."""
     if not is_successful(result):
         raise Refusal(result.failure())
     return result.unwrap()
 
 
 async def read_body(request: web.Request, body_type: type[T]) -> T:
-    """Decode a JSON body, or end the request with what is wrong with it."""
+    """Return the decoded JSON body; raise ``Refusal`` if it is invalid or too slow."""
     try:
         async with asyncio.timeout(BODY_SECONDS):
             content = await request.read()
@@ -197,11 +198,11 @@
     except TimeoutError:
         raise Refusal(RequestTooSlow(BODY_SECONDS)) from None
     except msgspec.DecodeError as error:
-        raise Refusal(BadRequest(f"The body is not as wanted: {error}.")) from None
+        raise Refusal(BadRequest(f"The request body is invalid: {error}.")) from None
 
 
 def read_number(request: web.Request, name: str, default: int, largest: int) -> int:
-    """Return a whole number of the query, or end the request."""
+    """Return a query parameter from 1 to ``largest``; raise ``Refusal`` if invalid."""
     text = request.query.get(name)
     if text is None:
         return default
--- a/packages/daemon/src/medlarspring_daemon/operators/audit_reader.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/audit_reader.py
@@ -23,7 +23,7 @@
     from medlarspring_adapters.store import Store, StoreError
 
 MAX_PAGES_PER_CALL = 20
-"""Store calls that one question may take."""
+"""Limit of store calls for one search."""
 
 
 async def read_audit(
@@ -31,8 +31,9 @@
 ) -> Result[AuditAnswer, StoreError]:
     """Return the newest matching records, oldest first.
 
-    ``newest`` is the table revision to begin at; the search goes back page by
-    page and says where to go on when it has looked at enough.
+    ``newest`` is the table revision to start from. The search goes back page by
+    page. If it ends before the oldest page, ``next_before`` of the answer is the
+    revision from which to continue.
     """
     records: list[AuditRecord] = []
     start = page_start(newest)
--- a/packages/daemon/src/medlarspring_daemon/operators/audit_routes.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/audit_routes.py
@@ -28,7 +28,7 @@
 
 
 class AuditRoutes:
-    """Search the audit trail."""
+    """Handler that searches the audit trail."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -47,7 +47,7 @@
         return answer(unwrap_or_refuse(found))
 
     async def _find_newest(self) -> Revision:
-        """Return the revision to begin at; the one in force saves a store call."""
+        """Return the revision to start from; the table in force saves a store call."""
         if self._node.config is not None:
             return self._node.config.revision
         return unwrap_or_refuse(await read_revision(self._store))
--- a/packages/daemon/src/medlarspring_daemon/operators/audit_trimmer.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/audit_trimmer.py
@@ -1,4 +1,4 @@
-"""Keeps the audit trail in the store within its retention."""
+"""Removes audit records from the store when their retention has ended."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class AuditTrimmer:
-    """Removes expired records, an hour apart; every entry VM may do it.
+    """Removes expired records about once an hour, on every entry VM.
 
-    No holder is needed: which records have expired doesn't depend on who asks,
-    and the mark's revision lets only one of two racing steps be written.
+    No holder is needed: every process finds the same records expired, and the
+    mark's revision lets only one of two concurrent steps be written.
     """
 
     def __init__(self, node: Node) -> None:
@@ -39,15 +39,15 @@
         self._tasks = Tasks(node.log)
 
     async def start(self) -> None:
-        """Begin the rounds, the first at a random time of the first hour."""
+        """Start the rounds, each after a random delay of up to two hours."""
         self._tasks.keep(self._run)
 
     async def stop(self) -> None:
-        """End the rounds; a step is written whole or not at all."""
+        """Stop the rounds; each step is written atomically."""
         await self._tasks.cancel()
 
     async def trim(self) -> int:
-        """Do one round; returns how many records were removed."""
+        """Run one round and return how many records were removed."""
         removed = 0
         for _ in range(MAX_STEPS):
             trim = await self._step()
@@ -107,7 +107,7 @@
 
 
 def create_audit_trimmer(node: Node) -> AuditTrimmer:
-    """Return the part that trims the audit trail."""
+    """Return the service that trims the audit trail."""
     return AuditTrimmer(node)
 
 
--- a/packages/daemon/src/medlarspring_daemon/operators/metrics_service.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/metrics_service.py
@@ -1,4 +1,4 @@
-"""Sends what control work costs as metrics."""
+"""Sends metrics of the cost of control work."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ControlMetricsService:
-    """Counts since the last sending; gauges as they stand."""
+    """Sends counts since the last interval, and the current values of gauges."""
 
     def __init__(self, node: Node, peers: PeerService) -> None:
         self._node = node
@@ -26,11 +26,11 @@
         self._sent_by_metric: dict[Metric, int] = {}
 
     async def start(self) -> None:
-        """Begin to send."""
+        """Start sending metrics periodically."""
         self._tasks.keep(self._run)
 
     async def stop(self) -> None:
-        """Stop sending."""
+        """Stop sending metrics."""
         await self._tasks.cancel()
 
     async def _run(self) -> None:
--- a/packages/daemon/src/medlarspring_daemon/operators/service.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/service.py
@@ -1,4 +1,4 @@
-"""The operator port: JSON over HTTP, shut without its token."""
+"""The operator port: JSON over HTTP; every request must carry the port's token."""
 
 from __future__ import annotations
 
@@ -35,23 +35,23 @@
 
 SHUTDOWN_SECONDS = 5.0
 REQUEST_SECONDS = 40.0
-"""Longest time for one request, its body included."""
+"""Time limit for one request, including its body."""
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorLimits:
-    """Limits of the operator port; some tens of operators and their scripts."""
+    """Limits of the operator port, for some tens of operators and their scripts."""
 
     max_header_bytes: int = 8_192
     max_body_bytes: int = 4 * 1_048_576
-    """A sheet of the largest table, with room for its quotes and empty cells."""
+    """Enough for the largest table as CSV with its quotes and empty cells."""
     max_connections: int = 128
     idle_seconds: float = 30.0
     body_seconds: float = 10.0
 
 
 class OperatorService:
-    """Opens the operator port and answers for the table, audit and status."""
+    """Opens the operator port and serves the table, audit and status routes."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -91,8 +91,8 @@
             self._limits,
             self._log_failure,
             request_factory=app_server.request_factory,
-            # An operator who breaks off a command must not stop an edit between
-            # its write and the answer that his retry will look for.
+            # If an operator aborts a command, its edit must not be cancelled between
+            # the write and the reply, which a retry of the command looks for.
             handler_cancellation=False,
         )
         self._sweep_task = asyncio.create_task(self._server.sweep())
@@ -137,8 +137,8 @@
             remedy = "this entry VM may run an older version than the command line"
             return answer_error(NotFound(what, remedy))
         except Exception as error:
-            # One faulty handler would otherwise answer with a page of HTML that
-            # the command line cannot show, and leave nothing in the log.
+            # Otherwise a failing handler would return an HTML page, which the
+            # command line cannot show, and nothing would be logged.
             self._node.log.error(
                 Event.OPERATOR_FAILED, path=request.path, error=repr(error)
             )
@@ -150,8 +150,8 @@
     ) -> web.StreamResponse:
         given = request.headers.get("Authorization", "").encode()
         wanted = b"Bearer " + self._token
-        # A comparison that ends at the first wrong byte would tell a patient
-        # stranger the token byte by byte; this one takes the same time for all.
+        # Compares in constant time: the duration of a comparison that ends at the
+        # first wrong byte would reveal the token byte by byte.
         if not self._token or not hmac.compare_digest(given, wanted):
             self._node.log.warning(
                 Event.OPERATOR_REFUSED, remote=request.remote, path=request.path
@@ -161,7 +161,7 @@
 
 
 def create_operator_service(node: Node) -> OperatorService:
-    """Return the operator port of a daemon; it opens at ``start``."""
+    """Return the service of the operator port, which opens at ``start``."""
     return OperatorService(node)
 
 
--- a/packages/daemon/src/medlarspring_daemon/operators/status.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/status.py
@@ -1,4 +1,4 @@
-"""Works out what of this entry VM is cut off, stale or degraded, since when."""
+"""Determines what is cut off, stale or degraded on this entry VM, and since when."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     from medlarspring_tables import ConfigTable, Member, Seconds
 
 STALE_AFTER_POLLS = 3
-"""Polls of the VM list that may fail before it counts as stale."""
+"""Number of poll intervals after which the VM list counts as stale."""
 STORE_OUTAGE_SECONDS = 1.0
-"""Shorter failures of the store are lost calls, not an outage."""
+"""Failures of the store for less time are treated as lost calls, not an outage."""
 
 _RANK = {health: rank for rank, health in enumerate(Health)}
 
 
 class StatusReporter:
-    """Answers for one entry VM; remembers when its table came in force."""
+    """Reports the status of one entry VM, and since when its table is in force."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -35,7 +35,7 @@
         node.config_listeners.append(self._record_table)
 
     def describe(self) -> StatusAnswer:
-        """Return the state of this entry VM as it knows it."""
+        """Return the status of this entry VM as far as it is known here."""
         node = self._node
         findings = tuple(self._list_findings())
         entry_vm_settings = node.settings.entry_vm
@@ -166,7 +166,7 @@
 
 
 def find_worst_health(findings: Iterable[Finding]) -> Health:
-    """Return the worst health among the findings."""
+    """Return the worst health among the findings; OK if there are none."""
     found = (finding.health for finding in findings)
     return max(found, key=_RANK.__getitem__, default=Health.OK)
 
--- a/packages/daemon/src/medlarspring_daemon/operators/status_routes.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/status_routes.py
@@ -1,4 +1,4 @@
-"""Routes of the operator port for the state and the decisions of the daemon."""
+"""Routes of the operator port for the daemon's status and decisions."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class StatusRoutes:
-    """What is degraded, and what was decided."""
+    """Handlers that return the status of an entry VM and the decisions of all peers."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
         self._reporter = StatusReporter(node)
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes of state and decisions."""
+        """Return the routes of status and decisions."""
         return [
             web.get("/v1/ping", self._ping),
             web.get("/v1/status", self._status),
