--- a/packages/daemon/src/medlarspring_daemon/configuration/editor_errors.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/editor_errors.py
@@ -52,7 +52,7 @@
         )
 
 
-class EditRaced(TableError):
+class EditConflict(TableError):
     """Every attempt conflicted with another edit that was accepted first."""
 
     code = "edit-raced"
@@ -92,7 +92,7 @@
 
 
 __all__ = [
-    "EditRaced",
+    "EditConflict",
     "EditorBusy",
     "MAX_WAITING_EDITS",
     "NoTableInForce",
--- a/packages/daemon/src/medlarspring_daemon/configuration/table_editor.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/table_editor.py
@@ -21,8 +21,8 @@
 from medlarspring_daemon.configuration.editor_errors import (
     MAX_WAITING_EDITS,
     TABLE_KEY,
+    EditConflict,
     EditorBusy,
-    EditRaced,
     NoTableInForce,
 )
 from medlarspring_daemon.configuration.stored_table import StoredTable, decode_stored
@@ -186,7 +186,7 @@
                 return outcome
         if attempts.unconfirmed is not None:
             return Failure(StoreOutcomeUnknown("it gave no answer to later reads"))
-        return Failure(attempts.error or EditRaced())
+        return Failure(attempts.error or EditConflict())
 
     async def _attempt(
         self, attempts: _Attempts
--- a/packages/daemon/src/medlarspring_daemon/fleet/command_handler.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/command_handler.py
@@ -56,7 +56,7 @@
         return f"No VM is moved: {self.reason}. {self.remedy}"
 
 
-class FleetRaced(MedlarspringError):
+class FleetRecordConflict(MedlarspringError):
     """Every attempt conflicted with a concurrent change of the same record."""
 
     code = "edit-raced"
@@ -114,7 +114,7 @@
         written = await self._write(tables, [wave], audit, [change])
         if not is_successful(written):
             return Failure(written.failure())
-        return Success(wave) if written.unwrap() else Failure(FleetRaced())
+        return Success(wave) if written.unwrap() else Failure(FleetRecordConflict())
 
     async def change_wave(
         self,
@@ -146,7 +146,7 @@
                 return Failure(written.failure())
             if written.unwrap():
                 return Success(new)
-        return Failure(FleetRaced())
+        return Failure(FleetRecordConflict())
 
     def _change(
         self, wave: WaveRecord, action: str, command: ChangeWave
@@ -179,7 +179,11 @@
         written = await self._write(tables, moves, audit, changes)
         if not is_successful(written):
             return Failure(written.failure())
-        return Success(tuple(moves)) if written.unwrap() else Failure(FleetRaced())
+        return (
+            Success(tuple(moves))
+            if written.unwrap()
+            else Failure(FleetRecordConflict())
+        )
 
     def _create_moves(self, command: StartMoves) -> list[MoveRecord]:
         vm_ids: list[VMId | None] = [*command.vm_ids] or [None] * command.count
@@ -268,4 +272,4 @@
     return RowChange(kind="move", id=move.id, after=after)
 
 
-__all__ = ["FleetCommandHandler", "FleetRaced", "MovesRefused"]
+__all__ = ["FleetCommandHandler", "FleetRecordConflict", "MovesRefused"]
--- a/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
@@ -148,9 +148,9 @@
             return
         self._plan_renewal(now)
         record_lease(self.holdings, lease_id, now, min(ttl, LEASE_SECONDS))
-        self._log_resumed()
+        self._end_suspension()
 
-    def _log_resumed(self) -> None:
+    def _end_suspension(self) -> None:
         """End the suspension after a renewal and log the pools as held again."""
         if not self._suspended:
             return
