--- a/packages/daemon/tests/test_config_service.py
+++ b/packages/daemon/tests/test_config_service.py
@@ -176,7 +176,7 @@
     await wait_until(lambda: is_in_force(5, alone))
 
 
-async def test_empty_store_of_a_new_fleet_is_no_table(start: Start):
+async def test_empty_store_of_a_new_fleet_leaves_no_table_in_force(start: Start):
     state = create_state()
     node = await start("a", state)
     list_nodes([node])
--- a/packages/daemon/tests/test_fleet_service.py
+++ b/packages/daemon/tests/test_fleet_service.py
@@ -115,15 +115,17 @@
     await wait_until(lambda: any(row.boot > 1 for row in vm_state.rows_by_id.values()))
     await service.stop()
     await node.stop()
-    successor, second = await start_fleet("e2", state, tmp_path, url)
-    records = successor.node
+    next_holder, second = await start_fleet("e2", state, tmp_path, url)
+    records = next_holder.node
     await wait_until(lambda: records.fleet_tables.waves_by_id)
     await wait_until(lambda: not records.fleet_tables.open_waves_by_id)
-    view = msgspec.json.decode(await call(successor, "GET", "/waves/w"), type=WaveView)
-    listed = await call(successor, "GET", "/pools")
+    view = msgspec.json.decode(
+        await call(next_holder, "GET", "/waves/w"), type=WaveView
+    )
+    listed = await call(next_holder, "GET", "/pools")
     (pool,) = msgspec.json.decode(listed, type=PoolsAnswer).pools
     await second.stop()
-    await successor.stop()
+    await next_holder.stop()
     assert view.counts_by_step == {"back": 4}
     assert (pool.available, pool.room) == (4, 1)
     assert [row.boot for row in vm_state.rows_by_id.values()] == [2, 2, 2, 2]
@@ -135,15 +137,17 @@
     monkeypatch.setattr(fleet_service, "TICK_SECONDS", 0.02)
     _, url = platform
     node, service = await start_fleet("e1", state, tmp_path, url)
-    told: list[tuple[VMId, PoolId]] = []
-    node.node.note_returned = lambda vm_id, pool_id: told.append((vm_id, pool_id))
+    returned_vms: list[tuple[VMId, PoolId]] = []
+    node.node.note_returned = lambda vm_id, pool_id: returned_vms.append(
+        (vm_id, pool_id)
+    )
     await wait_until(lambda: len(node.node.fleet_tables.vms_by_id) == 4)
     await call(node, "POST", "/waves", StartWave(id=WaveId("w"), operator="asha"))
     await wait_until(lambda: node.node.fleet_tables.waves_by_id)
     await wait_until(lambda: not node.node.fleet_tables.open_waves_by_id)
     await service.stop()
     await node.stop()
-    assert sorted(told) == [(vm_id, POOL) for vm_id in sorted(VMS)]
+    assert sorted(returned_vms) == [(vm_id, POOL) for vm_id in sorted(VMS)]
 
 
 async def call(node: ControlNode, method: str, path: str, body: object = None) -> bytes:
@@ -166,7 +170,7 @@
     assert isinstance(late.failure(), VMActionRefused)
     assert "stale" in late.failure().message()
     listed = (await control.read_vms([PoolId("none")], [VMS[1]])).unwrap()
-    assert [sighting.vm_id for sighting in listed] == [VMS[1]]
+    assert [observation.vm_id for observation in listed] == [VMS[1]]
     await control.close()
     nobody = HttpVMControl("http://127.0.0.1:9/control", timeout_seconds=0.5)
     silent = await nobody.read_vms([], [])
--- a/packages/daemon/tests/test_job_controller.py
+++ b/packages/daemon/tests/test_job_controller.py
@@ -127,7 +127,7 @@
     assert worker.start(order) is False
 
 
-async def test_cancellation_that_a_watch_brings_during_a_write_is_not_undone():
+async def test_cancellation_that_a_watch_reports_during_a_write_is_not_undone():
     """
     The holder writes "placed" while an operator's cancellation gets there
     first, and the watch tells the holder before its write is refused.
@@ -184,7 +184,7 @@
     assert job.attempt.started_at - asked_at <= 2.0
 
 
-def test_stop_that_overtakes_its_start_keeps_the_start_from_running():
+def test_stop_received_before_its_start_keeps_the_start_from_running():
     pool = FakePool(seed=1, workers=1)
     worker = pool.workers_by_id["vm-0"]
     worker.stop(JobId("job"), StopOrder(1, checkpoint=False))
--- a/packages/daemon/tests/test_job_request_handler.py
+++ b/packages/daemon/tests/test_job_request_handler.py
@@ -101,7 +101,7 @@
     assert len(again.accepted) + len(again.repeated) == 1
 
 
-async def test_ten_thousand_cancellations_cost_store_calls_by_the_batch(handler, store):
+async def test_ten_thousand_cancellations_are_written_in_batches(handler, store):
     for start in range(0, 10_000, 1000):
         requests = [
             create_request(f"j{number:05}") for number in range(start, start + 1000)
@@ -115,7 +115,7 @@
     assert listed.unwrap().counts_by_state == {"cancelled": 10_000}
 
 
-async def test_waiting_job_shows_what_it_waits_for(handler):
+async def test_waiting_job_shows_its_reason_for_waiting(handler):
     await handler.submit(submission(create_request("a", cpus=30.0)), ORIGIN)
     view = (await handler.find_job(POOL, JobId("a"))).unwrap()
     assert "spare" in view.waits_for
--- a/packages/daemon/tests/test_operator_port.py
+++ b/packages/daemon/tests/test_operator_port.py
@@ -103,7 +103,7 @@
         ),
     ],
 )
-async def test_connection_that_sends_too_little_is_ended(port, sent, expected):
+async def test_connection_with_an_incomplete_request_is_closed(port, sent, expected):
     """
     A client connects and sends nothing, half a head, or half a body. Without a
     limit each would hold a connection for ever, until operators get none.
--- a/packages/daemon/tests/test_peer_service.py
+++ b/packages/daemon/tests/test_peer_service.py
@@ -24,7 +24,7 @@
     from collections.abc import AsyncIterator, Callable
     from pathlib import Path
 
-WAIT_SECONDS = 30.0
+WAIT_TIMEOUT_SECONDS = 30.0
 PEER_TOKEN_WRONG = 4006
 A, B = EntryVMId("a"), EntryVMId("b")
 
@@ -47,7 +47,7 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    async with asyncio.timeout(WAIT_SECONDS):
+    async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.01)
 
@@ -135,10 +135,10 @@
 
 
 async def test_wrong_token_is_refused_and_logged(start: Start):
-    first, stranger = await start("a"), await start("b", token="guessed")
-    list_nodes([first, stranger])
+    first, unauthorised = await start("a"), await start("b", token="guessed")
+    list_nodes([first, unauthorised])
     await wait_until(lambda: first.events(PEER_TOKEN_WRONG))
-    answer = await stranger.peers.call_grant_slots(A, peer_pb2.SlotRequest(), 1.0)
+    answer = await unauthorised.peers.call_grant_slots(A, peer_pb2.SlotRequest(), 1.0)
     assert isinstance(answer.failure(), PeerFailed)
     assert "token" in str(answer.failure())
     assert not first.peers.heard_by_id
@@ -212,15 +212,15 @@
     class Granter:
         def grant_slots(self, request: peer_pb2.SlotRequest) -> peer_pb2.SlotReply:
             grants = [
-                peer_pb2.SlotGrant(vm=wish.vm, slots=wish.wanted)
-                for wish in request.wishes
+                peer_pb2.SlotGrant(vm=slot_request.vm, slots=slot_request.wanted)
+                for slot_request in request.wishes
             ]
             return peer_pb2.SlotReply(sender="b", grants=grants)
 
     list_nodes([first, second])
     await wait_until(lambda: first.peers.heard_by_id)
-    wish = peer_pb2.SlotWish(vm="vm-1", wanted=3)
-    request = peer_pb2.SlotRequest(sender="a", wishes=[wish])
+    slot_request = peer_pb2.SlotWish(vm="vm-1", wanted=3)
+    request = peer_pb2.SlotRequest(sender="a", wishes=[slot_request])
     assert not (await first.peers.call_grant_slots(B, request, 1.0)).unwrap().grants
     second.node.slot_granter = Granter()
     answer = await first.peers.call_grant_slots(B, request, 1.0)
--- a/packages/daemon/tests/test_table_editor.py
+++ b/packages/daemon/tests/test_table_editor.py
@@ -89,7 +89,7 @@
     assert store.calls_by_kind["txn"] == 1
 
 
-async def test_edits_of_other_rows_through_other_entry_vms_are_all_taken(store):
+async def test_concurrent_edits_of_different_rows_are_all_accepted(store):
     """
     Eight entry VMs take 48 edits of different rows at once. Each write replaces
     the whole table, so each round one wins; the others find the table changed,
@@ -126,7 +126,7 @@
     ("faults", "writes"),
     [({"lose_replies": 1}, 1), ({"lose_requests": 1}, 2), ({"lose_replies": 2}, 1)],
 )
-async def test_edit_whose_reply_is_lost_is_accepted_once(
+async def test_edit_with_a_lost_reply_is_accepted_once(
     store, editor_node, faults, writes
 ):
     """
@@ -227,7 +227,7 @@
     ).failure().code == "table-unreadable"
 
 
-async def test_table_in_force_is_put_back_into_a_restored_store(store, editor_node):
+async def test_table_in_force_is_republished_to_a_restored_store(store, editor_node):
     """
     The store came back from a backup at revision 1 while revision 3 is in force.
     An operator puts the table in force back: it becomes revision 4, which every
--- a/packages/daemon/tests/test_table_machine.py
+++ b/packages/daemon/tests/test_table_machine.py
@@ -189,7 +189,7 @@
             assert rows.get(kind.value, {}) == described
 
     @invariant()
-    def operators_were_told_the_truth(self):
+    def reported_outcomes_are_true(self):
         revisions_by_id = {}
         for record in self._read_trail():
             assert record.edit_id not in revisions_by_id, "accepted twice"
@@ -203,7 +203,7 @@
                 assert name not in revisions_by_id
 
     @invariant()
-    def edits_were_taken_on_the_rows_that_operators_had_read(self):
+    def edits_were_applied_to_the_rows_that_operators_had_read(self):
         for record in self._read_trail():
             edits = self.sent_edits_by_id[record.edit_id].edit.rows
             read_by_row = {
