--- a/packages/daemon/tests/test_audit_trail.py
+++ b/packages/daemon/tests/test_audit_trail.py
@@ -57,9 +57,9 @@
 
 async def test_concurrent_trims_keep_unexpired_records(node):
     """
-    Two entry VMs begin a round at once. Each step names the mark that it read,
-    so that one of two racing steps is written; the other's is given up, and the
-    records that have to stay are all there.
+    Two entry VMs run a trim round concurrently. Each step expects the revision of
+    the mark that it read, so only one of two concurrent steps is written and no
+    record within its retention is removed.
     """
     await write_records(node.store, range(130), at=0.0)
     await write_records(node.store, range(130, 150), at=node.clock.wall())
--- a/packages/daemon/tests/test_config_service.py
+++ b/packages/daemon/tests/test_config_service.py
@@ -90,8 +90,8 @@
 
 async def test_edit_known_to_one_peer_spreads_while_the_store_is_down(start: Start):
     """
-    The store goes down right after it accepted an edit that only one entry VM
-    has seen. The edit is accepted, so the others must get it from that one.
+    The store goes down after accepting an edit that only one entry VM has read.
+    The others must get the edit from this entry VM.
     """
     state = create_state(1)
     nodes = [await start(name, state) for name in "abc"]
@@ -107,8 +107,8 @@
 
 async def test_edit_known_only_to_its_editor_spreads(start: Start):
     """
-    The entry VM that committed the edit is the only one that got an answer; the
-    store is gone before any watch has told of it.
+    The store goes down before any watch reports an edit, so only the entry VM
+    that committed it knows of it. The others must get it from there.
     """
     nodes = [await start(name, create_state(1)) for name in "ab"]
     list_nodes(nodes)
@@ -121,9 +121,9 @@
 
 async def test_older_table_of_the_store_is_reported_and_not_applied(start: Start):
     """
-    The store is restored from a backup: the table it gives out is older than
-    the one in force. Callers must not see accepted limits revert; operators
-    must learn that the store has to be mended.
+    The store is restored from a backup, so its table is older than the one in
+    force. Accepted limits must not revert for callers, and operators must be
+    told that the store needs to be repaired.
     """
     state = create_state(5)
     node = await start("a", state)
@@ -144,9 +144,8 @@
 
 async def test_start_with_a_lagging_replica_never_shows_the_old_table(start: Start):
     """
-    A VM is replaced, and the replica that the new one asks lags behind. Its
-    peers have a newer table in force; it must not put the older one in force
-    even for a moment.
+    A new entry VM reads an old table from a lagging replica while its peers have a
+    newer one in force. It must never put the old table in force.
     """
     first = await start("a", create_state(5))
     list_nodes([first])
@@ -159,8 +158,8 @@
 
 async def test_start_while_the_store_is_down(start: Start):
     """
-    The store is down. A VM with a peer learns the table from it; one without
-    any peer has nothing true to say and stays unready rather than guess.
+    The store is down. An entry VM with a peer gets the table from it; one without
+    peers has no table and must stay unready.
     """
     first = await start("a", create_state(5))
     list_nodes([first])
@@ -190,16 +189,16 @@
     start: Start,
 ):
     """
-    Both watchers of a zone are cut off from the store, the third is not. It
-    would go on to wait for reports that never come; told that the store fails
-    the others, it watches for the zone.
+    Both watchers of a zone are partitioned from the store, a third entry VM is
+    not. Their reports say that the store fails, so the third one must start to
+    watch; otherwise it would wait for newer tables that never arrive.
     """
     state = create_state(1)
     nodes = [await start(name, state) for name in "abc"]
     list_nodes(nodes)
     await wait_until(lambda: all(len(each.peers.heard_by_id) == 2 for each in nodes))
     await wait_until(lambda: is_in_force(1, *nodes) and len(state.listeners) == 2)
-    # A third that has closed its watch says so a moment later.
+    # A third entry VM may need a moment to close its watch.
     await wait_until(lambda: sum(each.config.is_watching for each in nodes) == 2)
     watching = [each for each in nodes if each.config.is_watching]
     for each in watching:
--- a/packages/daemon/tests/test_fleet_command_handler.py
+++ b/packages/daemon/tests/test_fleet_command_handler.py
@@ -77,7 +77,7 @@
     """
     The reply to "wave start" is lost after the write took effect. The operator
     is told that the outcome is unknown and repeats the command with the same
-    id: the wave that is there is shown, and there is one audit record.
+    id: it must return the existing wave and write no second audit record.
     """
     start = StartWave(id=WAVE, operator="asha")
     store.faults.lose_replies = 1
--- a/packages/daemon/tests/test_fleet_rounds.py
+++ b/packages/daemon/tests/test_fleet_rounds.py
@@ -30,10 +30,10 @@
 
 def test_store_outage_starts_nothing_and_restores_drained_vms(world):
     """
-    The store goes down while the first VMs of a wave are drained. No reboot can
-    be intended, so they would stand idle for the whole outage: after ten
-    seconds they serve again. No further VM is drained until the store is back;
-    then the wave goes on and reboots each VM once.
+    The store goes down while the first VMs of a wave are drained. No intent of a
+    reboot can be written, so they would be idle for the whole outage: after ten
+    seconds they must serve again. No further VM is drained until the store is
+    back; then the wave continues and reboots each VM once.
     """
     checker = FleetChecker(world)
     start_wave(world)
@@ -54,8 +54,8 @@
 
 def test_reboot_under_way_is_finished_without_the_store(world):
     """
-    The store goes down while VMs reboot. They come back by themselves and serve;
-    the records follow once the store has answered.
+    The store goes down while VMs reboot. They serve again without the store, and
+    the records are updated once the store answers.
     """
     checker = FleetChecker(world)
     start_wave(world)
@@ -74,8 +74,8 @@
 
 def test_unresponsive_vm_control_starts_no_further_drain(world):
     """
-    The platform's VM control gives no answer. Nobody knows which VMs serve, so
-    after a few seconds all count as unseen and none is drained.
+    The platform's VM control does not answer, so the state of the VMs is unknown.
+    After a few seconds all count as unseen and none may be drained.
     """
     checker = FleetChecker(world)
     world.run_rounds(1, seconds=1.0)
--- a/packages/daemon/tests/test_fleet_service.py
+++ b/packages/daemon/tests/test_fleet_service.py
@@ -103,9 +103,9 @@
     state, platform, tmp_path, monkeypatch
 ):
     """
-    An operator starts a wave over one pool; after the first reboot the entry VM
-    that holds the pool shuts down. Another one adopts nothing anew, goes on
-    from the records, and each VM is rebooted once and serves at the end.
+    The entry VM that holds a pool shuts down after the first reboot of a wave.
+    The next holder must continue from the records: each VM is rebooted exactly
+    once and serves at the end.
     """
     monkeypatch.setattr(fleet_service, "TICK_SECONDS", 0.02)
     vm_state, url = platform
--- a/packages/daemon/tests/test_holder_service.py
+++ b/packages/daemon/tests/test_holder_service.py
@@ -68,8 +68,8 @@
 
 async def test_pools_are_spread_and_released_at_once_on_shutdown(start: Start):
     """
-    An entry VM shuts down. Its pools' waves and jobs would stand still until
-    its lease lapses; it gives the lease up, and the others take over at once.
+    An entry VM shuts down. It must revoke its lease so that the others take over
+    at once; otherwise its pools' waves and jobs would wait until the lease expires.
     """
     nodes = [await start(name) for name in "ab"]
     list_nodes(nodes)
@@ -83,8 +83,8 @@
 
 async def test_shutdown_logs_the_released_pools(start: Start):
     """
-    A holder shuts down and a successor logs that it holds the pools. Without a
-    word of the first one the log would show two holders at the same time.
+    A holder shuts down and the next holder logs that it holds the pools. The first
+    one must log the release, or the log would show two holders at the same time.
     """
     node = await start("a")
     list_nodes([node])
@@ -96,8 +96,9 @@
 
 async def test_write_of_a_paused_holder_is_refused(start: Start, state: KeyValueState):
     """
-    A holder reads its fence and is paused past its lease. A successor takes the
-    pool and writes; the late write of the first one must fail at the store.
+    A holder reads its fencing revision and is paused past its lease. The next
+    holder acquires the pool and writes; the store must refuse the late write of
+    the first one.
     """
     node = await start("a")
     list_nodes([node])
@@ -116,8 +117,8 @@
 
 async def test_holder_without_the_store_stops_by_its_own_clock(start: Start):
     """
-    The store stops answering the holder but not the others. Before the lease
-    can lapse there, the holder has stopped by itself.
+    Only the holder is partitioned from the store. It must stop working before its
+    lease can expire in the store.
     """
     node = await start("a")
     list_nodes([node])
@@ -133,8 +134,9 @@
 
 async def test_key_written_with_a_lost_answer_is_recognised(start: Start):
     """
-    The store writes the holder keys and the answer is lost. On the next try the
-    keys are there; taken for another holder's, the pools would have none.
+    The store writes the holder keys and the reply is lost. The next attempt finds
+    the keys; if it attributed them to another holder, no process would serve the
+    pools.
     """
     node = await start("a")
     list_nodes([node])
--- a/packages/daemon/tests/test_job_controller.py
+++ b/packages/daemon/tests/test_job_controller.py
@@ -50,10 +50,10 @@
 @pytest.mark.parametrize("seed", range(25))
 async def test_no_job_is_lost_or_run_twice_in_a_seeded_history(seed):
     """
-    Holders are killed and frozen, store replies and requests are lost, the
-    store goes down, workers are cut off and reboot, in seeded order.
-    After all is healed every job has ended, none ran on two workers at once,
-    and no partner was ever over its quota.
+    In seeded order, holders are killed and frozen, store requests and replies are
+    lost, the store goes down, and workers are partitioned and reboot. After the
+    recovery every job has ended, no job ran on two workers at once and no partner
+    exceeded its quota.
     """
     history = await run_history(seed)
     assert history.violations == []
@@ -62,9 +62,9 @@
 
 async def test_late_write_of_a_frozen_holder_does_not_break_a_quota():
     """
-    A holder freezes between its decision and its write; its successor fills
-    the partner's quota with another job. The late write names a job that
-    nobody touched, so only the holder key's revision can refuse it.
+    A holder freezes between its decision and its write; the next holder uses up
+    the partner's quota with another job. The record in the late write is
+    unchanged, so only the expected revision of the holder key can refuse it.
     """
     pool = FakePool(seed=1, workers=8)
     await submit(pool, "early", cpus=31.0)
@@ -85,9 +85,9 @@
 
 async def test_start_is_found_again_after_the_reply_of_its_write_was_lost():
     """
-    The write of the intent takes effect and its reply is lost.
-    Memory says "waiting", the store says "placed": without a new read every
-    later write of the job would be refused and it would never run.
+    The write of a start intent takes effect and its reply is lost. The job is
+    "waiting" in memory but "placed" in the store: unless the records are read
+    again, every later write of the job is refused and it never runs.
     """
     pool = FakePool(seed=1, workers=2)
     await submit(pool, "first")
@@ -103,9 +103,9 @@
 
 async def test_stopped_attempt_is_not_placed_again_while_its_start_may_arrive():
     """
-    The start is written but its worker is cut off, then the job is cancelled
-    for urgent work elsewhere. Until the worker has the stop, a late start
-    could run there while the job runs on another worker.
+    A start is written while its worker is partitioned, then the job is cancelled in
+    favour of urgent work elsewhere. Until the worker has confirmed the stop, a
+    delayed start could run there while the job runs on another worker.
     """
     pool = FakePool(seed=1, workers=2)
     pool.control.unreachable.update(pool.workers_by_id)
@@ -129,9 +129,9 @@
 
 async def test_cancellation_that_a_watch_reports_during_a_write_is_not_undone():
     """
-    The holder writes "placed" while an operator's cancellation gets there
-    first, and the watch tells the holder before its write is refused.
-    Taking back the refused change must not bring back the waiting job.
+    An operator's cancellation is written before the holder's write of "placed", and
+    the watch reports it before that write is refused. Reverting the refused change
+    must not restore the waiting job.
     """
     pool = FakePool(seed=1, workers=2)
     await submit(pool, "job")
@@ -148,8 +148,8 @@
 
 async def test_running_work_goes_on_through_a_long_store_outage():
     """
-    The store is down for ten minutes. Nothing new is placed, but leases are
-    renewed, so that running work is not stopped and started again.
+    The store is down for ten minutes. No job is placed, but task leases must be
+    renewed so that running tasks are not stopped and started again.
     """
     pool = FakePool(seed=1, workers=2)
     await submit(pool, "job")
@@ -167,7 +167,7 @@
 
 async def test_urgent_job_starts_within_two_seconds_on_a_full_pool():
     """
-    Every worker is full of work that can checkpoint when urgent work comes.
+    An urgent job arrives while every worker is full of jobs that can checkpoint.
     One attempt is checkpointed and the urgent job starts on its worker.
     """
     pool = FakePool(seed=1, workers=4)
--- a/packages/daemon/tests/test_job_request_handler.py
+++ b/packages/daemon/tests/test_job_request_handler.py
@@ -90,9 +90,9 @@
     handler, store, fault, outcome
 ):
     """
-    The record is written, or not, and the store's reply is lost either way.
-    The desk reads the record back, so the submitter learns what holds, and
-    its retry never finds its own job and takes it for somebody else's.
+    The store's reply is lost, whether or not the record was written. The handler
+    reads the record, so the submitter learns the outcome, and a retry does not
+    report the submitter's own job as another job with the same id.
     """
     setattr(store.faults, fault, 1)
     answer = await handler.submit(submission(create_request("a")), ORIGIN)
--- a/packages/daemon/tests/test_operator_port.py
+++ b/packages/daemon/tests/test_operator_port.py
@@ -105,8 +105,8 @@
 )
 async def test_connection_with_an_incomplete_request_is_closed(port, sent, expected):
     """
-    A client connects and sends nothing, half a head, or half a body. Without a
-    limit each would hold a connection for ever, until operators get none.
+    A client connects and sends nothing, or only part of the headers or the body.
+    Without a time limit such connections stay open until none is left for operators.
     """
     reader, writer = await open_connection(port)
     writer.write(sent)
--- a/packages/daemon/tests/test_peer_service.py
+++ b/packages/daemon/tests/test_peer_service.py
@@ -53,7 +53,7 @@
 
 
 class RecordingComponent:
-    """A service that reports demand and keeps what it hears."""
+    """Adds a fixed report's usage to reports and records the received ones."""
 
     def __init__(self, filled: peer_pb2.Report) -> None:
         self.filled = filled
@@ -76,8 +76,8 @@
 
 async def test_reports_reach_both_sides_and_only_changes_are_repeated(start: Start):
     """
-    Each report carries every partner's usage at most once in five seconds;
-    between them only what changed, or 370 partners would cost 10 KB a report.
+    All partners' usage is sent once in five seconds and only changes in between;
+    otherwise each report of 370 partners would take 10 KB.
     """
     first, second = await start("a"), await start("b")
     components = [
@@ -105,8 +105,8 @@
 
 async def test_every_share_is_reported_when_too_many_change(start: Start):
     """
-    400 partners are at work. A report holds 32 of their shares, and if it
-    always held the same ones, the others' shares would never be corrected.
+    400 partners are active, but a report has room for 32 shares. If it always
+    carried the same ones, the other shares would never be updated.
     """
     first, second = await start("a"), await start("b")
     components = [
@@ -155,9 +155,9 @@
 
 async def test_refused_connection_ends_a_peer_and_a_timeout_does_not(start: Start):
     """
-    One peer ends: its port refuses, and what it promised is void at once.
-    The other is cut off: its port does not answer, and its process may still
-    use the slots it was granted.
+    One peer has ended: its port refuses connections, so its slots can be released
+    at once. The other is partitioned: its port does not answer, and its process may
+    still use the slots that it was granted.
     """
     first, second, third = await start("a"), await start("b"), await start("c")
     list_nodes([first, second, third])
@@ -182,8 +182,8 @@
 
 async def test_new_vm_at_an_old_address_ends_the_old_one(start: Start):
     """
-    A VM is replaced by one with the same address and another id before the list
-    says so. The answer to a call names the new one, so the old one has ended.
+    A VM is replaced by one with the same address and another id before the VM list
+    shows it. The reply to a call names the new VM, so the old one has ended.
     """
     first, second = await start("a"), await start("b")
     list_nodes([first, second])
--- a/packages/daemon/tests/test_table_editor.py
+++ b/packages/daemon/tests/test_table_editor.py
@@ -19,7 +19,7 @@
 
 
 class EditorNode:
-    """One entry VM's editor, and the table that it has seen in force."""
+    """The table editor of one entry VM, and the table in force there."""
 
     def __init__(self, store: MemoryStore, seed: int) -> None:
         self.in_force: ConfigTable | None = None
@@ -91,9 +91,9 @@
 
 async def test_concurrent_edits_of_different_rows_are_all_accepted(store):
     """
-    Eight entry VMs take 48 edits of different rows at once. Each write replaces
-    the whole table, so each round one wins; the others find the table changed,
-    apply their edit to the new one and try again. None is lost or refused.
+    Eight entry VMs handle 48 concurrent edits of different rows. Each write replaces
+    the whole table, so only one succeeds at a time; the others conflict, apply their
+    edit to the new table and retry. No edit may be lost or refused.
     """
     editor_nodes = [EditorNode(store, seed) for seed in range(8)]
     edits = [add_pool(f"pool-{number}") for number in range(48)]
@@ -130,10 +130,9 @@
     store, editor_node, faults, writes
 ):
     """
-    The store's answer to the write is lost, after it took effect or before. The
-    editor reads the table again: it finds the edit's id there, or tries the same
-    write again. Either way the operator is told the truth and the row changed
-    once.
+    The write or the reply to it is lost. The editor reads the table again and either
+    finds the edit's id there or repeats the write. In both cases the operator is
+    told the correct outcome and the row is changed once.
     """
     for name, count in faults.items():
         setattr(store.faults, name, count)
@@ -147,9 +146,9 @@
     store, editor_node, monkeypatch
 ):
     """
-    The write took effect, its reply is lost and the store goes down. "Nothing
-    was changed" would be a lie, so the operator hears that it isn't known; the
-    same edit sent through another entry VM later finds itself accepted.
+    The write takes effect, its reply is lost and the store goes down. The operator
+    must be told that the outcome is unknown, not that nothing was changed. The same
+    edit repeated later at another entry VM is reported as already accepted.
     """
     commit = store.commit
 
@@ -174,9 +173,9 @@
     store, editor_node, monkeypatch
 ):
     """
-    The row is added and changed; the reply to the change is lost, and the next
-    read is served by a replica that doesn't have the row yet. Judged by that
-    table the edit would be refused, though it was accepted.
+    The reply to an accepted change of a row is lost, and the next read is served by
+    a lagging replica that does not have the row yet. The edit must not be refused
+    on the basis of that table.
     """
     other = EditorNode(store, 2)
     await other.accept(add_pool("rings"))
@@ -204,9 +203,9 @@
 
 async def test_store_restored_from_a_backup_refuses_edits(store, editor_node):
     """
-    The platform restores the store from a backup that is older than the table in
-    force. An edit on top of it would get a revision that every node has passed:
-    accepted, and never in force. It is refused with the remedy.
+    The store is restored from a backup that is older than the table in force. An
+    edit of that table would get a revision older than the one in force on every
+    node: accepted, but never in force. It must be refused with a remedy.
     """
     for name in ("a", "b", "c"):
         await editor_node.accept(add_pool(name))
@@ -229,9 +228,9 @@
 
 async def test_table_in_force_is_republished_to_a_restored_store(store, editor_node):
     """
-    The store came back from a backup at revision 1 while revision 3 is in force.
-    An operator puts the table in force back: it becomes revision 4, which every
-    node takes, edits go on from there, and the trail says what was put back.
+    The store is restored from a backup at revision 1 while revision 3 is in force.
+    An operator republishes the table in force: it becomes revision 4, which every
+    node accepts, later edits follow it, and its changes are reported.
     """
     for name in ("a", "b", "c"):
         await editor_node.accept(add_pool(name))
@@ -256,9 +255,9 @@
 
 async def test_outage_between_two_edits_is_reported_as_not_applied(store, monkeypatch):
     """
-    An edit was accepted, minutes pass, the store goes down and an operator edits
-    again. A write that breaks off would leave the outcome open; the store is
-    asked for the table first, so he hears at once that nothing was changed.
+    An operator sends an edit during a store outage, a minute after another edit was
+    accepted. The outcome of a failed write would be unknown, so the editor must read
+    the table first and report at once that nothing was changed.
     """
     clock = ManualClock()
     editor = TableEditor(
@@ -278,10 +277,9 @@
 
 async def test_cached_table_refuses_nothing(store):
     """
-    Within one second an operator edits here, another changes a row at another
-    entry VM, and the first edits that row as he now reads it. The table that
-    this entry VM remembers doesn't have the change; judged by it, the edit would
-    conflict with itself.
+    An edit at this entry VM is followed within one second by a change of the row at
+    another entry VM, and then by an edit here that is based on that change. The
+    cached table lacks the change and must not cause a conflict.
     """
     here, there = EditorNode(store, 1), EditorNode(store, 2)
     await here.accept(add_pool("a"))
--- a/packages/daemon/tests/test_table_machine.py
+++ b/packages/daemon/tests/test_table_machine.py
@@ -1,4 +1,4 @@
-"""Racing operators, lost and late writes, outages and retries against one table."""
+"""Concurrent edits, lost and delayed writes, outages and retries on one table."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 
 class InterleavingStore:
-    """Lets other tasks run before and after each call, and holds writes back."""
+    """Lets other tasks run before and after each call, and can delay writes."""
 
     def __init__(self, inner: MemoryStore, rng: random.Random) -> None:
         self._inner = inner
         self._rng = rng
         self.late_writes = []
         self.delayed_writes = 0
-        """So many of the next writes look lost and take effect later, or never."""
+        """Number of following writes that seem lost and take effect later, or never."""
 
     async def read(self, key):
         await self._yield_to_tasks()
@@ -66,7 +66,7 @@
 
 @dataclass
 class SentEdit:
-    """What an operator was told about his edit."""
+    """An edit that an operator sent, and the outcomes that were reported for it."""
 
     edit: TableEdit
     revision: int | None = None
@@ -138,7 +138,7 @@
             st.lists(st.sampled_from(sorted(self.sent_edits_by_id)), max_size=3)
         )
         sent_edits = [self.sent_edits_by_id[name] for name in dict.fromkeys(names)]
-        # An edit that was refused is over; a retry of it would be a new wish.
+        # A refused edit is final; sending it again would be a new request.
         self._send_all(
             [
                 sent_edit
@@ -262,7 +262,8 @@
         elif result.failure().code == "store-outcome-unknown":
             sent_edit.outcomes.append("unknown")
         elif result.failure().code == "store-unavailable":
-            # True of this sending; an earlier one of the same edit may be open.
+            # Applies to this attempt only; the outcome of an earlier attempt of
+            # the same edit may be unknown.
             sent_edit.outcomes.append("not sent")
         else:
             assert "accepted" not in sent_edit.outcomes, result.failure()
