--- a/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
@@ -44,7 +44,7 @@
         self._peers = peers
         self._tasks = Tasks(node.log)
         self._failures = 0
-        self._is_lost = False
+        self._is_store_lost = False
         self._short_watches = 0
         self.is_watching = False
         self._store_state: Verdict | None = None
@@ -134,14 +134,14 @@
         """Read the table; return the store's revision, or None if the read failed."""
         answer = await self._node.store.read_prefix(CONFIG_KEY)
         if not isinstance(answer, Success):
-            if not self._is_lost:
+            if not self._is_store_lost:
                 reason = str(answer.failure())
                 self._node.log.warning(Event.STORE_LOST, reason=reason)
-            self._is_lost = True
+            self._is_store_lost = True
             return None
-        if self._is_lost:
+        if self._is_store_lost:
             self._node.log.info(Event.STORE_BACK, failures=self._failures)
-        self._is_lost = False
+        self._is_store_lost = False
         self._failures = 0
         listing = answer.unwrap()
         found = [entry for entry in listing.entries if entry.key == CONFIG_KEY]
--- a/packages/daemon/src/medlarspring_daemon/fleet/vm_list_service.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/vm_list_service.py
@@ -31,7 +31,7 @@
         self._node = node
         self._client = client
         self._view = VMListView()
-        self._is_lost = False
+        self._is_list_lost = False
         self._tasks = Tasks(node.log)
 
     async def start(self) -> None:
@@ -50,14 +50,14 @@
     async def _poll(self) -> None:
         answer = await self._client.read(self._node.clock.now())
         if not isinstance(answer, Success):
-            if not self._is_lost:
+            if not self._is_list_lost:
                 reason = str(answer.failure())
                 self._node.log.warning(Event.VM_LIST_LOST, reason=reason)
-            self._is_lost = True
+            self._is_list_lost = True
             return
-        if self._is_lost:
+        if self._is_list_lost:
             self._node.log.info(Event.VM_LIST_BACK)
-        self._is_lost = False
+        self._is_list_lost = False
         vm_list = answer.unwrap()
         if not take_answer(self._view, vm_list):
             vms = len(vm_list.vms_by_id)
--- a/packages/daemon/tests/test_fleet_command_handler.py
+++ b/packages/daemon/tests/test_fleet_command_handler.py
@@ -89,11 +89,11 @@
 
 
 async def test_moves_are_requested_once(handler):
-    wish = StartMoves(
+    request = StartMoves(
         id="m", operator="asha", from_pool_id=PoolId("a"), to_pool_id=PoolId("b")
     )
-    first = (await handler.start_moves(wish, CONFIG, "10.0.0.9")).unwrap()
-    assert (await handler.start_moves(wish, CONFIG, "10.0.0.9")).unwrap() == first
+    first = (await handler.start_moves(request, CONFIG, "10.0.0.9")).unwrap()
+    assert (await handler.start_moves(request, CONFIG, "10.0.0.9")).unwrap() == first
 
 
 @pytest.mark.parametrize(
@@ -106,9 +106,9 @@
     ],
 )
 async def test_impossible_moves_are_refused_with_the_reason(handler, changes, reason):
-    wish = StartMoves(
+    request = StartMoves(
         id="m", operator="asha", from_pool_id=PoolId("a"), to_pool_id=PoolId("b")
     )
-    wish = msgspec.structs.replace(wish, **changes)
-    refused = await handler.start_moves(wish, CONFIG, "10.0.0.9")
+    request = msgspec.structs.replace(request, **changes)
+    refused = await handler.start_moves(request, CONFIG, "10.0.0.9")
     assert reason in refused.failure().message()
--- a/packages/daemon/tests/test_fleet_service.py
+++ b/packages/daemon/tests/test_fleet_service.py
@@ -173,6 +173,6 @@
     assert [observation.vm_id for observation in listed] == [VMS[1]]
     await control.close()
     nobody = HttpVMControl("http://127.0.0.1:9/control", timeout_seconds=0.5)
-    silent = await nobody.read_vms([], [])
-    assert isinstance(silent.failure(), VMControlUnreachable)
+    unanswered = await nobody.read_vms([], [])
+    assert isinstance(unanswered.failure(), VMControlUnreachable)
     await nobody.close()
