--- a/packages/daemon/src/medlarspring_daemon/configuration/table_editor.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/table_editor.py
@@ -46,7 +46,7 @@
 MAX_CONFLICT_RETRY_SECONDS = 0.1
 """Longest delay after a conflict with another entry VM; a write takes milliseconds."""
 CACHE_SECONDS = 1.0
-"""How long after a write the cached table is used instead of reading the store."""
+"""How long after a write or conflict the cached table is used instead of a read."""
 
 
 Change = Callable[[ConfigTable], "Result[AcceptedChange, TableError]"]
--- a/packages/daemon/src/medlarspring_daemon/fleet/routes.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/routes.py
@@ -165,7 +165,7 @@
     def _config(self) -> ConfigTable:
         config = self._node.config
         if config is None:
-            remedy = "this entry VM has not learnt it yet; ask another one"
+            remedy = "this entry VM has not received it yet; ask another one"
             raise Refusal(NotFound("table in force", remedy))
         return config
 
--- a/packages/daemon/src/medlarspring_daemon/jobs/service.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/service.py
@@ -37,7 +37,7 @@
 
 TICK_SECONDS = 0.25
 REFRESH_SECONDS = 1.0
-"""Interval at which workers and partners are updated from the configuration."""
+"""Interval at which workers and partners are updated from the table and VM list."""
 DELETE_INTERVAL_SECONDS = 60.0
 KEEP_ENDED_SECONDS = 3600.0
 """How long the record of an ended job is kept."""
--- a/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
@@ -52,7 +52,7 @@
 
 
 class HolderRecord(Struct, frozen=True):
-    """Value of a holder key; informational, never read by other processes."""
+    """Value of a holder key; informational, for people who inspect the store."""
 
     entry_vm: str
     incarnation: int
--- a/packages/daemon/src/medlarspring_daemon/operators/audit_reader.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/audit_reader.py
@@ -32,8 +32,8 @@
     """Return the newest matching records, oldest first.
 
     ``newest`` is the table revision to start from. The search goes back page by
-    page. If it ends before the oldest page, ``next_before`` of the answer is the
-    revision from which to continue.
+    page. If it stops at the limit of store calls, ``next_before`` of the answer is
+    the revision from which to continue.
     """
     records: list[AuditRecord] = []
     start = page_start(newest)
--- a/packages/daemon/tests/test_table_machine.py
+++ b/packages/daemon/tests/test_table_machine.py
@@ -54,7 +54,7 @@
         if self.delayed_writes:
             self.delayed_writes -= 1
             self.late_writes.append(transaction)
-            return Failure(StoreOutcomeUnknown("held back on the way"))
+            return Failure(StoreOutcomeUnknown("the write is delayed"))
         answer = await self._inner.commit(transaction)
         await self._yield_to_tasks()
         return answer
