--- a/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
@@ -37,42 +37,42 @@
 
 
 class ConfigService:
-    """The only writer of ``node.config``."""
+    """Applies new tables from the store and peers; only writer of ``node.config``."""
 
     def __init__(self, node: Node, peers: PeerService) -> None:
         self._node = node
         self._peers = peers
         self._tasks = BackgroundTasks(node.log)
         self._failures = 0
-        self._lost = False
+        self._is_store_lost = False
         self._short_watches = 0
         self.is_watching = False
         self._store_state: OfferResult | None = None
         self.distribution = Distribution()
-        node.offer_table = self.take_accepted
-        node.status_sources.append(self._find)
+        node.offer_table = self.apply_accepted
+        node.status_sources.append(self._list_findings)
 
     async def start(self) -> None:
-        """Begin to ask the store and the peers; the first answer is not awaited."""
+        """Start reading from the store and peers without awaiting the first answer."""
         self.distribution.started_at = self._node.clock.now()
         self._tasks.run_with_restart(self._run_store)
         self._tasks.run_with_restart(self._run_peers)
-        self._tasks.run_with_restart(self._run_start)
+        self._tasks.run_with_restart(self._run_startup)
 
     async def stop(self) -> None:
-        """End watching."""
+        """Cancel the background tasks."""
         await self._tasks.cancel()
 
-    def take_accepted(self, table: ConfigTable) -> None:
-        """Put a table in force that this process has just committed itself.
+    def apply_accepted(self, table: ConfigTable) -> None:
+        """Put in force a table that this process has just committed.
 
-        The store may go down before its watch says so, and this process would be
-        the only one that knows of the accepted edit.
+        If the store goes down before its watch reports the edit, this process is
+        the only one that knows of it.
         """
         self._offer(table, Source.STORE)
 
-    def _find(self) -> Iterator[Finding]:
-        """Tell operators when the store's table is not the one in force."""
+    def _list_findings(self) -> Iterator[Finding]:
+        """Yield a finding while the store holds an older table than that in force."""
         since = self.distribution.store_older_since
         if since is None:
             return
@@ -88,20 +88,23 @@
             ),
         )
 
-    async def _run_start(self) -> None:
-        """Until a table is in force, see whether the peers were asked."""
+    async def _run_startup(self) -> None:
+        """Release a held table once the peers of the zone have been contacted.
+
+        Checks until a table is in force, then waits until it is cancelled.
+        """
         while self.distribution.in_force is None:
-            self.distribution.peers_asked = self._peers.has_asked_zone()
+            self.distribution.peers_asked = self._peers.has_contacted_zone()
             pending_table = self.distribution.pending_table
             verdict = offer_pending(self.distribution, self._node.clock.now())
             if pending_table is not None and verdict is not None:
-                self._settle(verdict, pending_table, Source.STORE)
+                self._apply_verdict(verdict, pending_table, Source.STORE)
             await asyncio.sleep(TICK_SECONDS / 5)
         await asyncio.Event().wait()
 
     async def _run_store(self) -> None:
         while True:
-            if not self._should_ask():
+            if not self._should_read_store():
                 await asyncio.sleep(TICK_SECONDS)
                 continue
             revision = await self._read()
@@ -111,12 +114,12 @@
                 continue
             await self._watch_while_due(Revision(revision + 1))
 
-    def _should_ask(self) -> bool:
-        """Return whether to ask the store now.
+    def _should_read_store(self) -> bool:
+        """Return whether to read the table from the store now.
 
-        A process that got no answer goes on asking although it is no watcher,
-        seldom: it tells its peers that the store fails it, and would otherwise
-        never find out that this is over.
+        After a failed read a process that is not a watcher also keeps reading, at
+        increasing intervals. It reports the failure to its peers and would
+        otherwise not detect that the store is reachable again.
         """
         if self.distribution.in_force is None or self._failures > 0:
             return True
@@ -124,37 +127,37 @@
 
     def _is_watcher(self) -> bool:
         zone_id = ZoneId(self._node.settings.entry_vm.zone)
-        steady = self._peers.list_steady(own_zone_only=True)
-        return is_watcher(self._node.id, zone_id, steady)
+        steady_peers = self._peers.list_steady(own_zone_only=True)
+        return is_watcher(self._node.id, zone_id, steady_peers)
 
     async def _read(self) -> Revision | None:
-        """Read the table; return the store's revision, None without an answer."""
+        """Read the table; return the store's revision, or None if the read failed."""
         answer = await self._node.store.read_prefix(CONFIG_KEY)
         if not isinstance(answer, Success):
-            if not self._lost:
+            if not self._is_store_lost:
                 reason = str(answer.failure())
                 self._node.log.warning(Event.STORE_LOST, reason=reason)
-            self._lost = True
+            self._is_store_lost = True
             return None
-        if self._lost:
+        if self._is_store_lost:
             self._node.log.info(Event.STORE_BACK, failures=self._failures)
-        self._lost = False
+        self._is_store_lost = False
         self._failures = 0
         listing = answer.unwrap()
         found = [entry for entry in listing.entries if entry.key == CONFIG_KEY]
         if found:
-            self._take(found[0].value, Source.STORE)
+            self._apply_encoded(found[0].value, Source.STORE)
         else:
-            self._take_absent()
+            self._apply_missing_table()
         return Revision(listing.revision)
 
     async def _watch_while_due(self, start: Revision) -> None:
         if not self._is_watcher():
-            # Without a table the loop comes here at each turn.
+            # While no table is in force, every iteration of the loop gets here.
             await asyncio.sleep(self._node.rng.uniform(0.5, 1.5) * TICK_SECONDS)
             return
         began = self._node.clock.now()
-        self._note_watching(True)
+        self._set_watching(True)
         watch = asyncio.ensure_future(self._watch(start))
         try:
             while not watch.done() and self._is_watcher():
@@ -164,9 +167,9 @@
             with contextlib.suppress(asyncio.CancelledError):
                 await watch
         if not self._is_watcher():
-            self._note_watching(False)
+            self._set_watching(False)
             return
-        # A watch that ends at once would otherwise be a tight loop of calls.
+        # Backs off if watches end at once, which would cause a tight loop of calls.
         if self._node.clock.now() - began >= SHORT_WATCH_SECONDS:
             self._short_watches = 0
         else:
@@ -182,12 +185,12 @@
                     return
                 for entry in batch.changed:
                     if entry.key == CONFIG_KEY:
-                        self._take(entry.value, Source.STORE)
+                        self._apply_encoded(entry.value, Source.STORE)
                 if CONFIG_KEY in batch.deleted:
-                    self._take_absent()
+                    self._apply_missing_table()
 
     async def _run_peers(self) -> None:
-        """Fetch the table from a peer whenever one has a newer one."""
+        """Fetch the table from a peer whenever a peer has a newer one."""
         while True:
             known = Revision(0)
             if self.distribution.in_force is not None:
@@ -199,17 +202,19 @@
                 self._node.rng,
             )
             if chosen is None:
-                self._peers.news.clear()
+                self._peers.newer_table_seen.clear()
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self._peers.news.wait(), TICK_SECONDS * 4)
+                    await asyncio.wait_for(
+                        self._peers.newer_table_seen.wait(), TICK_SECONDS * 4
+                    )
                 continue
             answer = await self._peers.fetch_table(chosen, known)
             if isinstance(answer, Success) and answer.unwrap():
-                self._take(answer.unwrap(), Source.PEER)
+                self._apply_encoded(answer.unwrap(), Source.PEER)
                 continue
             await asyncio.sleep(self._node.rng.uniform(0.5, 1.0) * TICK_SECONDS)
 
-    def _take(self, encoded: bytes, source: Source) -> None:
+    def _apply_encoded(self, encoded: bytes, source: Source) -> None:
         try:
             table = msgspec.json.decode(encoded, type=ConfigTable)
         except (msgspec.MsgspecError, ValueError) as error:
@@ -219,22 +224,28 @@
             return
         self._offer(table, source)
 
-    def _take_absent(self) -> None:
-        """The store has no table: a new fleet, or one that was emptied."""
+    def _apply_missing_table(self) -> None:
+        """Handle a store without a table (a new fleet, or a deleted table)."""
         if self.distribution.in_force is None:
-            self._note_store(OfferResult.SAME, Event.STORE_HAS_NO_TABLE, Revision(0))
+            self._log_store_state(
+                OfferResult.SAME, Event.STORE_HAS_NO_TABLE, Revision(0)
+            )
             return
         self._offer(ConfigTable(), Source.STORE)
 
     def _offer(self, table: ConfigTable, source: Source) -> None:
         now = self._node.clock.now()
-        self._settle(offer_table(self.distribution, table, source, now), table, source)
+        self._apply_verdict(
+            offer_table(self.distribution, table, source, now), table, source
+        )
 
-    def _settle(self, verdict: OfferResult, table: ConfigTable, source: Source) -> None:
+    def _apply_verdict(
+        self, verdict: OfferResult, table: ConfigTable, source: Source
+    ) -> None:
         if source is Source.STORE and verdict is OfferResult.OLDER:
-            self._note_store(verdict, Event.STORE_TABLE_OLDER, table.revision)
+            self._log_store_state(verdict, Event.STORE_TABLE_OLDER, table.revision)
         elif source is Source.STORE and verdict is OfferResult.DIVERGED:
-            self._note_store(verdict, Event.STORE_TABLE_DIVERGED, table.revision)
+            self._log_store_state(verdict, Event.STORE_TABLE_DIVERGED, table.revision)
         elif source is Source.STORE:
             self._store_state = verdict
         if verdict is not OfferResult.ACCEPTED:
@@ -246,17 +257,17 @@
         for listener in self._node.config_listeners:
             listener(table)
 
-    def _note_store(
+    def _log_store_state(
         self, verdict: OfferResult, event: Event, revision: Revision
     ) -> None:
-        """Log a state of the store's table once, not at each read."""
+        """Log a change in the state of the store's table, not every read."""
         if self._store_state is verdict:
             return
         self._store_state = verdict
         in_force = self._node.config.revision if self._node.config else None
         self._node.log.warning(event, store_revision=revision, in_force=in_force)
 
-    def _note_watching(self, watching: bool) -> None:
+    def _set_watching(self, watching: bool) -> None:
         if watching == self.is_watching:
             return
         self.is_watching = watching
--- a/packages/daemon/src/medlarspring_daemon/configuration/table_editor.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/table_editor.py
@@ -1,4 +1,4 @@
-"""Takes operators' edits into the store, each at most once."""
+"""Commits operators' edits of the table to the store, each at most once."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 from medlarspring_daemon.configuration.editor_errors import (
     MAX_WAITING_EDITS,
     TABLE_KEY,
+    EditConflict,
     EditorBusy,
-    EditRaced,
-    NothingInForce,
+    NoTableInForce,
 )
 from medlarspring_daemon.configuration.stored_table import StoredTable, decode_stored
 from medlarspring_systems.table_edit import AcceptedChange, TableEdit, apply_edit
@@ -41,31 +41,31 @@
 
 MAX_ATTEMPTS = 100
 MAX_SECONDS = 20.0
-"""Longest time for one edit; the command line waits longer than this."""
+"""Time limit for one edit; the command line's timeout is longer."""
 MAX_RETRY_SECONDS = 0.5
-MAX_RACE_SECONDS = 0.1
-"""Longest wait after another entry VM was first; a write takes milliseconds."""
-REMEMBER_SECONDS = 1.0
-"""Time between two edits of a burst in which the table is not read anew."""
+MAX_CONFLICT_RETRY_SECONDS = 0.1
+"""Longest delay after a conflict with another entry VM; a write takes milliseconds."""
+CACHE_SECONDS = 1.0
+"""How long after a write or conflict the cached table is used instead of a read."""
 
 
 Change = Callable[[ConfigTable], "Result[AcceptedChange, TableError]"]
-"""Makes the next table from the one in the store."""
+"""Computes the next table from the one in the store."""
 
 
 @dataclass(slots=True)
 class _Attempts:
-    """What the attempts to take one edit have shown so far."""
+    """State of the attempts to commit one edit."""
 
     change: Change
-    takes_older: bool = False
+    allows_older: bool = False
     """Whether the store's table may be older than the one in force."""
     stored: StoredTable | None = None
-    """The newest table known, if it is still worth trying on."""
-    remembered: bool = False
-    """Whether it comes from an earlier edit instead of from the store."""
-    unanswered: Revision | None = None
-    """Store revision named by a write whose reply was lost."""
+    """Newest known table, to which the next attempt applies the change."""
+    is_cached: bool = False
+    """Whether ``stored`` was cached by an earlier edit, not read for this one."""
+    unconfirmed: Revision | None = None
+    """Expected store revision of a write whose reply was lost."""
     error: MedlarspringError | None = None
 
 
@@ -89,81 +89,84 @@
         self._retry_seconds = retry_seconds
         self._lock = asyncio.Lock()
         self._waiting = 0
-        self._remembered: StoredTable | None = None
-        """The table that the last write or conflict showed."""
-        self._remembered_at: Seconds = 0.0
+        self._cached: StoredTable | None = None
+        """Table known from the last write or conflict."""
+        self._cached_at: Seconds = 0.0
 
     async def read(
-        self, takes_older: bool = False
+        self, allows_older: bool = False
     ) -> Result[StoredTable, MedlarspringError]:
-        """Return the store's table; an older one than in force is an error."""
+        """Return the store's table.
+
+        Unless ``allows_older``, a table older than the one in force is an error.
+        """
         entry = await self._store.read(TABLE_KEY)
         if not is_successful(entry):
             return Failure(entry.failure())
-        return self._decode(entry.unwrap(), takes_older)
+        return self._decode(entry.unwrap(), allows_older)
 
     async def accept(
         self, edit: TableEdit, origin: str
     ) -> Result[AcceptedChange, MedlarspringError]:
-        """Apply one edit whole, or say why the table is as before.
+        """Apply one edit atomically, or return why the table is unchanged.
 
-        Only ``StoreOutcomeUnknown`` leaves open whether it was accepted; the
-        operator repeats the edit with the same id.
+        Only after ``StoreOutcomeUnknown`` may the edit have been accepted; the
+        operator repeats it with the same id.
         """
 
         def change(table: ConfigTable) -> Result[AcceptedChange, TableError]:
             return apply_edit(table, edit, self._clock.wall(), origin)
 
-        return await self._accept_in_turn(change)
+        return await self._accept_serialized(change)
 
     async def republish(
-        self, wish: RepublishRequest, origin: str
+        self, request: RepublishRequest, origin: str
     ) -> Result[AcceptedChange, MedlarspringError]:
-        """Put the table in force back into a store that holds an older one."""
+        """Write the table in force to a store that holds an older one."""
         in_force = self._table_in_force()
         if in_force is None:
-            return Failure(NothingInForce())
+            return Failure(NoTableInForce())
 
         def change(table: ConfigTable) -> Result[AcceptedChange, TableError]:
-            return republish(table, in_force, wish, self._clock.wall(), origin)
+            return republish(table, in_force, request, self._clock.wall(), origin)
 
-        return await self._accept_in_turn(change, takes_older=True)
+        return await self._accept_serialized(change, allows_older=True)
 
     async def preview(
         self, edit: TableEdit, origin: str
     ) -> Result[AcceptedChange, MedlarspringError]:
-        """Return what an edit would do, without doing it."""
+        """Return what an edit would change, without committing it."""
         stored = await self.read()
         if not is_successful(stored):
             return Failure(stored.failure())
         table = stored.unwrap().table
-        return apply_edit(table, edit, self._clock.wall(), origin).alt(_widen)
+        return apply_edit(table, edit, self._clock.wall(), origin).alt(_to_base_error)
 
-    async def _accept_in_turn(
-        self, change: Change, takes_older: bool = False
+    async def _accept_serialized(
+        self, change: Change, allows_older: bool = False
     ) -> Result[AcceptedChange, MedlarspringError]:
         if self._waiting >= MAX_WAITING_EDITS:
             return Failure(EditorBusy())
         self._waiting += 1
         try:
             async with self._lock:
-                known = None if takes_older else self._recall()
+                known = None if allows_older else self._get_cached()
                 is_known = known is not None
-                attempts = _Attempts(change, takes_older, known, is_known)
+                attempts = _Attempts(change, allows_older, known, is_known)
                 return await self._accept(attempts)
         finally:
             self._waiting -= 1
 
-    def _recall(self) -> StoredTable | None:
-        """Return the table known from the edit before, to save a read.
+    def _get_cached(self) -> StoredTable | None:
+        """Return the table known from the previous edit, to save a read.
 
-        Each call to the store counts, and edits come in bursts; the condition of
-        the write shows it when the table has changed since. After a pause the
-        read comes first: in an outage it fails without effect, where a write
-        would leave open whether it took effect.
+        Store calls are limited and edits come in bursts. If the table has changed
+        since, the condition of the write fails. After ``CACHE_SECONDS`` the table
+        is read first: in an outage a failed read has no effect, while the outcome
+        of a failed write would be unknown.
         """
-        known, in_force = self._remembered, self._table_in_force()
-        if self._clock.now() > self._remembered_at + REMEMBER_SECONDS:
+        known, in_force = self._cached, self._table_in_force()
+        if self._clock.now() > self._cached_at + CACHE_SECONDS:
             return None
         if known is None or in_force is None:
             return known
@@ -181,36 +184,36 @@
             outcome = await self._attempt(attempts)
             if outcome is not None:
                 return outcome
-        if attempts.unanswered is not None:
+        if attempts.unconfirmed is not None:
             return Failure(StoreOutcomeUnknown("it gave no answer to later reads"))
-        return Failure(attempts.error or EditRaced())
+        return Failure(attempts.error or EditConflict())
 
     async def _attempt(
         self, attempts: _Attempts
     ) -> Result[AcceptedChange, MedlarspringError] | None:
-        """Try once; None asks for another try."""
+        """Try once; return None if another attempt is needed."""
         if attempts.stored is None:
-            read = await self.read(attempts.takes_older)
+            read = await self.read(attempts.allows_older)
             if not is_successful(read):
                 attempts.error = read.failure()
-                if attempts.unanswered is not None:
+                if attempts.unconfirmed is not None:
                     return None
                 return Failure(read.failure())
-            attempts.stored, attempts.remembered = read.unwrap(), False
+            attempts.stored, attempts.is_cached = read.unwrap(), False
         stored, attempts.stored = attempts.stored, None
-        remembered, attempts.remembered = attempts.remembered, False
+        is_cached, attempts.is_cached = attempts.is_cached, False
         if (
-            attempts.unanswered is not None
-            and stored.mod_revision < attempts.unanswered
+            attempts.unconfirmed is not None
+            and stored.mod_revision < attempts.unconfirmed
         ):
-            # A lagging replica shows the table from before the write whose reply
-            # was lost. A refusal worked out from it would tell the operator that
-            # an accepted edit was not; only a table as new as the write decides.
+            # A lagging replica returned the table from before the write whose
+            # reply was lost. A refusal based on it would report an accepted edit
+            # as refused, so only a table at least as new as the write is used.
             return None
         changed = attempts.change(stored.table)
         if not is_successful(changed):
-            # A remembered table may be out of date; only the store refuses.
-            return None if remembered else Failure(changed.failure())
+            # A cached table may be outdated; only one from the store may refuse.
+            return None if is_cached else Failure(changed.failure())
         if changed.unwrap().record is None:
             return Success(changed.unwrap())
         return await self._commit(attempts, stored, changed.unwrap())
@@ -221,9 +224,9 @@
         assert change.record is not None
         committed = await self._store.commit(
             Transaction(
-                # Another entry VM may have written since the table was read. Its
-                # edit would vanish under ours; the store refuses our write unless
-                # the table is still the one that we changed.
+                # Another entry VM may have written since the table was read. This
+                # condition prevents overwriting its edit: the store refuses the
+                # write unless the table is still the one that was read.
                 expects=(Expect(TABLE_KEY, stored.mod_revision),),
                 writes=(
                     Put(TABLE_KEY, msgspec.json.encode(change.table)),
@@ -236,50 +239,50 @@
             )
         )
         if not is_successful(committed):
-            return self._note_failure(attempts, stored, committed.failure())
+            return self._handle_commit_failure(attempts, stored, committed.failure())
         result = committed.unwrap()
         if result.succeeded:
-            self._remember(StoredTable(change.table, result.revision))
+            self._update_cache(StoredTable(change.table, result.revision))
             self._on_accepted(change.table)
             return Success(change)
         entry = result.read_by_key.get(TABLE_KEY)
-        current = self._decode(entry, attempts.takes_older)
+        current = self._decode(entry, attempts.allows_older)
         attempts.stored = current.value_or(None)
-        self._remember(attempts.stored)
+        self._update_cache(attempts.stored)
         return None
 
-    def _remember(self, stored: StoredTable | None) -> None:
-        self._remembered = stored
-        self._remembered_at = self._clock.now()
+    def _update_cache(self, stored: StoredTable | None) -> None:
+        self._cached = stored
+        self._cached_at = self._clock.now()
 
-    def _note_failure(
+    def _handle_commit_failure(
         self, attempts: _Attempts, stored: StoredTable, error: MedlarspringError
     ) -> Result[AcceptedChange, MedlarspringError] | None:
         attempts.error = error
         if isinstance(error, StoreOutcomeUnknown):
-            # The write may still take effect. Trying again is safe: either try
-            # names the same store revision, so that only one can win, and the
-            # loser finds the edit's id in the table.
-            attempts.unanswered = stored.mod_revision
+            # The write may still take effect. Retrying is safe: both writes expect
+            # the same store revision, so only one can succeed, and the other
+            # attempt then finds the edit's id in the table.
+            attempts.unconfirmed = stored.mod_revision
             return None
-        if attempts.unanswered is None:
+        if attempts.unconfirmed is None:
             return Failure(error)
         return None
 
     def _decode(
-        self, entry: Entry | None, takes_older: bool
+        self, entry: Entry | None, allows_older: bool
     ) -> Result[StoredTable, MedlarspringError]:
-        in_force = None if takes_older else self._table_in_force()
+        in_force = None if allows_older else self._table_in_force()
         return decode_stored(entry, in_force)
 
     def _retry_delay(self, number: int, attempts: _Attempts) -> float:
-        is_race = attempts.unanswered is None
-        cap = MAX_RACE_SECONDS if is_race else MAX_RETRY_SECONDS
+        is_conflict = attempts.unconfirmed is None
+        cap = MAX_CONFLICT_RETRY_SECONDS if is_conflict else MAX_RETRY_SECONDS
         longest = min(cap, self._retry_seconds * 2 ** min(number, 10))
         return self._rng.uniform(0, longest)
 
 
-def _widen(error: TableError) -> MedlarspringError:
+def _to_base_error(error: TableError) -> MedlarspringError:
     return error
 
 
--- a/packages/daemon/src/medlarspring_daemon/fleet/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/controller.py
@@ -1,4 +1,4 @@
-"""Carries the fleet's decisions out: intent first, then the action."""
+"""Carries out decisions on VMs: writes the intent, then requests the action."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
     from medlarspring_tables.fleet_tables import FleetTables
     from medlarspring_tables.vms import VMRecord
 
-MAX_TRIES = 3
-"""Plans per tick and pool while other holders change the same records."""
+MAX_ATTEMPTS = 3
+"""Limit of plans per tick and pool while other holders change the same records."""
 
-_EVENTS_BY_DECIDED = {
+_EVENTS_BY_KIND = {
     DecisionKind.DRAIN: Event.VM_DRAIN_INTENDED,
     DecisionKind.REBOOT: Event.VM_REBOOT_INTENDED,
     DecisionKind.MOVE: Event.VM_MOVED,
@@ -56,11 +56,11 @@
     DecisionKind.RESUME: Event.WAVE_RESUMED,
     DecisionKind.FINISH: Event.WAVE_DONE,
 }
-_WARNINGS = (DecisionKind.PUT_BACK, DecisionKind.GIVE_UP, DecisionKind.PAUSE)
+_WARNING_KINDS = (DecisionKind.PUT_BACK, DecisionKind.GIVE_UP, DecisionKind.PAUSE)
 
 
 class FleetController:
-    """Brings the records of held pools forward and the platform after them."""
+    """Advances the records of held pools and makes the platform follow them."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         fence: Callable[[PoolId], Expect | None],
         decisions: DecisionLog,
         log: EventLog,
-        width: WaveLimit | None = None,
+        wave_limit: WaveLimit | None = None,
         note_leaving: Callable[[VMId], None] = lambda vm_id: None,
         note_returned: Callable[[VMId, PoolId], None] = lambda vm_id, pool_id: None,
     ) -> None:
@@ -80,15 +80,15 @@
         self._fence = fence
         self._decisions = decisions
         self._log = log
-        self.width = width
+        self.wave_limit = wave_limit
         self._note_leaving = note_leaving
         self._note_returned = note_returned
         self._unsettled: dict[PoolId, Draft] = {}
         self.is_store_lost = False
-        """Whether the last call of the store failed."""
+        """Whether the last call to the store failed."""
 
     async def load(self) -> bool:
-        """Read all fleet records; says whether that succeeded."""
+        """Read all fleet records; return whether that succeeded."""
         for prefix in TYPES_BY_PREFIX:
             listed = await self._store.read_prefix(prefix)
             if not isinstance(listed, Success):
@@ -101,30 +101,38 @@
     async def observe(
         self, pool_ids: Collection[PoolId], vm_ids: Collection[VMId] = ()
     ) -> bool:
-        """Look at the VMs of pools; what is not seen now counts as unseen."""
+        """Read the state of the pools' VMs from the platform; return whether it worked.
+
+        VMs that are missing from the answer lose their observation.
+        """
         busy = {
             vm_id
             for pool_id in pool_ids
             for vm_id in self.tables.busy_vm_ids_by_pool.get(pool_id, ())
         }
-        seen = await self._vm_control.read_vms(pool_ids, busy | set(vm_ids))
-        if not isinstance(seen, Success):
+        observed = await self._vm_control.read_vms(pool_ids, busy | set(vm_ids))
+        if not isinstance(observed, Success):
             return False
         for pool_id in pool_ids:
             for vm_id in self.tables.vm_ids_by_pool.get(pool_id, ()):
                 self.tables.observations_by_id.pop(vm_id, None)
-        for sighting in seen.unwrap():
-            self.tables.observations_by_id[sighting.vm_id] = sighting
+        for observation in observed.unwrap():
+            self.tables.observations_by_id[observation.vm_id] = observation
         return True
 
     async def tick(
         self, pool_id: PoolId, config: ConfigTable, vm_list: VMList | None, now: float
     ) -> bool:
-        """Do one round of a held pool's work; says whether its records are sure."""
+        """Run one round of a held pool's work.
+
+        Returns False if the outcome of a write is unknown or the store failed.
+        """
         if not await self._settle(pool_id):
             return False
-        for _ in range(MAX_TRIES):
-            draft = plan_pool(self.tables, config, pool_id, vm_list, now, self.width)
+        for _ in range(MAX_ATTEMPTS):
+            draft = plan_pool(
+                self.tables, config, pool_id, vm_list, now, self.wave_limit
+            )
             if not draft.records_by_key or await self._write(pool_id, draft):
                 break
             if pool_id in self._unsettled or self.is_store_lost:
@@ -134,33 +142,34 @@
             await self._write(pool_id, draft)
         if pool_id in self._unsettled:
             return False
-        await self._act(pool_id)
+        await self._request_actions(pool_id)
         return True
 
-    async def put_back(self, pool_id: PoolId) -> None:
-        """Put drained VMs back to work while the store cannot be reached.
+    async def restore_drained_vms(self, pool_id: PoolId) -> None:
+        """Restore drained VMs to service while the store cannot be reached.
 
-        Without the store no reboot or move can be intended, so a drained VM
-        would stand idle for the whole outage. The restoration carries the
-        drain's own revision: it closes that intent for good, and whoever
-        holds the pool after the outage sees it and takes the VM off the list.
+        Without the store no intent of a reboot or move can be written, so a
+        drained VM would be idle for the whole outage. The restoration carries the
+        revision of the drain and thereby ends that intent. The holder of the pool
+        after the outage observes this and removes the VM from the disruptions.
         """
         for vm_id in sorted(self.tables.busy_vm_ids_by_pool.get(pool_id, ())):
             record = self.tables.vms_by_id[vm_id]
             if record.state is VMState.DRAINING:
-                await self._ask(record, Action.RESTORE)
+                await self._request_action(record, Action.RESTORE)
 
-    def forget_unsettled(self, pool_id: PoolId) -> None:
-        """Drop a write of unknown outcome of a pool that is held no more."""
+    def drop_unconfirmed_write(self, pool_id: PoolId) -> None:
+        """Drop the unconfirmed write of a pool that is no longer held."""
         self._unsettled.pop(pool_id, None)
 
     async def _settle(self, pool_id: PoolId) -> bool:
-        """Find out what became of a write whose reply was lost.
+        """Determine the outcome of a write whose reply was lost.
 
-        No action is taken before that. The write is not sent again: its plan
-        is from before the loss, and VMs may have failed since, so the pool
-        could fall under its budget. One call reads all its records instead; it
-        names the holder key as absent, which fails while the pool is held.
+        Returns whether it is known; no action is requested before that. The write
+        is not repeated: VMs may have failed since it was planned, and the pool
+        could fall below its budget. Instead one transaction reads all its records.
+        It expects the holder key to be absent, so it fails while the pool is held
+        and returns the records.
         """
         draft = self._unsettled.get(pool_id)
         if draft is None:
@@ -178,9 +187,9 @@
         if result.unwrap().succeeded:
             return False
         del self._unsettled[pool_id]
-        self._take_refreshed(keys, result.unwrap())
+        self._apply_refreshed(keys, result.unwrap())
         if all(self._has_taken_effect(draft, key) for key in keys):
-            self._explain(draft)
+            self._record_decisions(draft)
         return True
 
     def _has_taken_effect(self, draft: Draft, key: str) -> bool:
@@ -196,10 +205,11 @@
         return await self._commit(pool_id, self._to_transaction(draft, fence), draft)
 
     def _to_transaction(self, draft: Draft, fence: Expect) -> Transaction:
-        # A holder paused past its lease would drain further VMs on top of its
-        # successor's. The write expects its own holder key and the revision of
-        # each record it was planned from; once a successor has taken the key
-        # or written any of them, the store refuses it whole.
+        # A holder that was paused past its lease could drain VMs in addition to
+        # those that the next holder drains. The write therefore expects the holder
+        # key and the revision of each record that it was planned from. Once the
+        # next holder has acquired the key or written a record, the store refuses
+        # the whole transaction.
         expects = [fence]
         writes: list[Put | Delete] = []
         for key, record in draft.records_by_key.items():
@@ -223,17 +233,17 @@
         self.is_store_lost = False
         committed = result.unwrap()
         if not committed.succeeded:
-            self._take_refreshed(transaction.read_on_failure, committed)
+            self._apply_refreshed(transaction.read_on_failure, committed)
             return False
         for key, record in draft.records_by_key.items():
             if record is None:
                 self.tables.remove(key)
             else:
                 self.tables.put(record, committed.revision)
-        self._explain(draft)
+        self._record_decisions(draft)
         return True
 
-    def _take_refreshed(self, keys: Collection[str], committed: Committed) -> None:
+    def _apply_refreshed(self, keys: Collection[str], committed: Committed) -> None:
         for key in keys:
             entry = committed.read_by_key.get(key)
             if entry is None:
@@ -241,7 +251,7 @@
             else:
                 take_entry(self.tables, entry)
 
-    def _explain(self, draft: Draft) -> None:
+    def _record_decisions(self, draft: Draft) -> None:
         for note in draft.planned_decisions:
             facts = dict(note.facts)
             if note.vm_id is not None:
@@ -250,25 +260,25 @@
                 )
                 facts["vm"] = note.vm_id
                 if note.decided is DecisionKind.SERVE:
-                    self._note_serving(note.vm_id)
+                    self._report_serving(note.vm_id)
             if note.wave_id is not None:
                 self._decisions.record(
                     Subject.WAVE, note.wave_id, note.decided.value, note.rule, **facts
                 )
                 facts["wave"] = note.wave_id
-            event = _EVENTS_BY_DECIDED.get(note.decided)
+            event = _EVENTS_BY_KIND.get(note.decided)
             if event is not None:
                 write = self._log.info
-                if note.decided in _WARNINGS:
+                if note.decided in _WARNING_KINDS:
                     write = self._log.warning
                 write(event, rule=note.rule, **facts)
 
-    def _note_serving(self, vm_id: VMId) -> None:
+    def _report_serving(self, vm_id: VMId) -> None:
         record = self.tables.vms_by_id.get(vm_id)
         if record is not None:
             self._note_returned(vm_id, record.pool_id)
 
-    async def _act(self, pool_id: PoolId) -> None:
+    async def _request_actions(self, pool_id: PoolId) -> None:
         for vm_id in sorted(self.tables.busy_vm_ids_by_pool.get(pool_id, ())):
             if self._fence(pool_id) is None:
                 return
@@ -277,9 +287,9 @@
                 continue
             action = choose_action(self.tables, record)
             if action is not None:
-                await self._ask(record, action)
+                await self._request_action(record, action)
 
-    async def _ask(self, record: VMRecord, action: Action) -> None:
+    async def _request_action(self, record: VMRecord, action: Action) -> None:
         if action is Action.DRAIN:
             self._note_leaving(record.id)
         revision = self._revision_of(record.id)
@@ -295,7 +305,7 @@
                 action=action.value,
                 reason=result.failure().message(),
             )
-        # The sighting may be older than the refusal, so it is not used again.
+        # The observation may be older than the refusal, so it is not used again.
         self.tables.observations_by_id.pop(record.id, None)
 
     def _revision_of(self, vm_id: VMId) -> Revision:
--- a/packages/daemon/src/medlarspring_daemon/fleet/rounds.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/rounds.py
@@ -1,4 +1,4 @@
-"""One round of fleet control work over all pools that this process holds."""
+"""Runs rounds of fleet control work over all pools that this process holds."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     from medlarspring_tables import ConfigTable, PoolId, Revision, VMList
 
 IDLE_TICK_SECONDS = 5.0
-"""A pool without wave, move or busy VM is looked at this often."""
-SIGHTING_SECONDS = 5.0
-"""VMs not seen for this long count as unseen."""
+"""Interval of rounds for a pool without open waves, open moves or busy VMs."""
+OBSERVATION_VALID_SECONDS = 5.0
+"""Observations of VMs are dropped if none succeeded for longer than this."""
 PROBE_SECONDS = (1.0, 3.0)
-"""A lost store is tried again after a random time between these."""
-PUT_BACK_AFTER_SECONDS = 10.0
-"""Drained VMs are put back once the store has been out of reach this long."""
+"""Range of the random delay between reads of a store that does not answer."""
+RESTORE_AFTER_SECONDS = 10.0
+"""Drained VMs are restored once the store has been unreachable for this long."""
 
 
 class FleetRounds:
-    """Takes pools over, looks at their VMs and ticks those that are due."""
+    """Takes over pools, observes their VMs and runs the pools that are due."""
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
         self._rng = rng
         self._log = log
         self._fences: dict[PoolId, Revision] = {}
-        """Holder key by pool, as of the last round with the store in reach."""
+        """Holder key's revision by pool, from the last round that read the store."""
         self._ticked_at: dict[PoolId, float] = {}
-        self._seen_at: dict[PoolId, float] = {}
+        self._observed_at: dict[PoolId, float] = {}
         self._store_lost_at: float | None = None
-        self._probe_at = 0.0
+        self._next_probe_at = 0.0
 
     @property
     def is_holding(self) -> bool:
@@ -56,14 +56,14 @@
     async def run(
         self, holders: Holders, config: ConfigTable, vm_list: VMList | None
     ) -> None:
-        """Do one round."""
+        """Run one round."""
         now = self._clock.now()
-        if self._controller.is_store_lost and now >= self._probe_at:
-            self._probe_at = now + self._rng.uniform(*PROBE_SECONDS)
+        if self._controller.is_store_lost and now >= self._next_probe_at:
+            self._next_probe_at = now + self._rng.uniform(*PROBE_SECONDS)
             await self._controller.load()
-        self._note_store(now)
+        self._update_store_state(now)
         if self._store_lost_at is not None:
-            await self._wait_for_store(self._store_lost_at, now)
+            await self._handle_store_outage(self._store_lost_at, now)
             return
         if not await self._take_over(holders):
             return
@@ -74,19 +74,19 @@
             wall = self._clock.wall()
             await self._controller.tick(pool_id, config, vm_list, wall)
 
-    def _note_store(self, now: float) -> None:
+    def _update_store_state(self, now: float) -> None:
         if not self._controller.is_store_lost:
             self._store_lost_at = None
         elif self._store_lost_at is None:
             self._store_lost_at = now
             self._log.warning(Event.FLEET_STORE_LOST, pools=len(self._fences))
 
-    async def _wait_for_store(self, lost_at: float, now: float) -> None:
-        if now - lost_at < PUT_BACK_AFTER_SECONDS:
+    async def _handle_store_outage(self, lost_at: float, now: float) -> None:
+        if now - lost_at < RESTORE_AFTER_SECONDS:
             return
         await self._observe(sorted(self._fences), now)
         for pool_id in sorted(self._fences):
-            await self._controller.put_back(pool_id)
+            await self._controller.restore_drained_vms(pool_id)
 
     async def _take_over(self, holders: Holders) -> bool:
         fences: dict[PoolId, Revision] = {}
@@ -96,15 +96,15 @@
                 fences[pool_id] = fence.mod_revision
         if fences == self._fences:
             return True
-        # A pool is lost when another process takes it, or when the store cannot
-        # be reached and the lease lapses. In the second case drained VMs would
-        # stand idle with nobody to reboot them, so the pools are let go only
+        # A pool is lost when another process acquires it, or when the store cannot
+        # be reached and the lease expires. In the second case drained VMs would
+        # stay idle because no process can reboot them, so pools are given up only
         # once the store has answered.
         if not await self._controller.load():
             return False
         for pool_id, revision in self._fences.items():
             if fences.get(pool_id) != revision:
-                self._controller.forget_unsettled(pool_id)
+                self._controller.drop_unconfirmed_write(pool_id)
         self._fences = fences
         return True
 
@@ -121,16 +121,16 @@
         if not pool_ids:
             return
         if await self._controller.observe(pool_ids):
-            self._seen_at.update(dict.fromkeys(pool_ids, now))
+            self._observed_at.update(dict.fromkeys(pool_ids, now))
             return
         self._log.warning(Event.VM_CONTROL_LOST, pools=len(pool_ids))
-        self._forget_sightings(
+        self._drop_observations(
             pool_id
             for pool_id in pool_ids
-            if now - self._seen_at.get(pool_id, 0.0) > SIGHTING_SECONDS
+            if now - self._observed_at.get(pool_id, 0.0) > OBSERVATION_VALID_SECONDS
         )
 
-    def _forget_sightings(self, pool_ids: Iterable[PoolId]) -> None:
+    def _drop_observations(self, pool_ids: Iterable[PoolId]) -> None:
         for pool_id in pool_ids:
             for vm_id in self._tables.vm_ids_by_pool.get(pool_id, ()):
                 self._tables.observations_by_id.pop(vm_id, None)
--- a/packages/daemon/src/medlarspring_daemon/fleet/vm_list_service.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/vm_list_service.py
@@ -20,26 +20,26 @@
 FIRST_RETRY_SECONDS = 0.5
 JITTER = 0.1
 BYTES_PER_SECOND = 2_000.0
-"""A long list is read more seldom, to stay within what a node may spend."""
+"""A long list is read less often, to limit the traffic of a node to this rate."""
 MAX_WAIT_SECONDS = 30.0
 
 
 class VMListService:
-    """The only writer of ``node.vm_list``."""
+    """Polls the VM list; only writer of ``node.vm_list``."""
 
     def __init__(self, node: Node, client: VMListClient) -> None:
         self._node = node
         self._client = client
         self._view = VMListView()
-        self._lost = False
+        self._is_list_lost = False
         self._tasks = BackgroundTasks(node.log)
 
     async def start(self) -> None:
-        """Begin to poll; the first answer is not waited for."""
+        """Start polling without awaiting the first answer."""
         self._tasks.run_with_restart(self._run)
 
     async def stop(self) -> None:
-        """End polling."""
+        """Stop polling."""
         await self._tasks.cancel()
 
     async def _run(self) -> None:
@@ -50,14 +50,14 @@
     async def _poll(self) -> None:
         answer = await self._client.read(self._node.clock.now())
         if not isinstance(answer, Success):
-            if not self._lost:
+            if not self._is_list_lost:
                 reason = str(answer.failure())
                 self._node.log.warning(Event.VM_LIST_LOST, reason=reason)
-            self._lost = True
+            self._is_list_lost = True
             return
-        if self._lost:
+        if self._is_list_lost:
             self._node.log.info(Event.VM_LIST_BACK)
-        self._lost = False
+        self._is_list_lost = False
         vm_list = answer.unwrap()
         if not apply_answer(self._view, vm_list):
             vms = len(vm_list.vms_by_id)
--- a/packages/daemon/src/medlarspring_daemon/jobs/desk.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/request_handler.py
@@ -1,4 +1,4 @@
-"""Takes jobs and cancellations from operators, at any entry VM."""
+"""Handles operators' job submissions, cancellations and queries on any entry VM."""
 
 from __future__ import annotations
 
@@ -45,13 +45,13 @@
     from medlarspring_tables import JobId, PartnerId, PoolId
 
 MAX_SHOWN = 200
-SAVE_ROUNDS = 40
+MAX_SAVE_ROUNDS = 40
 SAVE_PAUSE_SECONDS = 0.25
-"""A wave of cancellations is spread over the budget of store calls."""
+"""Pause between rounds of writes, to stay within the budget of store calls."""
 
 
 class JobIdTaken(JobRefused):
-    """Another job has this id."""
+    """Another job with this id exists."""
 
     code = "job-id-taken"
 
@@ -60,7 +60,7 @@
         self.job_id = job_id
 
     def message(self) -> str:
-        """Say what to do."""
+        """Tell the operator to submit the job under another id."""
         return (
             f"Job {self.job_id} is on record with other content. Submit it under"
             " another id, or look at it with `medlarspring job show`."
@@ -77,15 +77,15 @@
         self.job_id = job_id
 
     def message(self) -> str:
-        """Say what to do."""
+        """Tell the operator to submit the job again under the same id."""
         return (
             f"The store did not confirm job {self.job_id}. Submit it again under"
             " the same id: it is recorded once."
         )
 
 
-class JobDesk:
-    """Reads and writes job records without holding their pools."""
+class JobRequestHandler:
+    """Reads and writes job records; does not need to hold their pools."""
 
     def __init__(
         self,
@@ -100,31 +100,33 @@
         self._table_revision = table_revision
 
     async def submit(self, request: SubmitRequest, origin: str) -> SubmitAnswer:
-        """Accept or refuse each job on its own."""
+        """Accept or refuse each job individually."""
         now = self._clock.wall()
         refused: list[RefusedJob] = []
         writes: list[JobWrite] = []
         tables_by_pool: dict[PoolId, JobTables] = {}
-        for wanted in request.jobs:
-            if wanted.pool_id not in tables_by_pool:
-                tables_by_pool[wanted.pool_id] = self._build_tables(wanted.pool_id)
-            job = _create_job(wanted, request.operator, now)
-            checked = check_job(tables_by_pool[wanted.pool_id], job)
+        for job_request in request.jobs:
+            if job_request.pool_id not in tables_by_pool:
+                tables_by_pool[job_request.pool_id] = self._build_tables(
+                    job_request.pool_id
+                )
+            job = _create_job(job_request, request.operator, now)
+            checked = check_job(tables_by_pool[job_request.pool_id], job)
             if is_successful(checked):
                 writes.append(JobWrite(job, Revision(0)))
             else:
                 refused.append(_describe_refusal(job, checked.failure()))
         audit = partial(self._create_audit, "job submit", request.operator, origin)
-        return await self._settle(writes, refused, audit)
+        return await self._save_submitted(writes, refused, audit)
 
     async def cancel(
         self, request: CancelRequest, origin: str
     ) -> Result[CancelAnswer, StoreError]:
-        """Cancel jobs of a pool; races with the holder are tried again."""
+        """Cancel matching jobs of a pool; conflicts with the holder are retried."""
         audit = partial(self._create_audit, "job cancel", request.operator, origin)
         cancelled: set[JobId] = set()
         ended = remaining = 0
-        for _ in range(SAVE_ROUNDS):
+        for _ in range(MAX_SAVE_ROUNDS):
             listing = await self._jobs.read_pool(request.pool_id)
             if not is_successful(listing):
                 return Failure(listing.failure())
@@ -150,7 +152,7 @@
     async def list_jobs(
         self, pool_id: PoolId, partner_id: PartnerId | None, state: JobState | None
     ) -> Result[JobsAnswer, StoreError]:
-        """Return the newest jobs of a pool that match."""
+        """Return the newest matching jobs of a pool, and its job counts by state."""
         read = await self._read_tables(pool_id)
         if not is_successful(read):
             return Failure(read.failure())
@@ -168,7 +170,7 @@
     async def find_job(
         self, pool_id: PoolId, job_id: JobId
     ) -> Result[JobView | None, StoreError]:
-        """Return one job and, while it waits, why."""
+        """Return one job, with the reason if it waits; None if it does not exist."""
         read = await self._read_tables(pool_id)
         if not is_successful(read):
             return Failure(read.failure())
@@ -215,7 +217,7 @@
                 writes.append(JobWrite(record, revision))
         return writes, ended
 
-    async def _settle(
+    async def _save_submitted(
         self,
         writes: list[JobWrite],
         refused: list[RefusedJob],
@@ -228,7 +230,7 @@
             if saved.outcome is SaveOutcome.SAVED:
                 accepted.append(job.id)
                 continue
-            answer = await self._find_same(job)
+            answer = await self._find_identical_job(job)
             if is_successful(answer):
                 repeated.append(job.id)
             else:
@@ -240,10 +242,10 @@
     def _create_audit(
         self, action: str, operator: str, origin: str, writes: Sequence[JobWrite]
     ) -> AuditRecord:
-        """Return the record of what was asked for one batch.
+        """Return the audit record of the requested changes of one batch.
 
-        It stands beside the jobs in one store call. A job that somebody else
-        changed first is named in it though it was left as it was.
+        It is written in the same store call as the jobs. A job that was not saved
+        because another writer changed it first is listed nevertheless.
         """
         return AuditRecord(
             revision=self._table_revision(),
@@ -267,11 +269,11 @@
             ),
         )
 
-    async def _find_same(self, job: Job) -> Result[Job, JobRefused]:
-        """Find a job on record with the same content, written before.
+    async def _find_identical_job(self, job: Job) -> Result[Job, JobRefused]:
+        """Return the recorded job with this id if its content is identical.
 
-        Also after a lost reply: the submitter's retry would otherwise find its
-        own job and take it for somebody else's.
+        After a lost reply a retry finds its own job, which must not be reported
+        as another job with the same id.
         """
         found = await self._jobs.read_job(job.pool_id, job.id)
         if not is_successful(found):
@@ -280,28 +282,28 @@
         if entry is None:
             return Failure(JobNotSaved(job.id))
         recorded = decode_job(entry.value)
-        if _content_of(recorded) != _content_of(job):
+        if _list_content(recorded) != _list_content(job):
             return Failure(JobIdTaken(job.id))
         return Success(recorded)
 
 
-def _create_job(wanted: JobRequest, operator: str, now: float) -> Job:
+def _create_job(job_request: JobRequest, operator: str, now: float) -> Job:
     return Job(
-        id=wanted.id,
-        partner_id=wanted.partner_id,
-        pool_id=wanted.pool_id,
-        kind=wanted.kind,
-        declared=wanted.declared,
-        declared_seconds=wanted.declared_seconds,
-        urgency=wanted.urgency,
-        can_checkpoint=wanted.can_checkpoint,
-        can_throttle=wanted.can_throttle,
+        id=job_request.id,
+        partner_id=job_request.partner_id,
+        pool_id=job_request.pool_id,
+        kind=job_request.kind,
+        declared=job_request.declared,
+        declared_seconds=job_request.declared_seconds,
+        urgency=job_request.urgency,
+        can_checkpoint=job_request.can_checkpoint,
+        can_throttle=job_request.can_throttle,
         submitted_at=now,
         submitted_by=operator,
     )
 
 
-def _content_of(job: Job) -> tuple[object, ...]:
+def _list_content(job: Job) -> tuple[object, ...]:
     return (
         job.partner_id,
         job.kind,
@@ -329,4 +331,4 @@
     return {each.write.job.id for each in saved if each.outcome is SaveOutcome.SAVED}
 
 
-__all__ = ["JobDesk", "JobIdTaken", "JobNotSaved"]
+__all__ = ["JobRequestHandler", "JobIdTaken", "JobNotSaved"]
--- a/packages/daemon/src/medlarspring_daemon/jobs/service.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/service.py
@@ -13,7 +13,7 @@
 from medlarspring_adapters.worker_control import create_worker_control
 from medlarspring_daemon.background_tasks import BackgroundTasks
 from medlarspring_daemon.jobs.controller import JobController
-from medlarspring_daemon.jobs.desk import JobDesk
+from medlarspring_daemon.jobs.request_handler import JobRequestHandler
 from medlarspring_daemon.jobs.routes import JobRoutes
 from medlarspring_systems.job_records import (
     forget_worker,
@@ -37,24 +37,24 @@
 
 TICK_SECONDS = 0.25
 REFRESH_SECONDS = 1.0
-"""How often workers and partners are brought up to date."""
-DROP_EVERY_SECONDS = 60.0
+"""Interval at which workers and partners are updated from the table and VM list."""
+DELETE_INTERVAL_SECONDS = 60.0
 KEEP_ENDED_SECONDS = 3600.0
 """How long the record of an ended job is kept."""
 
 
 @dataclass(slots=True)
 class HeldPool:
-    """The work on one pool's jobs."""
+    """Controller and watch of one pool's jobs, with the times of periodic work."""
 
     controller: JobController
     follower: PrefixFollower
-    dropped_at: Seconds
+    ended_deleted_at: Seconds
     refreshed_at: Seconds = float("-inf")
 
 
 class JobService:
-    """One controller for each held pool, all run by one loop."""
+    """Runs one controller for each held pool in a single loop."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -63,17 +63,19 @@
         self._pools_by_id: dict[PoolId, HeldPool] = {}
         self._session: aiohttp.ClientSession | None = None
         self._workers: WorkerControl | None = None
-        desk = JobDesk(self._jobs, node.clock, self.build_tables, self._table_revision)
-        node.operator_routes.extend(JobRoutes(desk, node.id).routes())
+        request_handler = JobRequestHandler(
+            self._jobs, node.clock, self.build_tables, self._table_revision
+        )
+        node.operator_routes.extend(JobRoutes(request_handler, node.id).routes())
 
     async def start(self) -> None:
-        """Start the loop."""
+        """Open the HTTP session to workers and start the loop."""
         self._session = aiohttp.ClientSession()
         self._workers = create_worker_control(self._session)
         self._tasks.run_with_restart(self._run)
 
     async def stop(self) -> None:
-        """Stop between two rounds; a successor goes on from the records."""
+        """Stop the loop; the next holder continues from the records in the store."""
         await self._tasks.cancel()
         for pool in self._pools_by_id.values():
             await pool.follower.stop()
@@ -98,17 +100,17 @@
             await asyncio.sleep(max(0.0, TICK_SECONDS - spent))
 
     async def _run_round(self) -> None:
-        await self._follow_holding()
+        await self._update_held_pools()
         await asyncio.gather(
             *(self._run_pool(pool) for pool in self._pools_by_id.values())
         )
 
-    async def _follow_holding(self) -> None:
-        """Begin with pools taken; let go of pools that others hold.
+    async def _update_held_pools(self) -> None:
+        """Start controllers for acquired pools and stop those of lost pools.
 
-        A pool whose lease lapsed because the store is out of reach is kept:
-        without a fence its controller writes nothing, but it renews the tasks'
-        leases, so that running work outlives the outage.
+        While the store is unreachable, pools whose lease expired are kept: their
+        controllers cannot write without the fencing revision, but they renew the
+        tasks' leases so that running tasks survive the outage.
         """
         held = self._node.holders.held_pools()
         for pool_id in held - self._pools_by_id.keys():
@@ -142,12 +144,12 @@
             addresses = self._fill_tables(controller.tables, controller.pool_id)
             controller.workers.set_addresses(addresses)
         await controller.tick()
-        if now - pool.dropped_at >= DROP_EVERY_SECONDS:
-            pool.dropped_at = now
-            await controller.drop_ended(KEEP_ENDED_SECONDS)
+        if now - pool.ended_deleted_at >= DELETE_INTERVAL_SECONDS:
+            pool.ended_deleted_at = now
+            await controller.delete_ended_jobs(KEEP_ENDED_SECONDS)
 
     def _fill_tables(self, tables: JobTables, pool_id: PoolId) -> dict[VMId, str]:
-        """Bring workers and partners up to date; returns the workers' addresses."""
+        """Update workers and partners; return the workers' addresses."""
         config = self._node.config
         vm_list = self._node.vm_list
         if config is None or vm_list is None:
@@ -158,7 +160,7 @@
             put_partner(tables, PartnerUse(row.id, row.weight, quota))
         addresses: dict[VMId, str] = {}
         for vm in vm_list.vms_by_id.values():
-            if self._pool_of(vm) != pool_id:
+            if self._find_pool_id(vm) != pool_id:
                 continue
             addresses[vm.id] = vm.address
             put_worker(tables, self._create_worker(vm, pool_id))
@@ -166,26 +168,26 @@
             forget_worker(tables, vm_id)
         return addresses
 
-    def _pool_of(self, vm: ListedVM) -> PoolId:
-        """Return the VM's pool by its record, or by the list if it has none."""
+    def _find_pool_id(self, vm: ListedVM) -> PoolId:
+        """Return the pool in the VM's record, or in the VM list if it has no record."""
         record = self._node.fleet_tables.vms_by_id.get(vm.id)
         return record.pool_id if record else vm.pool_id
 
     def _create_worker(self, vm: ListedVM, pool_id: PoolId) -> Worker:
         record = self._node.fleet_tables.vms_by_id.get(vm.id)
-        serves = record is None or record.state is VMState.SERVING
+        is_serving = record is None or record.state is VMState.SERVING
         return Worker(
             id=vm.id,
             pool_id=pool_id,
             rack_id=vm.rack_id,
             zone_id=vm.zone_id,
             capacity=Size(vm.cpus, vm.memory_gb, vm.accelerators),
-            accepts_work=serves and vm.state is ListedState.LIVE,
+            accepts_work=is_serving and vm.state is ListedState.LIVE,
         )
 
 
 def create_job_service(node: Node) -> JobService:
-    """Return the service; its routes are added to the operator port."""
+    """Return the service; creating it adds its routes to the operator port."""
     return JobService(node)
 
 
--- a/packages/daemon/src/medlarspring_daemon/jobs/workers.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/workers.py
@@ -1,4 +1,4 @@
-"""The talk with the workers of one pool: orders out, renewals and reports in."""
+"""Calls to the workers of one pool: task orders, lease renewals and reports."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
 
 TASK_LEASE_SECONDS = 30.0
 LEASE_MARGIN_SECONDS = 5.0
-"""Added before a silent worker's tasks are taken to have ended."""
+"""Time added to the lease before an unresponsive worker's tasks count as ended."""
 RENEW_SECONDS = 5.0
-RENEW_SOON_SECONDS = 0.25
-"""Pause between calls to a worker from which an answer is awaited."""
+POLL_DELAY_SECONDS = 0.25
+"""Delay of the next poll of a worker to which an order was sent."""
 
 
 @dataclass(slots=True)
 class WorkerLink:
-    """What is known of the talk with one worker."""
+    """State of the calls to one worker."""
 
     id: VMId
     address: str
     renewed_at: Seconds
-    """When its tasks' leases were last renewed, or the latest they can be."""
+    """When its tasks' leases were last renewed, or the latest possible time."""
     due_at: Seconds = 0.0
     forget: set[Renewal] = field(default_factory=set)
 
@@ -66,10 +66,10 @@
         self._links_by_id: dict[VMId, WorkerLink] = {}
 
     def set_addresses(self, addresses_by_id: dict[VMId, str]) -> None:
-        """Name the workers' addresses; new ones count as just renewed.
+        """Set the workers' addresses; new workers count as just renewed.
 
-        A successor does not know when its predecessor last renewed a worker's
-        tasks. Taking the present as that time only waits longer.
+        A new holder does not know when the previous holder last renewed a worker's
+        tasks. Assuming the current time is safe and only waits longer.
         """
         now = self._clock.now()
         for vm_id, address in addresses_by_id.items():
@@ -79,22 +79,22 @@
             else:
                 link.address = address
 
-    def ask_soon(self, vm_id: VMId) -> None:
-        """Expect news from a worker: ask it again after a short pause."""
+    def schedule_poll(self, vm_id: VMId) -> None:
+        """Poll a worker again after a short delay, as its state is about to change."""
         link = self._links_by_id.get(vm_id)
         if link is not None:
-            link.due_at = min(link.due_at, self._clock.now() + RENEW_SOON_SECONDS)
+            link.due_at = min(link.due_at, self._clock.now() + POLL_DELAY_SECONDS)
 
     async def send_start(self, job: Job) -> bool:
-        """Order the start; False when the worker refuses this attempt for good.
+        """Send a start order; return False if the worker refuses the attempt.
 
-        A lost order is repeated at the next renewal.
+        A lost order is sent again after the next renewal.
         """
         assert job.attempt is not None
         link = self._links_by_id.get(job.attempt.vm_id)
         if link is None:
             return True
-        self.ask_soon(link.id)
+        self.schedule_poll(link.id)
         order = TaskOrder(
             job_id=job.id,
             attempt=job.attempt.number,
@@ -107,35 +107,38 @@
         return is_successful(sent) or not isinstance(sent.failure(), WorkerRefused)
 
     async def send_stop(self, job: Job) -> bool:
-        """Order a stop; True when the worker confirmed that it has the order."""
+        """Send a stop order; return whether the worker confirmed its receipt."""
         assert job.attempt is not None
         link = self._links_by_id.get(job.attempt.vm_id)
         if link is None:
             return False
-        self.ask_soon(link.id)
+        self.schedule_poll(link.id)
         was_cancelled = bool(job.reason)
         checkpoint = job.can_checkpoint and not was_cancelled
         order = StopOrder(job.attempt.number, checkpoint=checkpoint)
         return is_successful(await self._workers.stop(link.address, job.id, order))
 
-    async def ask_due(self) -> list[WorkerAnswer]:
-        """Renew at all workers that are due, at once, and return the answers."""
+    async def poll_due_workers(self) -> list[WorkerAnswer]:
+        """Renew leases at all due workers concurrently and return their answers."""
         now = self._clock.now()
         due: list[tuple[WorkerLink, frozenset[JobId]]] = []
         for link in self._links_by_id.values():
             worker = self._tables.workers_by_id.get(link.id)
             job_ids = frozenset(worker.job_ids if worker else ())
             if not job_ids and not link.forget:
-                # With nothing to renew, silence tells nothing.
+                # Without tasks no calls are made, so the time since the last
+                # renewal must not count against the worker.
                 link.renewed_at = now
                 continue
             if link.due_at <= now:
                 due.append((link, job_ids))
-        return list(await asyncio.gather(*(self._ask(*each) for each in due)))
+        return list(await asyncio.gather(*(self._renew_leases(*each) for each in due)))
 
-    async def _ask(self, link: WorkerLink, job_ids: frozenset[JobId]) -> WorkerAnswer:
-        asked_at = self._clock.now()
-        link.due_at = asked_at + RENEW_SECONDS
+    async def _renew_leases(
+        self, link: WorkerLink, job_ids: frozenset[JobId]
+    ) -> WorkerAnswer:
+        sent_at = self._clock.now()
+        link.due_at = sent_at + RENEW_SECONDS
         request = RenewalRequest(
             lease_seconds=TASK_LEASE_SECONDS,
             renewals=tuple(self._list_renewals(job_ids)),
@@ -151,14 +154,14 @@
         jobs = [self._tables.jobs_by_id[job_id] for job_id in sorted(job_ids)]
         return [Renewal(job.id, job.attempt.number) for job in jobs if job.attempt]
 
-    def is_silent_past_lease(self, link: WorkerLink) -> bool:
-        """Tell whether all tasks of a silent worker have certainly ended.
+    def have_leases_expired(self, link: WorkerLink) -> bool:
+        """Return whether all tasks of an unresponsive worker have certainly ended.
 
-        Placing them elsewhere sooner could run a job twice, since a worker
-        that only lost its network goes on until the lease runs out.
+        Placing them elsewhere sooner could run a job twice, since a worker that
+        only lost its network runs its tasks until their leases expire.
         """
-        silent = self._clock.now() - link.renewed_at
-        return silent >= TASK_LEASE_SECONDS + LEASE_MARGIN_SECONDS
+        unresponsive_seconds = self._clock.now() - link.renewed_at
+        return unresponsive_seconds >= TASK_LEASE_SECONDS + LEASE_MARGIN_SECONDS
 
 
 __all__ = ["TASK_LEASE_SECONDS", "JobWorkers", "WorkerAnswer", "WorkerLink"]
--- a/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
@@ -1,4 +1,4 @@
-"""Holds the control work of pools under one store lease."""
+"""Acquires and keeps the control work of pools under one store lease."""
 
 from __future__ import annotations
 
@@ -42,14 +42,17 @@
 
 HOLDERS_PREFIX = "holders/"
 TICK_SECONDS = 0.5
-SETTLE_SECONDS = 3.0
-"""A new process first learns who else is there; alone it would take all pools."""
-TRY_SECONDS = 1.0
+STARTUP_DELAY_SECONDS = 3.0
+"""Delay after the start, in which the process learns of its peers.
+
+Without it a new process knows no other member and acquires all pools.
+"""
+ACQUIRE_INTERVAL_SECONDS = 1.0
 MAX_POOLS_PER_CALL = 64
 
 
 class HolderRecord(Struct, frozen=True):
-    """Value of a holder key, for people."""
+    """Value of a holder key; informational, for people who inspect the store."""
 
     entry_vm: str
     incarnation: int
@@ -58,44 +61,47 @@
 
 
 class HolderService:
-    """Implements ``Holders``; one lease keeps all keys of this process."""
+    """Implements ``Holders``; all keys of this process are attached to one lease."""
 
     def __init__(self, node: Node, peers: PeerService) -> None:
         self._node = node
         self._peers = peers
         self._tasks = BackgroundTasks(node.log)
         self.holdings = Holdings(node.id)
-        self._to_delete: list[HeldPool] = []
-        """Given up, but the key may still be there."""
+        self._keys_to_delete: list[HeldPool] = []
+        """Released pools whose keys may still exist in the store."""
         self._renew_at = 0.0
         self._renewal_failures = 0
         self._suspended = False
-        """Whether the lease may have lapsed and nothing is done for its pools."""
-        self._try_at = 0.0
+        """Whether the lease may have expired, so that no work is done for its pools."""
+        self._next_attempt_at = 0.0
         self._failures = 0
 
     async def start(self) -> None:
-        """Begin to hold what this process is preferred for."""
+        """Start acquiring the pools for which this process is the preferred holder."""
         self._node.holders = self
-        self._try_at = self._node.clock.now() + SETTLE_SECONDS
+        self._next_attempt_at = self._node.clock.now() + STARTUP_DELAY_SECONDS
         self._tasks.run_with_restart(self._run)
-        self._tasks.run_with_restart(self._follow_clock)
+        self._tasks.run_with_restart(self._watch_lease_expiry)
 
     async def stop(self) -> None:
-        """Give everything up at once, so that successors need not wait."""
+        """Release all pools by revoking the lease, so that others can acquire them.
+
+        Otherwise they would have to wait until the lease expires.
+        """
         await self._tasks.cancel()
         lease_id = self.holdings.lease_id
-        self._note_released(self.holdings.pools_by_id.values())
+        self._log_released(self.holdings.pools_by_id.values())
         record_lapse(self.holdings)
         if lease_id is not None:
             await self._node.store.revoke_lease(LeaseId(lease_id))
 
     def held_pools(self) -> frozenset[PoolId]:
-        """Return the pools held for certain, by this process's own clock."""
+        """Return the pools whose lease is still valid by this process's own clock."""
         return list_held_pools(self.holdings, self._node.clock.now())
 
     def fence(self, pool_id: PoolId) -> Expect | None:
-        """Return the condition that each write of the pool's work must carry."""
+        """Return the condition to add to each write for the pool; None if not held."""
         revision = find_fencing_revision(self.holdings, pool_id, self._node.clock.now())
         if revision is None:
             return None
@@ -104,14 +110,14 @@
     async def _run(self) -> None:
         while not self._node.stopping:
             await self._renew()
-            await self._follow_plan()
+            await self._apply_plan()
             await asyncio.sleep(TICK_SECONDS)
 
-    async def _follow_clock(self) -> None:
-        """Log when this process stops acting by its own clock.
+    async def _watch_lease_expiry(self) -> None:
+        """Log when the lease expires by this process's own clock.
 
-        The store may answer much later that the lease is gone; read from that
-        line alone, two processes would seem to have held a pool at once.
+        The store may report the expiry much later. Logged only then, two processes
+        would appear to have held a pool at the same time.
         """
         while True:
             now = self._node.clock.now()
@@ -142,10 +148,10 @@
             return
         self._plan_renewal(now)
         record_lease(self.holdings, lease_id, now, min(ttl, LEASE_SECONDS))
-        self._resume()
+        self._end_suspension()
 
-    def _resume(self) -> None:
-        """Act again for pools whose keys outlived the store's silence."""
+    def _end_suspension(self) -> None:
+        """End the suspension after a renewal and log the pools as held again."""
         if not self._suspended:
             return
         self._suspended = False
@@ -159,16 +165,16 @@
         spread = self._node.rng.uniform(0.9, 1.1)
         self._renew_at = renewed_at + RENEW_SECONDS * spread
 
-    async def _follow_plan(self) -> None:
+    async def _apply_plan(self) -> None:
         config = self._node.config
         now = self._node.clock.now()
-        if config is None or now < self._try_at:
+        if config is None or now < self._next_attempt_at:
             return
         members = self._peers.list_steady()
         plan = plan_holders(self.holdings, config.pools_by_id, members, now)
         released = [self.holdings.pools_by_id.pop(each) for each in plan.release]
-        self._note_released(released)
-        self._to_delete += released
+        self._log_released(released)
+        self._keys_to_delete += released
         await self._delete_keys()
         if plan.acquire:
             await self._acquire(plan.acquire[:MAX_POOLS_PER_CALL])
@@ -198,24 +204,29 @@
             return
         self._failures = 0
         spread = self._node.rng.uniform(0.75, 1.25)
-        self._try_at = self._node.clock.now() + TRY_SECONDS * spread
+        self._next_attempt_at = (
+            self._node.clock.now() + ACQUIRE_INTERVAL_SECONDS * spread
+        )
         for pool_id, committed in zip(pool_ids, answer.unwrap(), strict=True):
-            self._note_attempt(pool_id, committed, lease_id)
+            self._record_acquisition(pool_id, committed, lease_id)
 
-    def _note_attempt(
+    def _record_acquisition(
         self, pool_id: PoolId, committed: Committed, lease_id: int
     ) -> None:
         if self.holdings.lease_id != lease_id:
             return
         revision = committed.revision
         if not committed.succeeded:
-            # After a lost answer the key is already there with this lease; taken
-            # for another holder's it would stay ours and unserved for ever.
+            # If the reply to an earlier write was lost, the key already exists with
+            # this lease. If it were attributed to another holder, this process would
+            # keep it alive and no process would ever serve the pool.
             found = committed.read_by_key.get(_key(pool_id))
             if found is None or found.lease_id != lease_id:
                 return
             revision = found.mod_revision
-        self._to_delete = [each for each in self._to_delete if each.pool_id != pool_id]
+        self._keys_to_delete = [
+            each for each in self._keys_to_delete if each.pool_id != pool_id
+        ]
         self.holdings.pools_by_id[pool_id] = HeldPool(pool_id, revision)
         self._node.log.info(Event.POOL_HELD, pool=pool_id, fence=revision)
 
@@ -231,12 +242,12 @@
         return True
 
     async def _delete_keys(self) -> None:
-        """Delete the keys of pools given up before; none is acted on any more.
+        """Delete the keys of released pools, on which no more work is done.
 
-        A key whose deletion got no answer is tried again: the lease is kept
-        alive for the other pools, and the key would bar successors for ever.
+        A deletion without a reply is retried: the lease stays alive for the other
+        pools, so a remaining key would block other holders for ever.
         """
-        for held in list(self._to_delete):
+        for held in list(self._keys_to_delete):
             key = _key(held.pool_id)
             expect = Expect(key, held.mod_revision)
             answer = await self._node.store.commit(
@@ -245,21 +256,23 @@
             if not isinstance(answer, Success):
                 self._back_off()
                 return
-            self._to_delete.remove(held)
+            self._keys_to_delete.remove(held)
 
-    def _note_released(self, released: Iterable[HeldPool]) -> None:
-        """Log what is given up, before a successor can hold it.
+    def _log_released(self, released: Iterable[HeldPool]) -> None:
+        """Log the release of pools before another process can acquire them.
 
-        Logged after the key is gone, the release would stand behind the
-        successor's word that it holds the pool, as if both had acted.
+        If this were logged after the deletion of the key, it could follow the log
+        line of the next holder, as if both had held the pool at the same time.
         """
         for held in released:
             self._node.log.info(Event.POOL_RELEASED, pool=held.pool_id)
 
     def _back_off(self) -> None:
         self._failures += 1
-        wait = TRY_SECONDS / 2 + choose_retry_delay(self._failures, self._node.rng)
-        self._try_at = self._node.clock.now() + wait
+        wait = ACQUIRE_INTERVAL_SECONDS / 2 + choose_retry_delay(
+            self._failures, self._node.rng
+        )
+        self._next_attempt_at = self._node.clock.now() + wait
 
 
 def _key(pool_id: PoolId) -> str:
@@ -267,7 +280,7 @@
 
 
 def create_holder_service(node: Node, peers: PeerService) -> HolderService:
-    """Return the service that holds control work."""
+    """Return the service that acquires the control work of pools."""
     return HolderService(node, peers)
 
 
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_answers.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_request_handler.py
@@ -1,4 +1,4 @@
-"""What this process answers on its peer port."""
+"""Handles the calls that peers make to this process's peer port."""
 
 from __future__ import annotations
 
@@ -21,39 +21,41 @@
 WRONG_TOKEN_LOG_SECONDS = 10.0
 
 
-class ReportTaker(Protocol):
-    """Learns from the reports that peers send."""
+class ReportReceiver(Protocol):
+    """Processes the reports that peers send."""
 
     def apply_report(self, report: peer_pb2.Report) -> None:
-        """Learn from one report."""
+        """Apply one report."""
         ...
 
     def record_exchange_bytes(
         self, sent: peer_pb2.Report, received: peer_pb2.Report
     ) -> None:
-        """Count what one exchange took."""
+        """Count the bytes of one exchange."""
         ...
 
 
-class PeerAnswers:
-    """Implements ``PeerHandlers``."""
+class PeerRequestHandler:
+    """Implements ``PeerHandlers``, the calls of the peer port."""
 
-    def __init__(self, node: Node, reports: ReportBuilder, taker: ReportTaker) -> None:
+    def __init__(
+        self, node: Node, reports: ReportBuilder, receiver: ReportReceiver
+    ) -> None:
         self._node = node
         self._reports = reports
-        self._taker = taker
-        self._packed: tuple[ConfigTable, bytes] | None = None
+        self._receiver = receiver
+        self._compressed: tuple[ConfigTable, bytes] | None = None
         self._wrong_token_logged_at = -WRONG_TOKEN_LOG_SECONDS
 
     def exchange(self, report: peer_pb2.Report) -> peer_pb2.Report:
-        """Take a peer's report and return the own one."""
-        self._taker.apply_report(report)
+        """Apply a peer's report and return this process's report."""
+        self._receiver.apply_report(report)
         reply = self._reports.build(EntryVMId(report.sender))
-        self._taker.record_exchange_bytes(reply, report)
+        self._receiver.record_exchange_bytes(reply, report)
         return reply
 
     def grant_slots(self, request: peer_pb2.SlotRequest) -> peer_pb2.SlotReply:
-        """Grant slots of upstream VMs."""
+        """Grant slots of upstream VMs; the reply has no grants during shutdown."""
         if self._node.slot_granter is None or self._node.stopping:
             return peer_pb2.SlotReply(
                 sender=self._node.id, incarnation=self._node.incarnation
@@ -61,16 +63,16 @@
         return self._node.slot_granter.grant_slots(request)
 
     def fetch_table(self, request: peer_pb2.TableRequest) -> peer_pb2.TableReply:
-        """Return the table in force if it is newer than the asker's."""
+        """Return the table in force if it is newer than the caller's."""
         table = self._node.config
         if table is None:
             return peer_pb2.TableReply()
         if table.revision <= request.known_revision:
             return peer_pb2.TableReply(revision=table.revision)
-        return peer_pb2.TableReply(revision=table.revision, table=self._pack(table))
+        return peer_pb2.TableReply(revision=table.revision, table=self._compress(table))
 
     def find_decisions(self, query: peer_pb2.DecisionQuery) -> peer_pb2.DecisionReply:
-        """Return what is remembered about a subject."""
+        """Return the recorded decisions on a subject; none if its kind is unknown."""
         try:
             subject = Subject(query.kind)
         except ValueError:
@@ -81,18 +83,18 @@
         )
 
     def note_wrong_token(self) -> None:
-        """Log the refusal, seldom, since the caller will try again."""
+        """Log a call with a wrong token, at most once in 10 s since callers retry."""
         now = self._node.clock.now()
         if now - self._wrong_token_logged_at < WRONG_TOKEN_LOG_SECONDS:
             return
         self._wrong_token_logged_at = now
         self._node.log.warning(Event.PEER_TOKEN_WRONG)
 
-    def _pack(self, table: ConfigTable) -> bytes:
-        if self._packed is None or self._packed[0] is not table:
+    def _compress(self, table: ConfigTable) -> bytes:
+        if self._compressed is None or self._compressed[0] is not table:
             encoded = msgspec.json.encode(table)
-            self._packed = (table, zlib.compress(encoded, COMPRESSION_LEVEL))
-        return self._packed[1]
+            self._compressed = (table, zlib.compress(encoded, COMPRESSION_LEVEL))
+        return self._compressed[1]
 
 
-__all__ = ["PeerAnswers", "ReportTaker"]
+__all__ = ["PeerRequestHandler", "ReportReceiver"]
--- a/packages/daemon/src/medlarspring_daemon/operators/audit_reader.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/audit_reader.py
@@ -23,16 +23,17 @@
     from medlarspring_adapters.store import Store, StoreError
 
 MAX_PAGES_PER_CALL = 20
-"""Store calls that one question may take."""
+"""Limit of store calls for one search."""
 
 
 async def read_audit(
-    store: Store, newest: Revision, wanted: AuditFilter, limit: int
+    store: Store, newest: Revision, audit_filter: AuditFilter, limit: int
 ) -> Result[AuditAnswer, StoreError]:
     """Return the newest matching records, oldest first.
 
-    ``newest`` is the table revision to begin at; the search goes back page by
-    page and says where to go on when it has looked at enough.
+    ``newest`` is the table revision to start from. The search goes back page by
+    page. If it stops at the limit of store calls, ``next_before`` of the answer is
+    the revision from which to continue.
     """
     records: list[AuditRecord] = []
     start = page_start(newest)
@@ -45,9 +46,9 @@
             for entry in listing.unwrap().entries
         ]
         page.sort(key=lambda record: (record.revision, record.at))
-        found = [record for record in page if matches(record, wanted)]
+        found = [record for record in page if matches(record, audit_filter)]
         records = found + records
-        is_old = bool(page) and page[-1].at < wanted.since
+        is_old = bool(page) and page[-1].at < audit_filter.since
         if len(records) >= limit or start == 0 or is_old:
             start = Revision(0)
             break
--- a/packages/daemon/src/medlarspring_daemon/operators/audit_routes.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/audit_routes.py
@@ -28,7 +28,7 @@
 
 
 class AuditRoutes:
-    """Search the audit trail."""
+    """Handler that searches the audit trail."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -41,13 +41,13 @@
     async def _search(self, request: web.Request) -> web.Response:
         limit = read_number(request, "limit", DEFAULT_RECORDS, MAX_RECORDS)
         before = read_number(request, "before", MAX_REVISION, MAX_REVISION)
-        wanted = _read_filter(request)
+        audit_filter = _read_filter(request)
         newest = min(await self._find_newest(), Revision(before - 1))
-        found = await read_audit(self._store, newest, wanted, limit)
+        found = await read_audit(self._store, newest, audit_filter, limit)
         return answer(unwrap_or_refuse(found))
 
     async def _find_newest(self) -> Revision:
-        """Return the revision to begin at; the one in force saves a store call."""
+        """Return the revision to start from; the table in force saves a store call."""
         if self._node.config is not None:
             return self._node.config.revision
         return unwrap_or_refuse(await read_revision(self._store))
--- a/packages/daemon/tests/test_fleet_service.py
+++ b/packages/daemon/tests/test_fleet_service.py
@@ -99,11 +99,13 @@
             await asyncio.sleep(0.01)
 
 
-async def test_wave_goes_on_under_a_successor(state, platform, tmp_path, monkeypatch):
+async def test_wave_goes_on_under_the_next_holder(
+    state, platform, tmp_path, monkeypatch
+):
     """
-    An operator starts a wave over one pool; after the first reboot the entry VM
-    that holds the pool shuts down. Another one adopts nothing anew, goes on
-    from the records, and each VM is rebooted once and serves at the end.
+    The entry VM that holds a pool shuts down after the first reboot of a wave.
+    The next holder must continue from the records: each VM is rebooted exactly
+    once and serves at the end.
     """
     monkeypatch.setattr(fleet_service, "TICK_SECONDS", 0.02)
     vm_state, url = platform
@@ -113,35 +115,39 @@
     await wait_until(lambda: any(row.boot > 1 for row in vm_state.rows_by_id.values()))
     await service.stop()
     await node.stop()
-    successor, second = await start_fleet("e2", state, tmp_path, url)
-    records = successor.node
+    next_holder, second = await start_fleet("e2", state, tmp_path, url)
+    records = next_holder.node
     await wait_until(lambda: records.fleet_tables.waves_by_id)
     await wait_until(lambda: not records.fleet_tables.open_waves_by_id)
-    view = msgspec.json.decode(await call(successor, "GET", "/waves/w"), type=WaveView)
-    listed = await call(successor, "GET", "/pools")
+    view = msgspec.json.decode(
+        await call(next_holder, "GET", "/waves/w"), type=WaveView
+    )
+    listed = await call(next_holder, "GET", "/pools")
     (pool,) = msgspec.json.decode(listed, type=PoolsAnswer).pools
     await second.stop()
-    await successor.stop()
+    await next_holder.stop()
     assert view.counts_by_step == {"back": 4}
     assert (pool.available, pool.room) == (4, 1)
     assert [row.boot for row in vm_state.rows_by_id.values()] == [2, 2, 2, 2]
 
 
-async def test_request_path_is_told_of_each_vm_that_a_wave_brings_back(
+async def test_request_path_is_notified_of_each_vm_that_a_wave_returns(
     state, platform, tmp_path, monkeypatch
 ):
     monkeypatch.setattr(fleet_service, "TICK_SECONDS", 0.02)
     _, url = platform
     node, service = await start_fleet("e1", state, tmp_path, url)
-    told: list[tuple[VMId, PoolId]] = []
-    node.node.note_returned = lambda vm_id, pool_id: told.append((vm_id, pool_id))
+    returned_vms: list[tuple[VMId, PoolId]] = []
+    node.node.note_returned = lambda vm_id, pool_id: returned_vms.append(
+        (vm_id, pool_id)
+    )
     await wait_until(lambda: len(node.node.fleet_tables.vms_by_id) == 4)
     await call(node, "POST", "/waves", StartWave(id=WaveId("w"), operator="asha"))
     await wait_until(lambda: node.node.fleet_tables.waves_by_id)
     await wait_until(lambda: not node.node.fleet_tables.open_waves_by_id)
     await service.stop()
     await node.stop()
-    assert sorted(told) == [(vm_id, POOL) for vm_id in sorted(VMS)]
+    assert sorted(returned_vms) == [(vm_id, POOL) for vm_id in sorted(VMS)]
 
 
 async def call(node: ControlNode, method: str, path: str, body: object = None) -> bytes:
@@ -155,7 +161,7 @@
             return await response.read()
 
 
-async def test_client_tells_refusals_from_silence(platform):
+async def test_client_distinguishes_refusals_from_missing_answers(platform):
     vm_state, url = platform
     control = HttpVMControl(url, timeout_seconds=1.0)
     seen = (await control.act(VMS[0], Action.DRAIN, Revision(7))).unwrap()
@@ -164,9 +170,9 @@
     assert isinstance(late.failure(), VMActionRefused)
     assert "stale" in late.failure().message()
     listed = (await control.read_vms([PoolId("none")], [VMS[1]])).unwrap()
-    assert [sighting.vm_id for sighting in listed] == [VMS[1]]
+    assert [observation.vm_id for observation in listed] == [VMS[1]]
     await control.close()
     nobody = HttpVMControl("http://127.0.0.1:9/control", timeout_seconds=0.5)
-    silent = await nobody.read_vms([], [])
-    assert isinstance(silent.failure(), VMControlUnreachable)
+    unanswered = await nobody.read_vms([], [])
+    assert isinstance(unanswered.failure(), VMControlUnreachable)
     await nobody.close()
--- a/packages/daemon/tests/test_peer_service.py
+++ b/packages/daemon/tests/test_peer_service.py
@@ -17,14 +17,14 @@
     list_nodes,
 )
 from medlarspring_bench.key_value_state import KeyValueState
-from medlarspring_daemon.membership.peer_reports import MAX_USAGE
+from medlarspring_daemon.membership.peer_reports import MAX_USAGE_ENTRIES
 from medlarspring_tables import EntryVMId
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
     from pathlib import Path
 
-WAIT_SECONDS = 30.0
+WAIT_TIMEOUT_SECONDS = 30.0
 PEER_TOKEN_WRONG = 4006
 A, B = EntryVMId("a"), EntryVMId("b")
 
@@ -47,23 +47,23 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    async with asyncio.timeout(WAIT_SECONDS):
+    async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-class Part:
-    """A service that reports demand and keeps what it hears."""
+class RecordingComponent:
+    """Adds a fixed report's usage to reports and records the received ones."""
 
     def __init__(self, filled: peer_pb2.Report) -> None:
         self.filled = filled
-        self.taken: list[peer_pb2.Report] = []
+        self.applied_reports: list[peer_pb2.Report] = []
 
     def fill_report(self, report: peer_pb2.Report) -> None:
         report.MergeFrom(self.filled)
 
     def apply_report(self, report: peer_pb2.Report) -> None:
-        self.taken.append(report)
+        self.applied_reports.append(report)
 
 
 def create_usage(*amounts: int) -> peer_pb2.Report:
@@ -76,55 +76,75 @@
 
 async def test_reports_reach_both_sides_and_only_changes_are_repeated(start: Start):
     """
-    Each report carries every partner's usage at most once in five seconds;
-    between them only what changed, or 370 partners would cost 10 KB a report.
+    All partners' usage is sent once in five seconds and only changes in between;
+    otherwise each report of 370 partners would take 10 KB.
     """
     first, second = await start("a"), await start("b")
-    parts = [Part(create_usage(1, 2, 3)), Part(create_usage())]
-    first.node.report_contributors.append(parts[0])
-    second.node.report_contributors.append(parts[1])
+    components = [
+        RecordingComponent(create_usage(1, 2, 3)),
+        RecordingComponent(create_usage()),
+    ]
+    first.node.report_contributors.append(components[0])
+    second.node.report_contributors.append(components[1])
     list_nodes([first, second])
-    await wait_until(lambda: parts[0].taken and len(parts[1].taken) > 1)
+    await wait_until(
+        lambda: components[0].applied_reports and len(components[1].applied_reports) > 1
+    )
     assert first.peers.zone_members == second.peers.zone_members == (A, B)
-    parts[0].filled = create_usage(1, 2, 9)
-    seen = len(parts[1].taken)
-    await wait_until(lambda: any(each.usage for each in parts[1].taken[seen:]))
-    changed = next(each for each in parts[1].taken[seen:] if each.usage)
+    components[0].filled = create_usage(1, 2, 9)
+    seen = len(components[1].applied_reports)
+    await wait_until(
+        lambda: any(each.usage for each in components[1].applied_reports[seen:])
+    )
+    changed = next(each for each in components[1].applied_reports[seen:] if each.usage)
     assert [(each.partner, each.slot_ms) for each in changed.usage] == [
         ("partner-2", 9)
     ]
     assert second.peers.members.members_by_id[A].hears_us
 
 
-async def test_every_share_gets_its_turn_when_too_many_change(start: Start):
+async def test_every_share_is_reported_when_too_many_change(start: Start):
     """
-    400 partners are at work. A report holds 32 of their shares, and if it
-    always held the same ones, the others' shares would never be corrected.
+    400 partners are active, but a report has room for 32 shares. If it always
+    carried the same ones, the other shares would never be updated.
     """
     first, second = await start("a"), await start("b")
-    parts = [Part(create_usage(*range(1, 401))), Part(create_usage())]
-    first.node.report_contributors.append(parts[0])
-    second.node.report_contributors.append(parts[1])
+    components = [
+        RecordingComponent(create_usage(*range(1, 401))),
+        RecordingComponent(create_usage()),
+    ]
+    first.node.report_contributors.append(components[0])
+    second.node.report_contributors.append(components[1])
     list_nodes([first, second])
     await wait_until(
         lambda: (
-            len({use.partner for each in parts[1].taken for use in each.usage}) > 399
+            len(
+                {
+                    use.partner
+                    for each in components[1].applied_reports
+                    for use in each.usage
+                }
+            )
+            > 399
         )
     )
-    assert max(len(each.usage) for each in parts[1].taken) == MAX_USAGE
+    assert (
+        max(len(each.usage) for each in components[1].applied_reports)
+        == MAX_USAGE_ENTRIES
+    )
 
 
 async def test_wrong_token_is_refused_and_logged(start: Start):
-    first, stranger = await start("a"), await start("b", token="guessed")
-    list_nodes([first, stranger])
+    first, unauthorised = await start("a"), await start("b", token="guessed")
+    list_nodes([first, unauthorised])
     await wait_until(lambda: first.events(PEER_TOKEN_WRONG))
-    answer = await stranger.peers.call_grant_slots(A, peer_pb2.SlotRequest(), 1.0)
+    answer = await unauthorised.peers.call_grant_slots(A, peer_pb2.SlotRequest(), 1.0)
     assert isinstance(answer.failure(), PeerFailed)
     assert "token" in str(answer.failure())
     assert not first.peers.heard_by_id
 
 
-async def test_farewell_takes_a_peer_off_at_once(start: Start):
+async def test_leaving_report_removes_a_peer_at_once(start: Start):
     first, second = await start("a"), await start("b")
     list_nodes([first, second])
     await wait_until(lambda: first.peers.heard_by_id and second.peers.heard_by_id)
@@ -133,11 +153,11 @@
     assert first.peers.zone_members == (A,)
 
 
-async def test_refused_connection_proves_the_end_and_silence_does_not(start: Start):
+async def test_refused_connection_ends_a_peer_and_a_timeout_does_not(start: Start):
     """
-    One peer ends: its port refuses, and what it promised is void at once.
-    The other is cut off: its port does not answer, and its process may still
-    use the slots it was granted.
+    One peer has ended: its port refuses connections, so its slots can be released
+    at once. The other is partitioned: its port does not answer, and its process may
+    still use the slots that it was granted.
     """
     first, second, third = await start("a"), await start("b"), await start("c")
     list_nodes([first, second, third])
@@ -160,10 +180,10 @@
     cut_off.close()
 
 
-async def test_new_vm_at_an_old_address_voids_the_old_one(start: Start):
+async def test_new_vm_at_an_old_address_ends_the_old_one(start: Start):
     """
-    A VM is replaced by one with the same address and another id before the list
-    says so. The answer to a call names the new one, so the old one has ended.
+    A VM is replaced by one with the same address and another id before the VM list
+    shows it. The reply to a call names the new VM, so the old one has ended.
     """
     first, second = await start("a"), await start("b")
     list_nodes([first, second])
@@ -192,15 +212,15 @@
     class Granter:
         def grant_slots(self, request: peer_pb2.SlotRequest) -> peer_pb2.SlotReply:
             grants = [
-                peer_pb2.SlotGrant(vm=wish.vm, slots=wish.wanted)
-                for wish in request.wishes
+                peer_pb2.SlotGrant(vm=slot_request.vm, slots=slot_request.wanted)
+                for slot_request in request.wishes
             ]
             return peer_pb2.SlotReply(sender="b", grants=grants)
 
     list_nodes([first, second])
     await wait_until(lambda: first.peers.heard_by_id)
-    wish = peer_pb2.SlotWish(vm="vm-1", wanted=3)
-    request = peer_pb2.SlotRequest(sender="a", wishes=[wish])
+    slot_request = peer_pb2.SlotWish(vm="vm-1", wanted=3)
+    request = peer_pb2.SlotRequest(sender="a", wishes=[slot_request])
     assert not (await first.peers.call_grant_slots(B, request, 1.0)).unwrap().grants
     second.node.slot_granter = Granter()
     answer = await first.peers.call_grant_slots(B, request, 1.0)
