--- a/packages/adapters/src/medlarspring_adapters/adviser.py
+++ b/packages/adapters/src/medlarspring_adapters/adviser.py
@@ -17,7 +17,7 @@
 MAX_WORKERS_PER_CALL = 100
 
 
-class AdviserSilent(MedlarspringError):
+class AdviserUnresponsive(MedlarspringError):
     """The adviser gave no advice; asking has no effect."""
 
     code = "adviser-silent"
@@ -47,9 +47,9 @@
 
     async def advise(
         self, step_id: str, worker_ids: Sequence[WorkerId]
-    ) -> Result[Advice, AdviserSilent]:
+    ) -> Result[Advice, AdviserUnresponsive]:
         """Return which of the workers may run the step."""
         ...
 
 
-__all__ = ["MAX_WORKERS_PER_CALL", "Advice", "Adviser", "AdviserSilent"]
+__all__ = ["MAX_WORKERS_PER_CALL", "Advice", "Adviser", "AdviserUnresponsive"]
--- a/packages/adapters/src/medlarspring_adapters/etcd_gateway.py
+++ b/packages/adapters/src/medlarspring_adapters/etcd_gateway.py
@@ -129,21 +129,21 @@
         The iterator ends when that fails, when the revision was compacted, and
         when the store has gone back behind ``start``.
         """
-        following = start
+        next_revision = start
         while True:
-            silent = False
+            timed_out = False
             try:
-                stream = self._stream(prefix, following)
+                stream = self._stream(prefix, next_revision)
                 async with contextlib.aclosing(stream) as results:
                     async for result in results:
                         if result.canceled or result.compact_revision:
                             return
                         yield _to_batch(result)
-                        if result.header.revision + 1 < following:
+                        if result.header.revision + 1 < next_revision:
                             return
-                        following = _find_following(result, following)
+                        next_revision = _find_next_revision(result, next_revision)
             except TimeoutError:
-                silent = True
+                timed_out = True
             except (aiohttp.ClientError, OSError, ValueError, msgspec.MsgspecError):
                 self._transport.rotate()
                 return
@@ -151,7 +151,7 @@
             # connection answers at once if the store lives, and nothing between
             # the two is lost because the revision is named.
             self._transport.rotate()
-            if not silent:
+            if not timed_out:
                 return
 
     async def close(self) -> None:
@@ -229,10 +229,10 @@
 
 
 def _to_committed_each(
-    txn: TxnResponse, wanted: int
+    txn: TxnResponse, expected_count: int
 ) -> Result[list[Committed], StoreError]:
     nested = [each.response_txn for each in txn.responses if each.response_txn]
-    if len(nested) != wanted:
+    if len(nested) != expected_count:
         return Failure(StoreOutcomeUnknown("an answer to some transactions is missing"))
     return Success([_to_committed(each, txn.header.revision) for each in nested])
 
@@ -247,16 +247,16 @@
     )
 
 
-def _find_following(result: WatchResult, following: Revision) -> Revision:
+def _find_next_revision(result: WatchResult, next_revision: Revision) -> Revision:
     """Return the revision from which a new watch would miss nothing.
 
     The first message carries the store's present revision before the changes up
     to it were sent, so it must not move the mark.
     """
     if result.created:
-        return following
+        return next_revision
     if not result.events:
-        return Revision(max(following, result.header.revision + 1))
+        return Revision(max(next_revision, result.header.revision + 1))
     return Revision(max(each.kv.mod_revision for each in result.events) + 1)
 
 
--- a/packages/adapters/src/medlarspring_adapters/events.py
+++ b/packages/adapters/src/medlarspring_adapters/events.py
@@ -150,12 +150,12 @@
         """Log what an operator has to look at."""
         self._write(logging.ERROR, event, fields)
 
-    def take_left_out(self) -> dict[str, int]:
+    def pop_dropped_counts(self) -> dict[str, int]:
         """Return how many lines were left out since the last call, by event."""
         if self._limiter is None:
             return {}
-        left_out = self._limiter.take_left_out()
-        return {str(event): lines for event, lines in left_out.items()}
+        dropped_counts = self._limiter.pop_dropped_counts()
+        return {str(event): lines for event, lines in dropped_counts.items()}
 
     def close(self) -> None:
         """Write what waits, for a moment at most."""
@@ -194,7 +194,7 @@
 ) -> EventLog:
     """Return a log that never blocks and whose volume is bounded by event."""
     limiter = LineLimiter(clock)
-    handler = QueuedHandler(descriptor, limiter.note_left_out)
+    handler = QueuedHandler(descriptor, limiter.record_dropped)
     handler.setFormatter(
         MsgspecFormatter(
             "%(levelname)s %(message)s",
--- a/packages/adapters/src/medlarspring_adapters/fleet_records.py
+++ b/packages/adapters/src/medlarspring_adapters/fleet_records.py
@@ -30,7 +30,7 @@
     return msgspec.json.encode(record)
 
 
-def take_entry(tables: FleetTables, entry: Entry) -> None:
+def apply_entry(tables: FleetTables, entry: Entry) -> None:
     """Decode an entry into the tables; other keys are passed over."""
     kind = entry.key.removeprefix(FLEET_PREFIX).partition("/")[0]
     record_type = TYPES_BY_PREFIX.get(f"{FLEET_PREFIX}{kind}/")
@@ -39,7 +39,7 @@
         tables.put(record, entry.mod_revision)
 
 
-def take_listing(tables: FleetTables, prefix: str, listing: Listing) -> None:
+def apply_listing(tables: FleetTables, prefix: str, listing: Listing) -> None:
     """Take all records under a prefix, and forget those that are gone.
 
     A watch may have brought newer records while the listing was on its way;
@@ -51,7 +51,7 @@
         if key.startswith(prefix) and key not in present:
             tables.remove(key, listing.revision)
     for entry in listing.entries:
-        take_entry(tables, entry)
+        apply_entry(tables, entry)
 
 
-__all__ = ["TYPES_BY_PREFIX", "encode_record", "take_entry", "take_listing"]
+__all__ = ["TYPES_BY_PREFIX", "encode_record", "apply_entry", "apply_listing"]
--- a/packages/adapters/src/medlarspring_adapters/group_commit.py
+++ b/packages/adapters/src/medlarspring_adapters/group_commit.py
@@ -65,7 +65,7 @@
             self._timer = loop.call_later(wait, self._end_wait)
             return
         self._called_at = self._clock.now()
-        call = asyncio.create_task(self._call(self._take_batch()))
+        call = asyncio.create_task(self._call(self._collect_batch()))
         self._calls.add(call)
         call.add_done_callback(self._end_call)
 
@@ -77,20 +77,20 @@
         self._calls.discard(call)
         self._call_when_due()
 
-    def _take_batch(self) -> list[tuple[Transaction, asyncio.Future[Answer]]]:
+    def _collect_batch(self) -> list[tuple[Transaction, asyncio.Future[Answer]]]:
         """Take what goes into one call; no key is written twice by it."""
         batch: list[tuple[Transaction, asyncio.Future[Answer]]] = []
-        left: deque[tuple[Transaction, asyncio.Future[Answer]]] = deque()
+        deferred: deque[tuple[Transaction, asyncio.Future[Answer]]] = deque()
         keys: set[str] = set()
         while self._waiting and len(batch) < self._max_per_call:
             transaction, future = self._waiting.popleft()
             written = {write.key for write in transaction.writes}
             if keys & written:
-                left.append((transaction, future))
+                deferred.append((transaction, future))
                 continue
             keys |= written
             batch.append((transaction, future))
-        self._waiting.extendleft(reversed(left))
+        self._waiting.extendleft(reversed(deferred))
         return batch
 
     async def _call(
--- a/packages/adapters/src/medlarspring_adapters/library_log.py
+++ b/packages/adapters/src/medlarspring_adapters/library_log.py
@@ -32,10 +32,10 @@
         )
 
 
-def take_library_lines(log: EventLog) -> None:
+def redirect_library_logs(log: EventLog) -> None:
     """Have all libraries log through ``log`` from now on."""
     root = logging.getLogger()
     root.handlers = [LibraryHandler(log)]
 
 
-__all__ = ["take_library_lines"]
+__all__ = ["redirect_library_logs"]
--- a/packages/adapters/src/medlarspring_adapters/log_output.py
+++ b/packages/adapters/src/medlarspring_adapters/log_output.py
@@ -23,7 +23,7 @@
 MAX_WAITING_LINES = 5_000
 """Lines that wait for a reader that has stopped; about 2 MB."""
 CLOSE_SECONDS = 0.5
-GATHER_SECONDS = 0.025
+BATCH_SECONDS = 0.025
 """Lines of this time are written together: 40 wake-ups and calls a second in place of
 one a line, 800 a second at a turn's peak. A process that loses its power loses so much
 of its log."""
@@ -43,7 +43,7 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._allowances_by_event: dict[int, Allowance] = {}
-        self._left_out_by_event: Counter[int] = Counter()
+        self._dropped_by_event: Counter[int] = Counter()
 
     def may_write(self, event: int) -> bool:
         """Use up one line of an event; tell whether there was one."""
@@ -56,20 +56,20 @@
         allowance.lines = min(allowance.lines + gained, BURST_LINES)
         allowance.at = now
         if allowance.lines < 1.0:
-            self._left_out_by_event[event] += 1
+            self._dropped_by_event[event] += 1
             return False
         allowance.lines -= 1.0
         return True
 
-    def note_left_out(self, event: int) -> None:
+    def record_dropped(self, event: int) -> None:
         """Count a line that was dropped elsewhere."""
-        self._left_out_by_event[event] += 1
+        self._dropped_by_event[event] += 1
 
-    def take_left_out(self) -> dict[int, int]:
+    def pop_dropped_counts(self) -> dict[int, int]:
         """Return and forget how many lines were left out, by event."""
-        left_out = dict(self._left_out_by_event)
-        self._left_out_by_event.clear()
-        return left_out
+        dropped_counts = dict(self._dropped_by_event)
+        self._dropped_by_event.clear()
+        return dropped_counts
 
 
 class QueuedHandler(logging.Handler):
@@ -119,12 +119,12 @@
 
     def _write_forever(self) -> None:
         while (line := self._lines.get()) is not None:
-            self._pause(GATHER_SECONDS)
-            lines, is_last = self._take_waiting()
+            self._pause(BATCH_SECONDS)
+            lines, is_last = self._drain_queue()
             if not self._write(b"".join([line, *lines])) or is_last:
                 return
 
-    def _take_waiting(self) -> tuple[list[bytes], bool]:
+    def _drain_queue(self) -> tuple[list[bytes], bool]:
         """Return the lines that wait, and whether nothing comes after them."""
         lines: list[bytes] = []
         while True:
--- a/packages/adapters/src/medlarspring_adapters/operator_api.py
+++ b/packages/adapters/src/medlarspring_adapters/operator_api.py
@@ -61,7 +61,7 @@
     OK = "ok"
     DEGRADED = "degraded"
     STALE = "stale"
-    CUT_OFF = "cut-off"
+    PARTITIONED = "cut-off"
 
 
 class Finding(Struct, frozen=True, kw_only=True):
--- a/packages/adapters/src/medlarspring_adapters/peer_server.py
+++ b/packages/adapters/src/medlarspring_adapters/peer_server.py
@@ -63,7 +63,7 @@
         """Return what is remembered about a subject."""
         ...
 
-    def note_wrong_token(self) -> None:
+    def record_wrong_token(self) -> None:
         """Learn that a call was refused for its token."""
         ...
 
@@ -91,7 +91,7 @@
     """Refuses calls without the fleet's token before any handler runs."""
 
     def __init__(self, token: str, handlers: PeerHandlers) -> None:
-        self._wanted = f"Bearer {token}".encode()
+        self._expected = f"Bearer {token}".encode()
         self._handlers = handlers
 
     async def intercept_service(
@@ -101,9 +101,9 @@
     ) -> Any:
         metadata = dict(handler_call_details.invocation_metadata)
         given = str(metadata.get("authorization", "")).encode()
-        if hmac.compare_digest(given, self._wanted):
+        if hmac.compare_digest(given, self._expected):
             return await continuation(handler_call_details)
-        self._handlers.note_wrong_token()
+        self._handlers.record_wrong_token()
         return grpc.unary_unary_rpc_method_handler(_refuse)
 
 
--- a/packages/adapters/src/medlarspring_adapters/prefix_follower.py
+++ b/packages/adapters/src/medlarspring_adapters/prefix_follower.py
@@ -23,11 +23,11 @@
 class PrefixListener(Protocol):
     """Takes over what the store holds under a prefix."""
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take all entries; what is not among them is gone."""
         ...
 
-    def take_batch(self, batch: WatchBatch) -> None:
+    def apply_batch(self, batch: WatchBatch) -> None:
         """Take changes since the last call."""
         ...
 
@@ -71,7 +71,7 @@
             if is_successful(listed):
                 retry_seconds = self._min_retry_seconds
                 listing = listed.unwrap()
-                self._listener.take_listing(listing)
+                self._listener.apply_listing(listing)
                 await self._watch(listing.revision)
             # All followers lose the store at once; without jitter they would
             # all read whole prefixes in the moment in which it comes back.
@@ -80,7 +80,7 @@
 
     async def _watch(self, revision: Revision) -> None:
         async for batch in self._store.watch(self._prefix, Revision(revision + 1)):
-            self._listener.take_batch(batch)
+            self._listener.apply_batch(batch)
 
 
 __all__ = ["PrefixFollower", "PrefixListener"]
--- a/packages/adapters/src/medlarspring_adapters/store_meter.py
+++ b/packages/adapters/src/medlarspring_adapters/store_meter.py
@@ -125,7 +125,7 @@
     def __init__(self, inner: Store, clock: Clock) -> None:
         self._inner = inner
         self._clock = clock
-        self._billed_to: Mechanism | None = None
+        self._fixed_mechanism: Mechanism | None = None
         self.calls = StoreCalls()
         now = clock.now()
         self._buckets_by_mechanism = {
@@ -133,10 +133,10 @@
             for mechanism, rate in CALLS_PER_SECOND.items()
         }
 
-    def bill_to(self, mechanism: Mechanism) -> MeteredStore:
+    def with_mechanism(self, mechanism: Mechanism) -> MeteredStore:
         """Return the same store with all calls counted for one mechanism."""
         view = copy.copy(self)
-        view._billed_to = mechanism
+        view._fixed_mechanism = mechanism
         return view
 
     def failing_seconds(self) -> Seconds:
@@ -152,36 +152,36 @@
 
     async def read(self, key: str) -> Result[Entry | None, StoreError]:
         """Return the key's entry, or None if it is absent."""
-        return await self._pass(_classify(key), self._inner.read, key)
+        return await self._forward(_classify(key), self._inner.read, key)
 
     async def read_prefix(self, prefix: str) -> Result[Listing, StoreError]:
         """Return all entries under a prefix."""
-        return await self._pass(_classify(prefix), self._inner.read_prefix, prefix)
+        return await self._forward(_classify(prefix), self._inner.read_prefix, prefix)
 
     async def commit(self, transaction: Transaction) -> Result[Committed, StoreError]:
         """Apply one transaction."""
         mechanism = _classify_write(transaction)
-        return await self._pass(mechanism, self._inner.commit, transaction)
+        return await self._forward(mechanism, self._inner.commit, transaction)
 
     async def commit_each(
         self, transactions: Sequence[Transaction]
     ) -> Result[list[Committed], StoreError]:
         """Decide many transactions on their own in one counted call."""
         mechanism = _classify_write(transactions[0])
-        return await self._pass(mechanism, self._inner.commit_each, transactions)
+        return await self._forward(mechanism, self._inner.commit_each, transactions)
 
     async def grant_lease(self, ttl: float) -> Result[LeaseId, StoreError]:
         """Create a lease."""
-        return await self._pass(Mechanism.LEASES, self._inner.grant_lease, ttl)
+        return await self._forward(Mechanism.LEASES, self._inner.grant_lease, ttl)
 
     async def keep_lease(self, lease_id: LeaseId) -> Result[float, StoreError]:
         """Renew a lease."""
-        return await self._pass(Mechanism.LEASES, self._inner.keep_lease, lease_id)
+        return await self._forward(Mechanism.LEASES, self._inner.keep_lease, lease_id)
 
     async def revoke_lease(self, lease_id: LeaseId) -> Result[None, StoreError]:
         """End a lease; never held back, since others wait for its keys."""
         self._count(Mechanism.LEASES)
-        return self._note(await self._inner.revoke_lease(lease_id))
+        return self._record_outcome(await self._inner.revoke_lease(lease_id))
 
     async def watch(self, prefix: str, start: Revision) -> AsyncIterator[WatchBatch]:
         """Yield changes; the open watch counts as one call, as each renewal."""
@@ -192,20 +192,20 @@
         generator = cast("AsyncGenerator[WatchBatch, None]", batches)
         async with contextlib.aclosing(generator):
             async for batch in generator:
-                self._note_answer()
+                self._record_answer()
                 yield batch
 
-    async def _pass(
+    async def _forward(
         self,
         mechanism: Mechanism,
         call: Callable[[Argument], Awaitable[Result[Value, StoreError]]],
         argument: Argument,
     ) -> Result[Value, StoreError]:
-        mechanism = self._billed_to or mechanism
+        mechanism = self._fixed_mechanism or mechanism
         if not self._may_call(mechanism):
             detail = f"{CALLS_PER_SECOND[mechanism]:g} calls/s for {mechanism.value}"
             return Failure(StoreOverBudget(detail))
-        return self._note(await call(argument))
+        return self._record_outcome(await call(argument))
 
     def _may_call(self, mechanism: Mechanism) -> bool:
         if self._buckets_by_mechanism[mechanism].take(self._clock.now()):
@@ -219,15 +219,17 @@
         calls = self.calls.calls_by_mechanism
         calls[mechanism] = calls.get(mechanism, 0) + 1
 
-    def _note(self, answer: Result[Value, StoreError]) -> Result[Value, StoreError]:
+    def _record_outcome(
+        self, answer: Result[Value, StoreError]
+    ) -> Result[Value, StoreError]:
         if isinstance(answer, Failure) and not isinstance(answer.failure(), LeaseGone):
             if self.calls.failing_since is None:
                 self.calls.failing_since = self._clock.now()
             return answer
-        self._note_answer()
+        self._record_answer()
         return answer
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         self.calls.answered_at = self._clock.now()
         self.calls.failing_since = None
 
--- a/packages/adapters/src/medlarspring_adapters/upstream_http.py
+++ b/packages/adapters/src/medlarspring_adapters/upstream_http.py
@@ -39,7 +39,7 @@
 CONNECT_TIMEOUT = aiohttp.ClientTimeout(total=None, sock_connect=1.0)
 """The library's own timers are left out but for connecting: a second set of
 timers for each request costs more than the whole admission."""
-SUSPICION_SECONDS = 5.0
+STALE_CONNECTION_SECONDS = 5.0
 """After its connections were closed, a VM answers for its silence so long."""
 STATE_HEADER = "Upstream-State"
 """Set by an upstream VM that refuses work, with why: ``full`` or ``leaving``."""
@@ -49,16 +49,16 @@
 NO_BODY_STATUSES = frozenset({204, 304})
 
 
-class Reached(Enum):
+class DeliveryStatus(Enum):
     """What is known of a request that failed."""
 
-    NO = "no"
+    NOT_SENT = "no"
     """No byte left this process: it was certainly not run."""
-    PERHAPS = "perhaps"
+    POSSIBLY_SENT = "perhaps"
 
 
 @dataclass(slots=True)
-class Sending:
+class OutgoingRequest:
     """One request as it goes to one upstream VM."""
 
     address: str
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        reached: Reached,
+        reached: DeliveryStatus,
         detail: str,
         *,
         timed_out: bool,
@@ -113,7 +113,7 @@
         await self._fresh.close()
 
     async def send(
-        self, sending: Sending, *, fresh: bool
+        self, sending: OutgoingRequest, *, fresh: bool
     ) -> Result[aiohttp.ClientResponse, UpstreamFault]:
         """Send a request and return once the answer's headers are in."""
         session = self._fresh if fresh else self._pooled
@@ -129,12 +129,14 @@
                     timeout=CONNECT_TIMEOUT,
                 )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            return Failure(UpstreamFault(Reached.NO, str(error), timed_out=False))
+            return Failure(
+                UpstreamFault(DeliveryStatus.NOT_SENT, str(error), timed_out=False)
+            )
         except TimeoutError:
-            old = not fresh and self._suspect_connections(sending.address, began)
+            old = not fresh and self._check_stale_connections(sending.address, began)
             return Failure(
                 UpstreamFault(
-                    Reached.PERHAPS,
+                    DeliveryStatus.POSSIBLY_SENT,
                     "no answer in time",
                     timed_out=True,
                     old_connection=old,
@@ -144,7 +146,7 @@
             return Failure(create_fault(error))
         return _check_answer(response, sending)
 
-    def _suspect_connections(self, address: str, began: Seconds) -> bool:
+    def _check_stale_connections(self, address: str, began: Seconds) -> bool:
         """Whether a request that got no answer may have met a silent connection.
 
         The idle connections of the upstream VM are closed then. Requests sent
@@ -153,7 +155,7 @@
         dropped_at = self._dropped_at_by_address.get(address, float("-inf"))
         if began <= dropped_at:
             return True
-        if began - dropped_at < SUSPICION_SECONDS:
+        if began - dropped_at < STALE_CONNECTION_SECONDS:
             return False
         self.connector.drop_idle(address)
         self._dropped_at_by_address[address] = self._clock.now()
@@ -182,11 +184,11 @@
     """Return the fault of a request that may have been run."""
     detail = f"{type(error).__name__}: {error}"
     timed_out = isinstance(error, TimeoutError)
-    return UpstreamFault(Reached.PERHAPS, detail, timed_out=timed_out)
+    return UpstreamFault(DeliveryStatus.POSSIBLY_SENT, detail, timed_out=timed_out)
 
 
 def _check_answer(
-    response: aiohttp.ClientResponse, sending: Sending
+    response: aiohttp.ClientResponse, sending: OutgoingRequest
 ) -> Result[aiohttp.ClientResponse, UpstreamFault]:
     """Refuse answers that are not certainly the whole answer to this request."""
     answered_id = response.headers.get(ID_HEADER)
@@ -196,7 +198,9 @@
         response.close()
         return Failure(
             UpstreamFault(
-                Reached.PERHAPS, "it answered another request", timed_out=False
+                DeliveryStatus.POSSIBLY_SENT,
+                "it answered another request",
+                timed_out=False,
             )
         )
     if _has_no_end(response, sending.method):
@@ -205,7 +209,9 @@
         response.close()
         return Failure(
             UpstreamFault(
-                Reached.PERHAPS, "its answer states no length", timed_out=False
+                DeliveryStatus.POSSIBLY_SENT,
+                "its answer states no length",
+                timed_out=False,
             )
         )
     return Success(response)
@@ -244,8 +250,8 @@
 __all__ = [
     "HOP_HEADERS",
     "STATE_HEADER",
-    "Reached",
-    "Sending",
+    "DeliveryStatus",
+    "OutgoingRequest",
     "UpstreamClient",
     "UpstreamFault",
     "copy_answer_headers",
--- a/packages/adapters/src/medlarspring_adapters/vm_control.py
+++ b/packages/adapters/src/medlarspring_adapters/vm_control.py
@@ -87,7 +87,7 @@
     boot: int
     revision: Revision
 
-    def to_sighting(self) -> VMObservation:
+    def to_observation(self) -> VMObservation:
         return VMObservation(
             vm_id=self.id,
             pool_id=self.pool,
@@ -129,7 +129,7 @@
             documents = msgspec.json.decode(body, type=list[_VMDocument])
         except msgspec.DecodeError as error:
             return Failure(VMControlUnreachable(f"malformed answer: {error}"))
-        return Success([document.to_sighting() for document in documents])
+        return Success([document.to_observation() for document in documents])
 
     async def act(
         self,
@@ -151,10 +151,10 @@
             if status != 200:
                 refusal = msgspec.json.decode(body, type=_Refusal)
                 return Failure(VMActionRefused(vm_id, refusal.reason))
-            seen = msgspec.json.decode(body, type=_VMDocument)
+            observed = msgspec.json.decode(body, type=_VMDocument)
         except msgspec.DecodeError as error:
             return Failure(VMControlUnreachable(f"malformed answer: {error}"))
-        return Success(seen.to_sighting())
+        return Success(observed.to_observation())
 
     async def _call(
         self,
--- a/packages/adapters/src/medlarspring_adapters/vm_lifecycle.py
+++ b/packages/adapters/src/medlarspring_adapters/vm_lifecycle.py
@@ -27,7 +27,7 @@
     OVER_RATE = "over-rate"
 
 
-class VMControlSilent(MedlarspringError):
+class VMControlUnresponsive(MedlarspringError):
     """The platform's VM control gave no usable answer."""
 
     code = "vm-control-silent"
@@ -57,21 +57,21 @@
 class VMLifecycle(Protocol):
     """Lists, moves and maintains VMs; each call is counted."""
 
-    async def list_vms(self) -> Result[tuple[VMEntry, ...], VMControlSilent]:
+    async def list_vms(self) -> Result[tuple[VMEntry, ...], VMControlUnresponsive]:
         """Return all VMs."""
         ...
 
     async def move(
         self, vm_id: VMId, pool_id: PoolId, authority: Authority
-    ) -> Result[VMRefusal | None, VMControlSilent]:
+    ) -> Result[VMRefusal | None, VMControlUnresponsive]:
         """Move a VM to a pool; all that runs on it ends at once."""
         ...
 
     async def maintain(
         self, vm_id: VMId, wave_id: WaveId, authority: Authority
-    ) -> Result[VMRefusal | None, VMControlSilent]:
+    ) -> Result[VMRefusal | None, VMControlUnresponsive]:
         """Take a VM down for its maintenance; all that runs on it ends at once."""
         ...
 
 
-__all__ = ["Authority", "VMControlSilent", "VMLifecycle", "VMRefusal"]
+__all__ = ["Authority", "VMControlUnresponsive", "VMLifecycle", "VMRefusal"]
--- a/packages/adapters/src/medlarspring_adapters/worker_orders.py
+++ b/packages/adapters/src/medlarspring_adapters/worker_orders.py
@@ -32,14 +32,14 @@
     """The order arrived after its own time limit."""
     ROOM = "room"
     TICKET = "ticket"
-    OTHER_LIFE = "other-life"
+    OTHER_WORKER = "other-life"
     """Another worker answers at the address."""
     UNHEALTHY = "unhealthy"
     """The worker turns work away for now."""
     INVALID = "invalid"
 
 
-class WorkerSilent(MedlarspringError):
+class WorkerUnresponsive(MedlarspringError):
     """The worker gave no usable answer."""
 
     code = "worker-silent"
@@ -148,25 +148,25 @@
 
     async def start(
         self, worker: WorkerAddress, order: StartOrder, timeout_seconds: Seconds
-    ) -> Result[OrderAnswer, WorkerSilent]:
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
         """Start a run."""
         ...
 
     async def stop(
         self, worker: WorkerAddress, order: StopOrder, timeout_seconds: Seconds
-    ) -> Result[OrderAnswer, WorkerSilent]:
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
         """Stop a run."""
         ...
 
     async def pace(
         self, worker: WorkerAddress, order: PaceOrder, timeout_seconds: Seconds
-    ) -> Result[OrderAnswer, WorkerSilent]:
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
         """Slow a run down, or speed it up again."""
         ...
 
     async def hold(
         self, worker: WorkerAddress, order: HoldOrder, timeout_seconds: Seconds
-    ) -> Result[HoldAnswer, WorkerSilent]:
+    ) -> Result[HoldAnswer, WorkerUnresponsive]:
         """Extend the lease and ask for the state."""
         ...
 
@@ -185,5 +185,5 @@
     "StopOrder",
     "WorkerAddress",
     "WorkerOrders",
-    "WorkerSilent",
+    "WorkerUnresponsive",
 ]
--- a/packages/adapters/tests/test_log_output.py
+++ b/packages/adapters/tests/test_log_output.py
@@ -9,7 +9,7 @@
 
 from medlarspring_adapters.clock import ManualClock
 from medlarspring_adapters.events import Event, create_bounded_log
-from medlarspring_adapters.library_log import take_library_lines
+from medlarspring_adapters.library_log import redirect_library_logs
 from medlarspring_adapters.log_output import (
     BURST_LINES,
     LINES_PER_SECOND,
@@ -43,8 +43,8 @@
     written = [limiter.may_write(9030) for _ in range(int(BURST_LINES) + 50)]
     assert written.count(True) == BURST_LINES
     assert limiter.may_write(9031)
-    assert limiter.take_left_out() == {9030: 50}
-    assert limiter.take_left_out() == {}
+    assert limiter.pop_dropped_counts() == {9030: 50}
+    assert limiter.pop_dropped_counts() == {}
     clock.advance(1.0)
     refilled = [limiter.may_write(9030) for _ in range(int(2 * LINES_PER_SECOND))]
     assert refilled.count(True) == LINES_PER_SECOND
@@ -61,7 +61,7 @@
     log = create_bounded_log(EntryVMId("entry-0"), clock, writer)
     began_at = time.perf_counter()
     lines = 0
-    while not log.take_left_out().get(str(Event.RUN_STARTED.number)):
+    while not log.pop_dropped_counts().get(str(Event.RUN_STARTED.number)):
         clock.advance(1.0)
         log.info(Event.RUN_STARTED, task="00aa.0.0.0", run=1, worker="i-1")
         lines += 1
@@ -77,7 +77,7 @@
     log = create_bounded_log(EntryVMId("entry-0"), ManualClock(), writer)
     former = logging.getLogger().handlers
     try:
-        take_library_lines(log)
+        redirect_library_logs(log)
         logging.getLogger("aiohttp.server").error("cannot write", exc_info=OSError("x"))
         logging.getLogger("asyncio").info("left out")
     finally:
--- a/packages/bench/src/medlarspring_bench/fleet_checker.py
+++ b/packages/bench/src/medlarspring_bench/fleet_checker.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from medlarspring_adapters.fleet_records import take_entry
+from medlarspring_adapters.fleet_records import apply_entry
 from medlarspring_adapters.store import Entry
 from medlarspring_bench.vm_control_state import Condition
 from medlarspring_systems.vm_actions import Action
@@ -96,7 +96,7 @@
             else:
                 revision = Revision(change.kv.mod_revision)
                 entry = Entry(key, change.kv.value, revision, revision)
-                take_entry(self.truth, entry)
+                apply_entry(self.truth, entry)
 
     def _check_change(self, old: VMRecord, record: VMRecord) -> None:
         if old.pool_id != record.pool_id and (
--- a/packages/bench/src/medlarspring_bench/fleet_world.py
+++ b/packages/bench/src/medlarspring_bench/fleet_world.py
@@ -16,7 +16,7 @@
 from medlarspring_adapters.clock import ManualClock
 from medlarspring_adapters.decisions import DecisionLog
 from medlarspring_adapters.events import create_event_log
-from medlarspring_adapters.fleet_records import encode_record, take_entry
+from medlarspring_adapters.fleet_records import apply_entry, encode_record
 from medlarspring_adapters.store import Entry, Expect
 from medlarspring_bench.fleet_stepping import SteppedStore, SteppedVMControl
 from medlarspring_bench.key_value_ops import PutOp, PutReply
@@ -131,7 +131,7 @@
                     self.tables.remove(key, revision)
                 else:
                     entry = Entry(key, change.kv.value, revision, revision)
-                    take_entry(self.tables, entry)
+                    apply_entry(self.tables, entry)
 
     def kill(self) -> None:
         """End in the middle of whatever is under way."""
--- a/packages/bench/src/medlarspring_bench/platform_world/calls.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/calls.py
@@ -10,7 +10,7 @@
 
 from medlarspring_adapters.vm_lifecycle import (
     Authority,
-    VMControlSilent,
+    VMControlUnresponsive,
     VMRefusal,
 )
 from medlarspring_adapters.worker_orders import (
@@ -21,7 +21,7 @@
     StartOrder,
     StopOrder,
     WorkerAddress,
-    WorkerSilent,
+    WorkerUnresponsive,
 )
 from medlarspring_bench.platform_world.virtual_time import spawn_apart
 
@@ -66,7 +66,7 @@
 
     async def start(
         self, worker: WorkerAddress, order: StartOrder, timeout_seconds: Seconds
-    ) -> Result[OrderAnswer, WorkerSilent]:
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
         """Start a run."""
         return await self._order(
             worker, lambda model, now: model.start(order, now), timeout_seconds
@@ -74,7 +74,7 @@
 
     async def stop(
         self, worker: WorkerAddress, order: StopOrder, timeout_seconds: Seconds
-    ) -> Result[OrderAnswer, WorkerSilent]:
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
         """Stop a run."""
         return await self._order(
             worker, lambda model, now: model.stop(order, now), timeout_seconds
@@ -82,7 +82,7 @@
 
     async def pace(
         self, worker: WorkerAddress, order: PaceOrder, timeout_seconds: Seconds
-    ) -> Result[OrderAnswer, WorkerSilent]:
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
         """Accept a change of pace; the emulator does not model it."""
         return await self._order(
             worker, lambda model, now: OrderAnswer(model.clock_ms(now)), timeout_seconds
@@ -90,7 +90,7 @@
 
     async def hold(
         self, worker: WorkerAddress, order: HoldOrder, timeout_seconds: Seconds
-    ) -> Result[HoldAnswer, WorkerSilent]:
+    ) -> Result[HoldAnswer, WorkerUnresponsive]:
         """Extend the lease, and wait for an end.
 
         A connection ends with the life that it leads to. What was sent over it does
@@ -105,7 +105,7 @@
         if model is None:
             return await self._be_silent(worker, timeout_seconds)
         if connected is not None and connected is not model:
-            reset = WorkerSilent(worker.id, "connection reset", may_follow=True)
+            reset = WorkerUnresponsive(worker.id, "connection reset", may_follow=True)
             return Failure(reset)
         answer = model.hold(order, self._clock.now())
         until = self._clock.now() + order.wait_ms / 1_000.0
@@ -131,7 +131,7 @@
         worker: WorkerAddress,
         apply: Callable[[WorkerModel, Seconds], OrderAnswer],
         timeout_seconds: Seconds,
-    ) -> Result[OrderAnswer, WorkerSilent]:
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
         await self._pass_out()
         await asyncio.sleep(LINK_SECONDS)
         model = self._find(worker)
@@ -160,10 +160,12 @@
 
     async def _be_silent(
         self, worker: WorkerAddress, timeout_seconds: Seconds
-    ) -> Result[Answer, WorkerSilent]:
+    ) -> Result[Answer, WorkerUnresponsive]:
         await asyncio.sleep(timeout_seconds)
         await self._pass_out()
-        return Failure(WorkerSilent(worker.id, "no answer in time", may_follow=True))
+        return Failure(
+            WorkerUnresponsive(worker.id, "no answer in time", may_follow=True)
+        )
 
     def _find(self, worker: WorkerAddress) -> WorkerModel | None:
         model = self._fleet.workers_by_id.get(worker.id)
@@ -196,28 +198,28 @@
         self._node_id = node_id
         self._incarnation = incarnation
 
-    async def list_vms(self) -> Result[tuple[VMEntry, ...], VMControlSilent]:
+    async def list_vms(self) -> Result[tuple[VMEntry, ...], VMControlUnresponsive]:
         """Return all VMs."""
         return await self._call(self._fleet.list_vms)
 
     async def move(
         self, vm_id: VMId, pool_id: PoolId, authority: Authority
-    ) -> Result[VMRefusal | None, VMControlSilent]:
+    ) -> Result[VMRefusal | None, VMControlUnresponsive]:
         """Move a VM to a pool."""
         return await self._call(lambda: self._fleet.move(vm_id, pool_id, authority))
 
     async def maintain(
         self, vm_id: VMId, wave_id: WaveId, authority: Authority
-    ) -> Result[VMRefusal | None, VMControlSilent]:
+    ) -> Result[VMRefusal | None, VMControlUnresponsive]:
         """Take a VM down for its maintenance."""
         return await self._call(lambda: self._fleet.maintain(vm_id, wave_id, authority))
 
-    async def _call(self, apply: Callable[[], T]) -> Result[T, VMControlSilent]:
+    async def _call(self, apply: Callable[[], T]) -> Result[T, VMControlUnresponsive]:
         await self._pass_out()
         await asyncio.sleep(VM_CONTROL_SECONDS)
         if self._weather.is_cut(self._node_id, VM_CONTROL):
             await asyncio.sleep(1.0)
-            return Failure(VMControlSilent("no answer in time", may_follow=True))
+            return Failure(VMControlUnresponsive("no answer in time", may_follow=True))
         answer = apply()
         await self._pass_out()
         return Success(answer)
--- a/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
@@ -13,8 +13,8 @@
 from medlarspring_adapters.events import Event
 from medlarspring_adapters.upstream_http import (
     STATE_HEADER,
-    Reached,
-    Sending,
+    DeliveryStatus,
+    OutgoingRequest,
     UpstreamClient,
     UpstreamFault,
 )
@@ -143,7 +143,7 @@
         exchange.headers["Request-Timeout"] = f"{remaining:.3f}"
         try:
             sent = await self._client.send(
-                Sending(
+                OutgoingRequest(
                     address=upstream.address,
                     method=row.method,
                     target=row.target,
@@ -222,7 +222,7 @@
         if exchange.request is None:
             answer.close()
             fault = UpstreamFault(
-                Reached.PERHAPS, "its answer is too large", timed_out=False
+                DeliveryStatus.POSSIBLY_SENT, "its answer is too large", timed_out=False
             )
             return Failure(self._judge_fault(turn, fault))
         response, whole = await stream_answer(
@@ -255,7 +255,7 @@
             upstream_health.note_no_verdict(turn.upstream)
         else:
             self._judge_answer(turn, ok=False, latency=0.0)
-        not_run = fault.reached is Reached.NO
+        not_run = fault.reached is DeliveryStatus.NOT_SENT
         kind = RefusalKind.TIMED_OUT if fault.timed_out else RefusalKind.UPSTREAM_FAILED
         outcome = Outcome.NOT_RUN if not_run else Outcome.UNKNOWN
         refusal = Refusal(kind, outcome, fault.message(), retry_after=1.0)
--- a/packages/daemon/src/medlarspring_daemon/fleet/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/controller.py
@@ -10,9 +10,9 @@
 from medlarspring_adapters.events import Event
 from medlarspring_adapters.fleet_records import (
     TYPES_BY_PREFIX,
+    apply_entry,
+    apply_listing,
     encode_record,
-    take_entry,
-    take_listing,
 )
 from medlarspring_adapters.store import (
     Delete,
@@ -94,7 +94,7 @@
             if not isinstance(listed, Success):
                 self.is_store_lost = True
                 return False
-            take_listing(self.tables, prefix, listed.unwrap())
+            apply_listing(self.tables, prefix, listed.unwrap())
         self.is_store_lost = False
         return True
 
@@ -239,7 +239,7 @@
             if entry is None:
                 self.tables.remove(key)
             else:
-                take_entry(self.tables, entry)
+                apply_entry(self.tables, entry)
 
     def _explain(self, draft: Draft) -> None:
         for note in draft.planned_decisions:
--- a/packages/daemon/src/medlarspring_daemon/fleet/desk.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/desk.py
@@ -10,8 +10,8 @@
 
 from medlarspring_adapters.fleet_records import (
     TYPES_BY_PREFIX,
+    apply_listing,
     encode_record,
-    take_listing,
 )
 from medlarspring_adapters.store import Expect, Put, Transaction
 from medlarspring_systems.wave_control import (
@@ -84,7 +84,7 @@
             listed = await self._store.read_prefix(prefix)
             if not is_successful(listed):
                 return Failure(listed.failure())
-            take_listing(tables, prefix, listed.unwrap())
+            apply_listing(tables, prefix, listed.unwrap())
         return Success(tables)
 
     async def start_wave(
--- a/packages/daemon/src/medlarspring_daemon/fleet/feed.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/feed.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from medlarspring_adapters.fleet_records import take_entry, take_listing
+from medlarspring_adapters.fleet_records import apply_entry, apply_listing
 from medlarspring_adapters.prefix_follower import PrefixFollower
 from medlarspring_tables.fleet_tables import FLEET_PREFIX
 
@@ -29,16 +29,16 @@
         self._tables = tables
         self._prefix = prefix
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take all records."""
-        take_listing(self._tables, self._prefix, listing)
+        apply_listing(self._tables, self._prefix, listing)
 
-    def take_batch(self, batch: WatchBatch) -> None:
+    def apply_batch(self, batch: WatchBatch) -> None:
         """Take changes."""
         for key in batch.deleted:
             self._tables.remove(key, batch.revision)
         for entry in batch.changed:
-            take_entry(self._tables, entry)
+            apply_entry(self._tables, entry)
 
 
 class FleetFeed:
--- a/packages/daemon/src/medlarspring_daemon/fleet/service.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/service.py
@@ -32,7 +32,7 @@
         self._node = node
         self._vm_control = vm_control
         self._tasks = Tasks(node.log)
-        self._store = node.store.bill_to(Mechanism.CONTROL_WORK)
+        self._store = node.store.with_mechanism(Mechanism.CONTROL_WORK)
         desk = FleetDesk(self._store, node.clock, node.id)
         node.operator_routes.extend(FleetRoutes(node, desk, vm_control).routes())
 
--- a/packages/daemon/src/medlarspring_daemon/jobs/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/controller.py
@@ -95,11 +95,11 @@
         listing = await self._jobs.read_pool(self.pool_id)
         if not is_successful(listing):
             return False
-        self.take_listing(listing.unwrap())
+        self.apply_listing(listing.unwrap())
         self._must_load = False
         return True
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take all records; a known job that is not among them is gone."""
         seen = {
             self.take_record(entry.value, entry.mod_revision)
@@ -110,7 +110,7 @@
             if revisions.get(job_id, Revision(0)) <= listing.revision:
                 forget_job(self.tables, job_id)
 
-    def take_batch(self, batch: WatchBatch) -> None:
+    def apply_batch(self, batch: WatchBatch) -> None:
         """Take changes that a watch brought."""
         for entry in batch.changed:
             self.take_record(entry.value, entry.mod_revision)
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_answers.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_answers.py
@@ -78,7 +78,7 @@
             decisions=[msgspec.json.encode(each) for each in found]
         )
 
-    def note_wrong_token(self) -> None:
+    def record_wrong_token(self) -> None:
         """Log the refusal, seldom, since the caller will try again."""
         now = self._node.clock.now()
         if now - self._wrong_token_logged_at < WRONG_TOKEN_LOG_SECONDS:
--- a/packages/daemon/src/medlarspring_daemon/operators/audit_routes.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/audit_routes.py
@@ -32,7 +32,7 @@
 
     def __init__(self, node: Node) -> None:
         self._node = node
-        self._store = node.store.bill_to(Mechanism.AUDIT)
+        self._store = node.store.with_mechanism(Mechanism.AUDIT)
 
     def routes(self) -> list[web.RouteDef]:
         """Return the routes of the audit trail."""
--- a/packages/daemon/src/medlarspring_daemon/operators/audit_trimmer.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/audit_trimmer.py
@@ -35,7 +35,7 @@
 
     def __init__(self, node: Node) -> None:
         self._node = node
-        self._store = node.store.bill_to(Mechanism.AUDIT)
+        self._store = node.store.with_mechanism(Mechanism.AUDIT)
         self._tasks = Tasks(node.log)
 
     async def start(self) -> None:
--- a/packages/daemon/src/medlarspring_daemon/operators/service.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/service.py
@@ -63,7 +63,7 @@
         self._sweep: asyncio.Task[None] | None = None
         self._status = StatusRoutes(node)
         self._editor = TableEditor(
-            node.store.bill_to(Mechanism.EDITS),
+            node.store.with_mechanism(Mechanism.EDITS),
             node.clock,
             node.rng,
             table_in_force=lambda: node.config,
--- a/packages/daemon/src/medlarspring_daemon/operators/status.py
+++ b/packages/daemon/src/medlarspring_daemon/operators/status.py
@@ -77,7 +77,7 @@
         if failing >= SLOW_STORE_SECONDS:
             return Finding(
                 area="store",
-                health=Health.CUT_OFF,
+                health=Health.PARTITIONED,
                 detail=f"no answer for {failing:.0f} s; edits and control work wait",
                 since=self._to_wall(calls.failing_since),
             )
@@ -93,7 +93,7 @@
         since = self._to_wall(self._in_force_since)
         if table is None:
             detail = "none in force; callers are refused as not run"
-            return Finding(area="table", health=Health.CUT_OFF, detail=detail)
+            return Finding(area="table", health=Health.PARTITIONED, detail=detail)
         newest = max(
             (peer.table_revision for peer in self._node.peers.heard_by_id.values()),
             default=table.revision,
@@ -126,7 +126,9 @@
         area = f"zone {zone}"
         if len(lost) == len(peers) and zone != self._node.settings.entry_vm.zone:
             detail = f"no entry VM of the zone is heard ({names})"
-            return Finding(area=area, health=Health.CUT_OFF, detail=detail, since=since)
+            return Finding(
+                area=area, health=Health.PARTITIONED, detail=detail, since=since
+            )
         detail = f"{len(lost)} of {len(peers)} other entry VMs not heard ({names})"
         return Finding(area=area, health=Health.DEGRADED, detail=detail, since=since)
 
@@ -134,7 +136,7 @@
         vm_list = self._node.vm_list
         if vm_list is None:
             detail = "none read yet; no upstream VM is known"
-            return Finding(area="vm list", health=Health.CUT_OFF, detail=detail)
+            return Finding(area="vm list", health=Health.PARTITIONED, detail=detail)
         age = self._node.clock.now() - vm_list.read_at
         vms = len(vm_list.vms_by_id)
         detail = f"{vms} upstream VMs, read {age:.0f} s ago"
--- a/packages/daemon/src/medlarspring_daemon/scheduling/election.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/election.py
@@ -154,13 +154,13 @@
         if self.term is not None:
             await self._release(self.term, graceful=True)
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Apply a listing of the key."""
         key = self._keys.controller
         matching = [entry for entry in listing.entries if entry.key == key]
         self._record_holder(matching[0] if matching else None, listing.revision)
 
-    def take_batch(self, batch: WatchBatch) -> None:
+    def apply_batch(self, batch: WatchBatch) -> None:
         """Apply changes of the key."""
         if self._keys.controller in batch.deleted:
             self._record_holder(None, batch.revision)
--- a/packages/daemon/src/medlarspring_daemon/scheduling/job_feed.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/job_feed.py
@@ -55,7 +55,7 @@
         """Progress recorded by earlier controllers, kept until its job is loaded."""
         self.loaded = asyncio.Event()
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Apply a listing of the whole inbox.
 
         Jobs come first, because a cancellation needs its job in the tables.
@@ -64,7 +64,7 @@
         self._progress_by_id.clear()
         self.loaded.set()
 
-    def take_batch(self, batch: WatchBatch) -> None:
+    def apply_batch(self, batch: WatchBatch) -> None:
         """Apply new entries of the inbox."""
         self._process_entries(batch.changed)
 
--- a/packages/daemon/src/medlarspring_daemon/scheduling/operator_records.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/operator_records.py
@@ -55,7 +55,7 @@
         """Return the queue that a host and path are routed to, or None."""
         return match_route(self._routes, host, path)
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Replace the known records by a full listing."""
         seen = {entry.key for entry in listing.entries}
         for key in list(self.waves_by_key):
@@ -65,7 +65,7 @@
             self._apply_entry(entry)
         self._notify_listeners()
 
-    def take_batch(self, batch: WatchBatch) -> None:
+    def apply_batch(self, batch: WatchBatch) -> None:
         """Apply a batch of changed and deleted records."""
         for key in batch.deleted:
             self.waves_by_key.pop(key, None)
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
@@ -64,7 +64,7 @@
         for entry in list(self._entries_without_pool.values()):
             self._apply_entry(entry)
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Apply a full listing of the registry; workers not in it become unlisted."""
         prefix = self._node.codec.worker_prefix
         listed = {entry.key.removeprefix(prefix) for entry in listing.entries}
@@ -76,7 +76,7 @@
                 self._unlist_worker(worker.id)
         self.loaded.set()
 
-    def take_batch(self, batch: WatchBatch) -> None:
+    def apply_batch(self, batch: WatchBatch) -> None:
         """Apply a batch of changed and deleted entries."""
         prefix = self._node.codec.worker_prefix
         for key in batch.deleted:
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
@@ -236,7 +236,7 @@
         log_start_refused(self._node, run, answer.refusal)
         if answer.refusal in (Refusal.UNHEALTHY, Refusal.ROOM):
             record_refusal(self._worker, now)
-        elif answer.refusal is Refusal.OTHER_LIFE:
+        elif answer.refusal is Refusal.OTHER_WORKER:
             self._owner.handle_unresponsive_worker(self._worker)
         elif answer.refusal is Refusal.TICKET:
             run.task.step.tickets.pop(self._worker.id, None)
@@ -268,7 +268,7 @@
         refusal = answer.unwrap().refusal
         if refusal is Refusal.FENCE:
             self._owner.handle_superseded()
-        elif refusal is Refusal.OTHER_LIFE:
+        elif refusal is Refusal.OTHER_WORKER:
             self._owner.handle_unresponsive_worker(self._worker)
         elif refusal is None:
             if run is not None and not run.stop_confirmed_at:
@@ -364,7 +364,7 @@
         if answer.refusal is Refusal.FENCE:
             self._owner.handle_superseded()
             return
-        if answer.refusal is Refusal.OTHER_LIFE:
+        if answer.refusal is Refusal.OTHER_WORKER:
             self._record_unanswered(now)
             return
         if answer.refusal is not None:
--- a/packages/platform/src/medlarspring_platform/advice.py
+++ b/packages/platform/src/medlarspring_platform/advice.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 from returns.result import Failure, Result, Success
 
-from medlarspring_adapters.adviser import Advice, AdviserSilent
+from medlarspring_adapters.adviser import Advice, AdviserUnresponsive
 from medlarspring_adapters.http_channel import HttpChannel, NotSent, Unanswered
 from medlarspring_platform import wire
 from medlarspring_tables.scheduling import WorkerId
@@ -47,7 +47,7 @@
 
     async def advise(
         self, step_id: str, worker_ids: Sequence[WorkerId]
-    ) -> Result[Advice, AdviserSilent]:
+    ) -> Result[Advice, AdviserUnresponsive]:
         """Return which of the workers may run the step."""
         question = WireQuestion(step_id, list(worker_ids))
         try:
@@ -55,10 +55,10 @@
                 "POST", wire.ADVISE_PATH, TIMEOUT_SECONDS, msgspec.json.encode(question)
             )
             if reply.status != HTTP_OK:
-                return Failure(AdviserSilent(f"HTTP status {reply.status}"))
+                return Failure(AdviserUnresponsive(f"HTTP status {reply.status}"))
             answer = msgspec.json.decode(reply.body, type=WireAdviceAnswer)
         except (NotSent, Unanswered, msgspec.MsgspecError) as error:
-            return Failure(AdviserSilent(str(error)))
+            return Failure(AdviserUnresponsive(str(error)))
         tickets = {WorkerId(worker): ticket for worker, ticket in answer.allowed}
         return Success(Advice(tickets, answer.valid_ms))
 
--- a/packages/platform/src/medlarspring_platform/front.py
+++ b/packages/platform/src/medlarspring_platform/jobs_frontend.py
@@ -26,12 +26,12 @@
     from medlarspring_daemon.scheduling.service import SchedulingService
     from medlarspring_systems.scheduling.routes import RouteMatch
 
-DEFAULT_PATIENCE_SECONDS = 3.0
+DEFAULT_TIMEOUT_SECONDS = 3.0
 """Taken for a customer that does not say how long it waits."""
-MAX_PATIENCE_SECONDS = 30.0
+MAX_TIMEOUT_SECONDS = 30.0
 JOB_ID = re.compile(r"[0-9a-f]{16}")
 
-_WORDS_BY_STATUS = {
+_STATE_NAMES_BY_STATUS = {
     JobStatus.QUEUED: "queued",
     JobStatus.ACTIVE: "active",
     JobStatus.COMPLETE: "complete",
@@ -106,7 +106,7 @@
 _job_decoder = msgspec.json.Decoder(WireJob)
 
 
-class JobsFront:
+class JobsFrontend:
     """Translates between HTTP and the product's intake of jobs."""
 
     def __init__(self, service: SchedulingService) -> None:
@@ -152,8 +152,8 @@
     async def _count(self, request: web.BaseRequest, match: RouteMatch) -> web.Response:
         if request.method != "GET":
             return _wrong_method("GET")
-        patience = _read_patience(request)
-        counted = await self._service.intake.count_waiting(match.queue.id, patience)
+        timeout = _read_timeout(request)
+        counted = await self._service.intake.count_waiting(match.queue.id, timeout)
         if not is_successful(counted):
             return _refuse(counted.failure())
         return _json(WirePending(counted.unwrap()))
@@ -177,29 +177,27 @@
         fault = check_job(spec)
         if fault is not None:
             return _refuse(fault)
-        patience = _read_patience(request)
-        accepted = await self._service.intake.submit(
-            match.queue, job_id, spec, patience
-        )
+        timeout = _read_timeout(request)
+        accepted = await self._service.intake.submit(match.queue, job_id, spec, timeout)
         if not is_successful(accepted):
             return _refuse(accepted.failure())
-        return _json(WireState(_WORDS_BY_STATUS[JobStatus.QUEUED]))
+        return _json(WireState(_STATE_NAMES_BY_STATUS[JobStatus.QUEUED]))
 
     async def _find_status(
         self, request: web.BaseRequest, job_id: JobId
     ) -> web.Response:
-        patience = _read_patience(request)
-        found = await self._service.intake.find_status(job_id, patience)
+        timeout = _read_timeout(request)
+        found = await self._service.intake.find_status(job_id, timeout)
         if not is_successful(found):
             return _refuse(found.failure())
-        return _json(WireState(_WORDS_BY_STATUS[found.unwrap()]))
+        return _json(WireState(_STATE_NAMES_BY_STATUS[found.unwrap()]))
 
     async def _cancel(self, request: web.BaseRequest, job_id: JobId) -> web.Response:
-        patience = _read_patience(request)
-        cancelled = await self._service.intake.cancel(job_id, patience)
+        timeout = _read_timeout(request)
+        cancelled = await self._service.intake.cancel(job_id, timeout)
         if not is_successful(cancelled):
             return _refuse(cancelled.failure())
-        return _json(WireState(_WORDS_BY_STATUS[JobStatus.CANCELLED]))
+        return _json(WireState(_STATE_NAMES_BY_STATUS[JobStatus.CANCELLED]))
 
     async def handle_readiness(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer the balancer's probe."""
@@ -210,14 +208,14 @@
         return web.Response(status=status)
 
 
-def _read_patience(request: web.BaseRequest) -> float:
+def _read_timeout(request: web.BaseRequest) -> float:
     """Return how long the customer waits, in seconds."""
     text = request.headers.get(wire.DEADLINE_HEADER, "")
     try:
         seconds = float(text) / 1_000.0
     except ValueError:
-        return DEFAULT_PATIENCE_SECONDS
-    return min(max(seconds, 0.0), MAX_PATIENCE_SECONDS)
+        return DEFAULT_TIMEOUT_SECONDS
+    return min(max(seconds, 0.0), MAX_TIMEOUT_SECONDS)
 
 
 async def _read_body(request: web.BaseRequest, limit: int) -> bytes | None:
@@ -295,4 +293,4 @@
     )
 
 
-__all__ = ["JobsFront"]
+__all__ = ["JobsFrontend"]
--- a/packages/platform/src/medlarspring_platform/launcher.py
+++ b/packages/platform/src/medlarspring_platform/launcher.py
@@ -18,13 +18,13 @@
 
 from medlarspring_adapters.clock import SuspendAwareClock
 from medlarspring_adapters.events import Event, create_bounded_log
-from medlarspring_adapters.library_log import take_library_lines
+from medlarspring_adapters.library_log import redirect_library_logs
 from medlarspring_adapters.prometheus_metrics import PrometheusMetrics
 from medlarspring_daemon.scheduling.context import SchedulingNode
 from medlarspring_daemon.scheduling.service import create_scheduling_service
 from medlarspring_platform import wire
 from medlarspring_platform.advice import PlatformAdviser
-from medlarspring_platform.front import JobsFront
+from medlarspring_platform.jobs_frontend import JobsFrontend
 from medlarspring_platform.machines import PlatformMachines
 from medlarspring_platform.operator_records import PlatformCodec
 from medlarspring_platform.settings import read_settings
@@ -66,17 +66,17 @@
 
     async def start(self) -> None:
         """Open the ports and join the others."""
-        take_library_lines(self._log)
+        redirect_library_logs(self._log)
         self._node = self._create_node()
         self._service: SchedulingService = create_scheduling_service(self._node)
-        self._front = JobsFront(self._service)
+        self._frontend = JobsFrontend(self._service)
         readiness = await self._serve(
-            self._front.handle_readiness, self._settings.readiness
+            self._frontend.handle_readiness, self._settings.readiness
         )
-        caller = await self._serve(self._front.handle, self._settings.frontend)
+        caller = await self._serve(self._frontend.handle, self._settings.frontend)
         await self._serve_metrics()
         await self._service.start()
-        self._reports = asyncio.create_task(self._report_left_out())
+        self._reports = asyncio.create_task(self._report_dropped_lines())
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         self._log.info(Event.LISTENING, caller=caller, readiness=readiness)
@@ -85,11 +85,11 @@
         """Hand over, serve until the balancer has noticed, then finish."""
         self._log.info(Event.STOPPING)
         self._node.stopping = True
-        self._front.closing = True
+        self._frontend.closing = True
         began_at = self._clock.now()
         await self._service.stop()
-        left = DRAIN_SECONDS - (self._clock.now() - began_at)
-        await asyncio.sleep(max(left, 0.0))
+        remaining = DRAIN_SECONDS - (self._clock.now() - began_at)
+        await asyncio.sleep(max(remaining, 0.0))
         for runner in reversed(self._runners):
             await runner.cleanup()
         await self._close_clients()
@@ -112,12 +112,12 @@
             return web.Response(status=HTTPStatus.NOT_FOUND)
         return web.Response(body=self._metrics.render(), content_type="text/plain")
 
-    async def _report_left_out(self) -> None:
+    async def _report_dropped_lines(self) -> None:
         while True:
             await asyncio.sleep(REPORT_SECONDS)
-            left_out = self._log.take_left_out()
-            if left_out:
-                self._log.warning(Event.LINES_LEFT_OUT, lines_by_event=left_out)
+            dropped_by_event = self._log.pop_dropped_counts()
+            if dropped_by_event:
+                self._log.warning(Event.LINES_LEFT_OUT, lines_by_event=dropped_by_event)
 
     def _reload(self) -> None:
         read = read_settings(Path(os.environ[wire.CONFIG_VARIABLE]))
--- a/packages/platform/src/medlarspring_platform/machines.py
+++ b/packages/platform/src/medlarspring_platform/machines.py
@@ -9,11 +9,11 @@
 from medlarspring_adapters.http_channel import HttpChannel, NotSent, Unanswered
 from medlarspring_adapters.vm_lifecycle import (
     Authority,
-    VMControlSilent,
+    VMControlUnresponsive,
     VMRefusal,
 )
 from medlarspring_platform import wire
-from medlarspring_platform.operator_records import WireRoom, find_rack, to_room
+from medlarspring_platform.operator_records import WireRoom, find_rack, to_resources
 from medlarspring_tables import PoolId, VMId, WaveId, ZoneId
 from medlarspring_tables.scheduling import VMEntry, VMPhase, WorkerId
 
@@ -26,7 +26,7 @@
 HTTP_TOO_MANY = 429
 HTTP_UNAVAILABLE = 503
 
-_PHASES_BY_WORD = {
+_PHASES_BY_STATE = {
     "up": VMPhase.UP,
     "moving": VMPhase.MOVING,
     "upkeep": VMPhase.MAINTENANCE,
@@ -89,7 +89,7 @@
         """Close all connections."""
         await self._channel.close()
 
-    async def list_vms(self) -> Result[tuple[VMEntry, ...], VMControlSilent]:
+    async def list_vms(self) -> Result[tuple[VMEntry, ...], VMControlUnresponsive]:
         """Return all VMs."""
         machines: list[VMEntry] = []
         token: str | None = ""
@@ -100,10 +100,10 @@
                 reply = await self._channel.call("GET", path, TIMEOUT_SECONDS)
                 if reply.status != HTTP_OK:
                     detail = f"HTTP status {reply.status}"
-                    return Failure(VMControlSilent(detail, may_follow=False))
+                    return Failure(VMControlUnresponsive(detail, may_follow=False))
                 page = msgspec.json.decode(reply.body, type=WireMachines)
             except (NotSent, Unanswered, msgspec.MsgspecError) as error:
-                return Failure(VMControlSilent(str(error), may_follow=False))
+                return Failure(VMControlUnresponsive(str(error), may_follow=False))
             machines += [_to_vm(machine) for machine in page.machines]
             token = page.next_token
             if not token:
@@ -112,7 +112,7 @@
 
     async def move(
         self, vm_id: VMId, pool_id: PoolId, authority: Authority
-    ) -> Result[VMRefusal | None, VMControlSilent]:
+    ) -> Result[VMRefusal | None, VMControlUnresponsive]:
         """Move a VM to a pool."""
         return await self._operate(
             wire.MACHINE_MOVE_PATH, WireMove(vm_id, pool_id), authority
@@ -120,7 +120,7 @@
 
     async def maintain(
         self, vm_id: VMId, wave_id: WaveId, authority: Authority
-    ) -> Result[VMRefusal | None, VMControlSilent]:
+    ) -> Result[VMRefusal | None, VMControlUnresponsive]:
         """Take a VM down for its maintenance."""
         return await self._operate(
             wire.MACHINE_UPKEEP_PATH, WireUpkeep(vm_id, int(wave_id)), authority
@@ -128,7 +128,7 @@
 
     async def _operate(
         self, path: str, body: Struct, authority: Authority
-    ) -> Result[VMRefusal | None, VMControlSilent]:
+    ) -> Result[VMRefusal | None, VMControlUnresponsive]:
         headers = {
             wire.HOLDER_HEADER: authority.holder,
             wire.FENCE_HEADER: str(authority.fence),
@@ -140,15 +140,15 @@
                 "POST", path, TIMEOUT_SECONDS, content, headers
             )
         except NotSent as error:
-            return Failure(VMControlSilent(str(error), may_follow=False))
+            return Failure(VMControlUnresponsive(str(error), may_follow=False))
         except Unanswered as error:
-            return Failure(VMControlSilent(str(error), may_follow=True))
+            return Failure(VMControlUnresponsive(str(error), may_follow=True))
         return _read_outcome(reply.status, reply.body)
 
 
 def _read_outcome(
     status: int, body: bytes
-) -> Result[VMRefusal | None, VMControlSilent]:
+) -> Result[VMRefusal | None, VMControlUnresponsive]:
     if status == HTTP_OK:
         return Success(None)
     if status == HTTP_CONFLICT:
@@ -161,17 +161,17 @@
         return Success(VMRefusal.INVALID)
     if status in (HTTP_TOO_MANY, HTTP_UNAVAILABLE):
         return Success(VMRefusal.OVER_RATE)
-    return Failure(VMControlSilent(f"HTTP status {status}", may_follow=True))
+    return Failure(VMControlUnresponsive(f"HTTP status {status}", may_follow=True))
 
 
 def _to_vm(machine: WireMachine) -> VMEntry:
     return VMEntry(
         id=VMId(machine.machine_id),
         pool_id=PoolId(machine.pool),
-        phase=_PHASES_BY_WORD.get(machine.state, VMPhase.UNKNOWN),
+        phase=_PHASES_BY_STATE.get(machine.state, VMPhase.UNKNOWN),
         zone_id=ZoneId(machine.zone),
         rack_id=find_rack(machine.labels),
-        resources=to_room(machine.capacity),
+        resources=to_resources(machine.capacity),
         worker_id=WorkerId(machine.id) if machine.id else None,
     )
 
--- a/packages/platform/src/medlarspring_platform/operator_records.py
+++ b/packages/platform/src/medlarspring_platform/operator_records.py
@@ -142,7 +142,7 @@
 _worker_decoder = msgspec.json.Decoder(WireWorker)
 
 
-def to_room(resources: WireRoom) -> Resources:
+def to_resources(resources: WireRoom) -> Resources:
     """Return the product's form of a capacity."""
     return Resources(resources.cpu, resources.mem_mb, resources.gpu)
 
@@ -282,4 +282,4 @@
     )
 
 
-__all__ = ["PlatformCodec", "WireRoom", "find_rack", "to_room"]
+__all__ = ["PlatformCodec", "WireRoom", "find_rack", "to_resources"]
--- a/packages/platform/src/medlarspring_platform/settings.py
+++ b/packages/platform/src/medlarspring_platform/settings.py
@@ -90,7 +90,7 @@
     """Read settings from lines of the form ``a.b=value``; unknown ones are ignored."""
     values = _split_lines(text)
     try:
-        return Success(_take_settings(values))
+        return Success(_build_settings(values))
     except KeyError as error:
         detail = f"the line {error.args[0]}=... is missing"
     except ValueError as error:
@@ -107,7 +107,7 @@
     return values
 
 
-def _take_settings(values: dict[str, str]) -> PlatformSettings:
+def _build_settings(values: dict[str, str]) -> PlatformSettings:
     cpu_share = float(values.get("limits.cpuShare", "1"))
     speed = float(values.get("limits.cores", "1"))
     return PlatformSettings(
@@ -124,17 +124,17 @@
         memory_mb=int(values.get("limits.memoryMb", "300")),
         # The platform's "cores" is how many times as fast the one core is.
         cores=cpu_share * speed,
-        limits=_take_limits(values),
+        limits=_build_limits(values),
     )
 
 
-def _take_limits(values: dict[str, str]) -> FleetLimits:
-    taken: dict[str, float] = {}
+def _build_limits(values: dict[str, str]) -> FleetLimits:
+    limit_values: dict[str, float] = {}
     for field, (name, unit) in _LIMITS_BY_FIELD.items():
         value = values.get(f"bounds.{name}")
         if value:
-            taken[field] = float(value) * unit
-    return FleetLimits(**taken)
+            limit_values[field] = float(value) * unit
+    return FleetLimits(**limit_values)
 
 
 __all__ = [
--- a/packages/platform/src/medlarspring_platform/store.py
+++ b/packages/platform/src/medlarspring_platform/store.py
@@ -131,7 +131,7 @@
 Message = TypeVar("Message", bound=Struct)
 
 
-class PatienceMeter:
+class AdaptiveTimeout:
     """How long to wait for an answer, from how long answers took lately.
 
     The store answers in 8 ms, or in 250 ms for some seconds; an answer may also
@@ -141,21 +141,21 @@
 
     def __init__(self) -> None:
         self._mean = 0.02
-        self._misses = 0
+        self._timeouts = 0
 
     def timeout(self) -> Seconds:
         """Return the time to wait for the next answer."""
         usual = max(TIMEOUT_FACTOR * self._mean, MIN_TIMEOUT_SECONDS)
-        return min(usual * 2.0**self._misses, MAX_TIMEOUT_SECONDS)
+        return min(usual * 2.0**self._timeouts, MAX_TIMEOUT_SECONDS)
 
-    def note_answer(self, seconds: Seconds) -> None:
+    def record_answer(self, seconds: Seconds) -> None:
         """Learn from an answer."""
-        self._misses = 0
+        self._timeouts = 0
         self._mean += 0.2 * (seconds - self._mean)
 
-    def note_miss(self) -> None:
+    def record_timeout(self) -> None:
         """Learn that no answer came in time."""
-        self._misses = min(self._misses + 1, 3)
+        self._timeouts = min(self._timeouts + 1, 3)
 
 
 class PlatformStore:
@@ -166,7 +166,7 @@
         self._channel = HttpChannel(address)
         self._watches = HttpChannel(address)
         self._clock = clock
-        self._patience = PatienceMeter()
+        self._adaptive_timeout = AdaptiveTimeout()
         self.failing_since: Seconds | None = None
         """When the first call failed that no answered one has followed."""
         self.answered_at: Seconds = 0.0
@@ -339,12 +339,12 @@
         sent_at = self._clock.now()
         try:
             reply = await self._channel.call(
-                method, path, self._patience.timeout(), body
+                method, path, self._adaptive_timeout.timeout(), body
             )
         except NotSent as error:
             return self._fail(StoreUnavailable(str(error)))
         except Unanswered as error:
-            self._patience.note_miss()
+            self._adaptive_timeout.record_timeout()
             return self._fail(StoreOutcomeUnknown(str(error)))
         known = (HTTP_OK, HTTP_NOT_FOUND, HTTP_CONDITION_FAILED)
         if reply.status not in known:
@@ -352,7 +352,7 @@
             return self._fail(StoreUnavailable(f"HTTP status {reply.status}"))
         now = self._clock.now()
         self._metrics.timing(Metric.STORE_CALL_MS, (now - sent_at) * 1_000)
-        self._patience.note_answer(now - sent_at)
+        self._adaptive_timeout.record_answer(now - sent_at)
         self.answered_at = now
         self.failing_since = None
         return Success(reply)
--- a/packages/platform/src/medlarspring_platform/workers.py
+++ b/packages/platform/src/medlarspring_platform/workers.py
@@ -25,7 +25,7 @@
     StartOrder,
     StopOrder,
     WorkerAddress,
-    WorkerSilent,
+    WorkerUnresponsive,
 )
 from medlarspring_platform import wire
 from medlarspring_tables.scheduling import EndedRow, RunEnd, RunningRow, WorkerId
@@ -38,7 +38,7 @@
 HOLD_CONNECTIONS = 1
 """With a second one, an acknowledgement could go to a life that has listed nothing."""
 
-_ENDS_BY_WORD = {
+_ENDS_BY_NAME = {
     "done": RunEnd.DONE,
     "failed": RunEnd.FAILED,
     "stopped": RunEnd.STOPPED,
@@ -55,7 +55,7 @@
 }
 _REFUSALS_BY_STATUS = {
     400: Refusal.INVALID,
-    421: Refusal.OTHER_LIFE,
+    421: Refusal.OTHER_WORKER,
     429: Refusal.UNHEALTHY,
     503: Refusal.UNHEALTHY,
 }
@@ -131,7 +131,7 @@
 
     async def start(
         self, worker: WorkerAddress, order: StartOrder, timeout_seconds: Seconds
-    ) -> Result[OrderAnswer, WorkerSilent]:
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
         """Start a run."""
         body = WireStart(
             task=order.task_id,
@@ -146,21 +146,21 @@
 
     async def stop(
         self, worker: WorkerAddress, order: StopOrder, timeout_seconds: Seconds
-    ) -> Result[OrderAnswer, WorkerSilent]:
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
         """Stop a run."""
         body = WireStop(order.task_id, order.run, order.fence)
         return await self._order(worker, wire.RUN_STOP_PATH, body, timeout_seconds)
 
     async def pace(
         self, worker: WorkerAddress, order: PaceOrder, timeout_seconds: Seconds
-    ) -> Result[OrderAnswer, WorkerSilent]:
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
         """Slow a run down, or speed it up again."""
         body = WirePace(order.task_id, order.run, order.percent, order.fence)
         return await self._order(worker, wire.PACE_PATH, body, timeout_seconds)
 
     async def hold(
         self, worker: WorkerAddress, order: HoldOrder, timeout_seconds: Seconds
-    ) -> Result[HoldAnswer, WorkerSilent]:
+    ) -> Result[HoldAnswer, WorkerUnresponsive]:
         """Extend the lease and ask for the state."""
         body = WireHold(
             order.fence, order.acknowledged, order.lease_until_ms, order.wait_ms
@@ -169,12 +169,12 @@
             reply = await self._call_hold(worker, order, body, timeout_seconds)
             content = _to_hold_answer(reply, body.ack_cursor)
         except NotSent as error:
-            return Failure(WorkerSilent(worker.id, str(error), may_follow=False))
+            return Failure(WorkerUnresponsive(worker.id, str(error), may_follow=False))
         except Unanswered as error:
-            return Failure(WorkerSilent(worker.id, str(error), may_follow=True))
+            return Failure(WorkerUnresponsive(worker.id, str(error), may_follow=True))
         except ValueError as error:
             detail = f"unreadable rows ({error})"
-            return Failure(WorkerSilent(worker.id, detail, may_follow=True))
+            return Failure(WorkerUnresponsive(worker.id, detail, may_follow=True))
         return Success(content)
 
     async def _call_hold(
@@ -219,14 +219,14 @@
 
     async def _order(
         self, worker: WorkerAddress, path: str, body: Struct, timeout_seconds: Seconds
-    ) -> Result[OrderAnswer, WorkerSilent]:
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
         try:
             reply = await self._call(worker, path, body, timeout_seconds)
             answer = _decode(reply, WireOrderAnswer)
         except NotSent as error:
-            return Failure(WorkerSilent(worker.id, str(error), may_follow=False))
+            return Failure(WorkerUnresponsive(worker.id, str(error), may_follow=False))
         except Unanswered as error:
-            return Failure(WorkerSilent(worker.id, str(error), may_follow=True))
+            return Failure(WorkerUnresponsive(worker.id, str(error), may_follow=True))
         refusal = _find_refusal(reply.status, answer.reason)
         return Success(OrderAnswer(answer.clock_ms, refusal))
 
@@ -319,7 +319,7 @@
     """Decode [N, task, run, how, saved]."""
     number, task, run, how, saved = row
     # An unknown end is taken for a stop: the task runs again, no attempt is lost.
-    end = _ENDS_BY_WORD.get(how, RunEnd.STOPPED)
+    end = _ENDS_BY_NAME.get(how, RunEnd.STOPPED)
     return EndedRow(number=number, task_id=task, run=run, end=end, checkpoint=saved)
 
 
--- a/packages/platform/tests/adapter/test_fleet.py
+++ b/packages/platform/tests/adapter/test_fleet.py
@@ -90,7 +90,7 @@
     former = WorkerAddress(WorkerId("i-gone"), address.address)
     start = order(platform, address.id)
     answer = await platform.workers.start(former, start, TIMEOUT)
-    assert answer.unwrap().refusal is Refusal.OTHER_LIFE
+    assert answer.unwrap().refusal is Refusal.OTHER_WORKER
     assert not platform.fleet.workers_by_id[address.id].runs
 
 
--- a/packages/platform/tests/adapter/test_front.py
+++ b/packages/platform/tests/adapter/test_jobs_frontend.py
@@ -25,7 +25,7 @@
 from medlarspring_bench.platform_world.weather import StoreMood
 from medlarspring_daemon.scheduling.context import SchedulingNode
 from medlarspring_daemon.scheduling.service import create_scheduling_service
-from medlarspring_platform.front import JobsFront
+from medlarspring_platform.jobs_frontend import JobsFrontend
 from medlarspring_platform.operator_records import PlatformCodec
 from medlarspring_tables import EntryVMId
 from medlarspring_tables.scheduling import FleetLimits
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class Front:
+class Frontend:
     """One entry VM's customers' port."""
 
     address: str
@@ -69,7 +69,7 @@
 
 
 @pytest.fixture
-async def front(platform: Platform) -> AsyncIterator[Front]:
+async def frontend(platform: Platform) -> AsyncIterator[Frontend]:
     config = json.dumps(write_operator_config(WorldPlan(), 2)).encode()
     platform.state.apply(PutOp(b"op/config", config))
     node = SchedulingNode(
@@ -90,34 +90,36 @@
     await service.start()
     while service.directory.config is None:
         await asyncio.sleep(0.01)
-    runner = web.ServerRunner(web.Server(JobsFront(service).handle))
+    runner = web.ServerRunner(web.Server(JobsFrontend(service).handle))
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
     host, port = runner.addresses[0][:2]
     async with aiohttp.ClientSession() as session:
-        yield Front(f"{host}:{port}", session, platform)
+        yield Frontend(f"{host}:{port}", session, platform)
     await runner.cleanup()
     await service.stop()
 
 
-async def test_job_is_accepted_once_and_its_repeat_is_the_same_job(front: Front):
-    assert (await front.submit())[0] == 200
-    assert (await front.submit())[0] == 200
-    status, answer, _ = await front.call("GET")
+async def test_job_is_accepted_once_and_its_repeat_is_the_same_job(frontend: Frontend):
+    assert (await frontend.submit())[0] == 200
+    assert (await frontend.submit())[0] == 200
+    status, answer, _ = await frontend.call("GET")
     assert status == 200
     assert answer["state"] in ("queued", "active", "complete", "failed")
 
 
-async def test_job_that_nobody_submitted_is_unknown(front: Front):
-    assert (await front.call("GET"))[0] == 410
-    assert (await front.call("DELETE"))[0] == 410
+async def test_job_that_nobody_submitted_is_unknown(frontend: Frontend):
+    assert (await frontend.call("GET"))[0] == 410
+    assert (await frontend.call("DELETE"))[0] == 410
 
 
-async def test_cancelled_job_is_shown_as_such(front: Front):
-    await front.submit(steps=[{"count": 1, "cpu": 500, "after": [], "requires": "no"}])
-    assert (await front.call("DELETE"))[0] == 200
+async def test_cancelled_job_is_shown_as_such(frontend: Frontend):
+    await frontend.submit(
+        steps=[{"count": 1, "cpu": 500, "after": [], "requires": "no"}]
+    )
+    assert (await frontend.call("DELETE"))[0] == 200
     async with asyncio.timeout(5.0):
-        while (await front.call("GET"))[1].get("state") != "canceled":
+        while (await frontend.call("GET"))[1].get("state") != "canceled":
             await asyncio.sleep(0.05)
 
 
@@ -143,22 +145,22 @@
     ids=lambda changes: str(changes)[:40],
 )
 async def test_job_that_can_not_be_is_refused_with_the_reason(
-    front: Front, changes: dict[str, object]
+    frontend: Frontend, changes: dict[str, object]
 ):
-    status, answer, _ = await front.submit(**changes)
+    status, answer, _ = await frontend.submit(**changes)
     assert status == 400
     assert answer["error"] == "job-invalid"
     assert answer["message"].startswith("The job was not accepted")
-    assert (await front.call("GET"))[0] == 410
+    assert (await frontend.call("GET"))[0] == 410
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b"\xff\xfe", b"null"])
-async def test_unreadable_body_is_refused(front: Front, body: bytes):
-    assert (await front.call("POST", body=body))[0] == 400
+async def test_unreadable_body_is_refused(frontend: Frontend, body: bytes):
+    assert (await frontend.call("POST", body=body))[0] == 400
 
 
-async def test_oversized_body_is_refused(front: Front):
-    assert (await front.call("POST", body=b" " * 262_145))[0] == 413
+async def test_oversized_body_is_refused(frontend: Frontend):
+    assert (await frontend.call("POST", body=b" " * 262_145))[0] == 413
 
 
 @pytest.mark.parametrize(
@@ -173,38 +175,44 @@
         ("GET", "/lookup/", 200),
     ],
 )
-async def test_paths_and_methods(front: Front, method: str, path: str, status: int):
-    assert (await front.call(method, path))[0] == status
+async def test_paths_and_methods(
+    frontend: Frontend, method: str, path: str, status: int
+):
+    assert (await frontend.call(method, path))[0] == status
 
 
-async def test_refusal_while_the_store_is_away_says_when_to_come_back(front: Front):
-    front.platform.weather.store_mood = StoreMood.BUSY
-    status, answer, retry_after = await front.submit()
+async def test_refusal_while_the_store_is_away_says_when_to_come_back(
+    frontend: Frontend,
+):
+    frontend.platform.weather.store_mood = StoreMood.BUSY
+    status, answer, retry_after = await frontend.submit()
     assert status == 503
     assert answer["error"] == "not-ready"
     assert int(retry_after) >= 1
 
 
 @pytest.mark.parametrize("method", ["POST", "GET", "DELETE"])
-async def test_refusal_for_a_lost_store_ends_the_connection(front: Front, method: str):
+async def test_refusal_for_a_lost_store_ends_the_connection(
+    frontend: Frontend, method: str
+):
     """
     An entry VM loses the store and leaves the balancer's rotation. Customers on open
     connections stayed with it, were refused at each try and gave up, although others
     could serve them: only a new connection goes through the balancer.
     """
-    url = f"http://{front.address}/lookup/{JOB}"
+    url = f"http://{frontend.address}/lookup/{JOB}"
     headers = {"Host": HOST, "X-Medlarspring-Deadline-Ms": "800"}
     body = json.dumps(BODY) if method == "POST" else None
-    front.platform.weather.store_mood = StoreMood.BUSY
-    async with front.session.request(
+    frontend.platform.weather.store_mood = StoreMood.BUSY
+    async with frontend.session.request(
         method, url, data=body, headers=headers
     ) as response:
         assert response.status == 503
         assert response.headers["Connection"] == "close"
 
 
-async def test_answer_about_a_job_keeps_the_connection(front: Front):
-    url = f"http://{front.address}/lookup/{JOB}"
-    async with front.session.get(url, headers={"Host": HOST}) as response:
+async def test_answer_about_a_job_keeps_the_connection(frontend: Frontend):
+    url = f"http://{frontend.address}/lookup/{JOB}"
+    async with frontend.session.get(url, headers={"Host": HOST}) as response:
         assert response.status == 410
         assert response.headers.get("Connection", "keep-alive") != "close"
