--- a/packages/adapters/src/medlarspring_adapters/__init__.py
+++ b/packages/adapters/src/medlarspring_adapters/__init__.py
@@ -1,3 +1,3 @@
-"""Clients and servers for everything outside the process."""
+"""Clients and servers for all external interfaces of the process."""
 
 from __future__ import annotations
--- a/packages/adapters/src/medlarspring_adapters/adviser.py
+++ b/packages/adapters/src/medlarspring_adapters/adviser.py
@@ -1,4 +1,4 @@
-"""The service that knows on which workers a restricted queue may run."""
+"""Interface of the adviser, which decides where tasks of restricted queues may run."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AdviserUnresponsive(MedlarspringError):
-    """The adviser gave no advice; asking has no effect."""
+    """The adviser gave no usable answer; requests to it have no side effects."""
 
     code = "adviser-silent"
 
@@ -27,7 +27,7 @@
         self.detail = detail
 
     def message(self) -> str:
-        """Say what failed and what happens next."""
+        """Return what failed and what happens next."""
         return (
             f"The adviser did not answer ({self.detail}). It is asked again; tasks"
             " of its queues wait meanwhile."
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Advice:
-    """Workers that may run a step, each with the ticket its starts carry."""
+    """Workers that may run a step, each with the ticket that start orders carry."""
 
     tickets_by_worker: dict[WorkerId, str]
     valid_ms: Milliseconds
 
 
 class Adviser(Protocol):
-    """Asks for advice; one call at a time is served for each entry VM."""
+    """Requests advice; the adviser serves one call at a time for each entry VM."""
 
     async def advise(
         self, step_id: str, worker_ids: Sequence[WorkerId]
--- a/packages/adapters/src/medlarspring_adapters/clock.py
+++ b/packages/adapters/src/medlarspring_adapters/clock.py
@@ -1,4 +1,4 @@
-"""Clocks: the only way the product learns the time."""
+"""Clocks; all other code reads the time through them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """Monotonic time for decisions and wall time for records."""
 
     def now(self) -> Seconds:
-        """Return monotonic seconds; never goes back, keeps on in a freeze."""
+        """Return monotonic seconds, which continue to advance during a suspension."""
         ...
 
     def wall(self) -> Seconds:
@@ -36,23 +36,23 @@
 class SuspendAwareClock(SystemClock):
     """The clock of a machine that may be suspended.
 
-    The monotonic clock stands still while the machine does. A holder that counted
-    its lease by it would wake up after seconds and still believe in it.
+    ``CLOCK_MONOTONIC`` stops during a suspension. A holder that measured its lease
+    with it would treat an expired lease as valid after it resumes.
     """
 
     def now(self) -> Seconds:
-        """Return seconds since boot, those of a suspension included."""
+        """Return seconds since boot, including time in suspension."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class ManualClock:
-    """A clock that tests move by hand."""
+    """A clock for tests that advances only when told to."""
 
     def __init__(self, start: Seconds = 1000.0) -> None:
         self._now = start
 
     def now(self) -> Seconds:
-        """Return the time set so far."""
+        """Return the time that is set."""
         return self._now
 
     def wall(self) -> Seconds:
--- a/packages/adapters/src/medlarspring_adapters/decisions.py
+++ b/packages/adapters/src/medlarspring_adapters/decisions.py
@@ -1,4 +1,4 @@
-"""What this process decided and why, in bounded memory, for ``explain``."""
+"""Bounded in-memory log of this process's decisions, read by ``explain``."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Decision(Struct, frozen=True):
-    """One decision: when, by which rule, from which facts."""
+    """One decision with its time, rule and facts."""
 
     at: float
     """Wall time in seconds since the epoch."""
@@ -40,7 +40,7 @@
 
 
 class DecisionLog:
-    """The newest decisions by subject; the oldest subjects are forgotten."""
+    """The newest decisions by subject; the oldest subjects are evicted."""
 
     def __init__(
         self, clock: Clock, entry_vm: str, max_subjects: int = 10_000, depth: int = 32
@@ -62,7 +62,7 @@
         rule: str,
         **facts: str | int | float | bool,
     ) -> None:
-        """Remember one decision."""
+        """Record one decision."""
         decision = Decision(
             at=self._clock.wall(),
             entry_vm=self._entry_vm,
@@ -82,11 +82,11 @@
         decisions.append(decision)
 
     def add_source(self, source: DecisionSource) -> None:
-        """Let another memory of decisions be searched too."""
+        """Add another source of decisions that ``find`` searches too."""
         self._sources.append(source)
 
     def find(self, subject: Subject, id: str) -> list[Decision]:  # noqa: A002
-        """Return what is remembered about a subject, oldest first."""
+        """Return the recorded decisions on a subject, oldest first."""
         found = list(self._decisions_by_id.get((subject, id), ()))
         for source in self._sources:
             found += source(subject, id)
--- a/packages/adapters/src/medlarspring_adapters/etcd_gateway.py
+++ b/packages/adapters/src/medlarspring_adapters/etcd_gateway.py
@@ -58,7 +58,7 @@
 
 
 class EtcdGatewayStore:
-    """Implements ``Store``; endpoints are tried in turn, the last good one first."""
+    """Implements ``Store``; starts at the last working endpoint, then tries the next."""
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
     async def commit_each(
         self, transactions: Sequence[Transaction]
     ) -> Result[list[Committed], StoreError]:
-        """Decide many transactions on their own in one counted call."""
+        """Commit many independent transactions in one counted call."""
         if len(transactions) > MAX_TRANSACTIONS_PER_CALL:
             detail = f"{len(transactions)} transactions, {MAX_TRANSACTIONS_PER_CALL}"
             return Failure(StoreUnavailable(f"{detail} are allowed in one call"))
@@ -106,7 +106,7 @@
         return answer.map(lambda granted: LeaseId(granted.ID))
 
     async def keep_lease(self, lease_id: LeaseId) -> Result[float, StoreError]:
-        """Renew a lease; returns the seconds left, 0 when it has lapsed."""
+        """Renew a lease; returns the seconds left, 0 if it has expired."""
         request = LeaseRequest(ID=str(lease_id))
         answer = await self._write("lease/keepalive", request, LeaseKeepAliveResponse)
         return answer.map(lambda kept: float(kept.result.TTL))
@@ -124,10 +124,10 @@
     ) -> AsyncGenerator[WatchBatch, None]:
         """Yield changes from revision ``start`` on.
 
-        A batch without changes says that the store answered and how far it is.
-        A stream that is silent too long is opened anew at the next revision.
-        The iterator ends when that fails, when the revision was compacted, and
-        when the store has gone back behind ``start``.
+        A batch without changes reports the store's current revision. A stream that
+        receives nothing for too long is reopened at the next revision. The iterator
+        ends when that fails, when the revision was compacted, and when the store's
+        revision is below ``start``.
         """
         next_revision = start
         while True:
@@ -147,9 +147,9 @@
             except (aiohttp.ClientError, OSError, ValueError, msgspec.MsgspecError):
                 self._transport.rotate()
                 return
-            # A watch gone silent looks like a table that nobody edits. The new
-            # connection answers at once if the store lives, and nothing between
-            # the two is lost because the revision is named.
+            # A watch whose connection is dead looks like a table without edits. If
+            # the store is up, the new connection responds at once, and no change
+            # is lost because the new watch starts at the next revision.
             self._transport.rotate()
             if not timed_out:
                 return
@@ -175,7 +175,7 @@
     async def _read(
         self, path: str, request: msgspec.Struct, answer_type: type[Message]
     ) -> Result[Message, StoreError]:
-        """Try each endpoint once: a read has no effect that could double."""
+        """Try each endpoint once; reads have no side effects and may be repeated."""
         detail = ""
         for _ in self._transport.endpoints:
             try:
@@ -188,11 +188,11 @@
     async def _write(
         self, path: str, request: msgspec.Struct, answer_type: type[Message]
     ) -> Result[Message, StoreError]:
-        """Try the next endpoint only while no endpoint can have seen the request.
+        """Try the next endpoint only if no endpoint can have received the request.
 
-        A write whose answer was lost may have taken effect; sent again it would
-        fail its own condition, and the caller would be told "conflict" about
-        what was accepted. So the caller hears that the outcome is unknown.
+        A write whose answer was lost may have taken effect. A repeat would then fail
+        its own condition and report a conflict for a write that was accepted, so
+        ``StoreOutcomeUnknown`` is returned instead.
         """
         detail = ""
         for _ in self._transport.endpoints:
@@ -248,10 +248,10 @@
 
 
 def _find_next_revision(result: WatchResult, next_revision: Revision) -> Revision:
-    """Return the revision from which a new watch would miss nothing.
+    """Return the revision from which a new watch would miss no change.
 
-    The first message carries the store's present revision before the changes up
-    to it were sent, so it must not move the mark.
+    The first message carries the store's current revision before the changes up to
+    it have been sent, so it must not advance the result.
     """
     if result.created:
         return next_revision
--- a/packages/adapters/src/medlarspring_adapters/etcd_messages.py
+++ b/packages/adapters/src/medlarspring_adapters/etcd_messages.py
@@ -1,7 +1,7 @@
 """Typed messages of the etcd v3 JSON gateway, as published.
 
-Integers of 64 bits travel as strings, keys and values as base64. Fields that
-are zero are left out by the server, so each has its default here.
+64-bit integers are encoded as strings, keys and values as base64. The server omits
+fields that are zero, so each has a default here.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 
 class Header(Struct):
-    """The part that every answer carries."""
+    """Header of every response."""
 
     revision: int = 0
 
 
 class KeyValue(Struct):
-    """One key as the gateway shows it."""
+    """One key in the gateway's format."""
 
     key: str
     value: str = ""
@@ -81,7 +81,7 @@
 
 
 class TxnRequest(Struct):
-    """Conditions, what to do if all hold, what to do otherwise."""
+    """Conditions, operations if all hold, and operations otherwise."""
 
     compare: list[Compare]
     success: list[RequestOp]
@@ -89,7 +89,7 @@
 
 
 class ResponseOp(Struct):
-    """Answer to one operation; writes need none."""
+    """Response to one operation; both fields are None for writes."""
 
     response_range: RangeResponse | None = None
     response_txn: TxnResponse | None = None
@@ -110,7 +110,7 @@
 
 
 class LeaseRequest(Struct):
-    """Name a lease."""
+    """Keep a lease alive or revoke it."""
 
     ID: str
 
@@ -123,14 +123,14 @@
 
 
 class LeaseKeepAliveResult(Struct):
-    """Seconds left; 0 when the lease has lapsed."""
+    """Seconds left; 0 if the lease has expired."""
 
     ID: int = 0
     TTL: int = 0
 
 
 class LeaseKeepAliveResponse(Struct):
-    """A streamed answer has its message under ``result``."""
+    """A streamed response, which has its message under ``result``."""
 
     result: LeaseKeepAliveResult = field(default_factory=LeaseKeepAliveResult)
 
@@ -151,7 +151,7 @@
 
 
 class WatchEvent(Struct):
-    """One change; the type is left out for a put."""
+    """One change; the server omits the type for a put."""
 
     kv: KeyValue
     type: str = "PUT"
@@ -168,7 +168,7 @@
 
 
 class WatchResponse(Struct):
-    """A streamed answer has its message under ``result``."""
+    """A streamed response, which has its message under ``result``."""
 
     result: WatchResult = field(default_factory=WatchResult)
 
@@ -199,7 +199,7 @@
 
 
 def to_entry(item: KeyValue) -> Entry:
-    """Return a key as the product sees it."""
+    """Convert a key of the gateway to an ``Entry``."""
     return Entry(
         key=to_key(item),
         value=base64.b64decode(item.value),
@@ -215,7 +215,7 @@
 
 
 def to_txn(transaction: Transaction) -> TxnRequest:
-    """Return a transaction in the gateway's form."""
+    """Convert a transaction to the gateway's request."""
     reads = [
         RequestOp(request_range=RangeRequest(key=encode_text(key)))
         for key in transaction.read_on_failure
--- a/packages/adapters/src/medlarspring_adapters/etcd_transport.py
+++ b/packages/adapters/src/medlarspring_adapters/etcd_transport.py
@@ -1,4 +1,4 @@
-"""Calls to the endpoints of the etcd v3 JSON gateway, their failures told apart."""
+"""Calls to the etcd v3 JSON gateway that classify failures by their effect."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class NotSent(Exception):
-    """The request never left this process, or the server turned it down."""
+    """The request was not sent or was rejected by the server; it had no effect."""
 
     def __init__(self, detail: str, *, lease_gone: bool = False) -> None:
         super().__init__(detail)
@@ -32,7 +32,7 @@
 
 
 class Unanswered(Exception):
-    """The request left this process and no usable answer came back."""
+    """The request was sent and no usable answer came back; it may have taken effect."""
 
 
 class EtcdTransport:
@@ -51,7 +51,7 @@
     async def post(
         self, path: str, request: msgspec.Struct, answer_type: type[Message]
     ) -> Message:
-        """Send one call to the present endpoint and return its answer.
+        """Send one call to the current endpoint and return its answer.
 
         Raises ``NotSent`` or ``Unanswered``.
         """
@@ -80,9 +80,9 @@
     async def stream(
         self, path: str, request: msgspec.Struct, answer_type: type[Message]
     ) -> AsyncGenerator[Message, None]:
-        """Yield the messages of a streamed answer, one a line.
+        """Yield the messages of a streamed answer, one per line.
 
-        Raises ``TimeoutError`` when the stream stays silent too long.
+        Raises ``TimeoutError`` when no data arrives for ``silence_seconds``.
         """
         timeout = aiohttp.ClientTimeout(
             total=None,
@@ -130,11 +130,11 @@
         return self._session
 
     def _retire_session(self) -> None:
-        """Use fresh connections from now on.
+        """Open new connections for all further calls.
 
-        When something between the two ends has lost track of connections, all
-        pooled ones are dead at once and each would cost one timeout. Calls in
-        flight keep the old session until they are done or timed out.
+        When a middlebox drops its connection state, all pooled connections are dead
+        at once and each would cost one timeout. Calls in flight keep the old session
+        until they finish or time out.
         """
         session, self._session = self._session, None
         if session is None:
@@ -151,7 +151,7 @@
 
 
 def _describe(error: Exception) -> str:
-    """Return the system's words, without the names of exceptions."""
+    """Return the operating system's error text, without exception names."""
     reason = getattr(error, "strerror", None)
     return reason or str(error) or "the connection broke"
 
@@ -166,8 +166,8 @@
     with contextlib.suppress(msgspec.MsgspecError, ValueError):
         fault = _decode(content, Fault)
         detail = f"{detail}: {fault.message or fault.error}"
-    # 5xx covers "request timed out" inside the store, after which the write
-    # may still be applied; 4xx is a request that was turned down.
+    # 5xx includes "request timed out" inside the store, after which the write may
+    # still be applied; a request answered with 4xx was rejected.
     if status >= HTTP_SERVER_ERROR:
         return Unanswered(detail)
     return NotSent(detail, lease_gone=status == HTTP_NOT_FOUND)
--- a/packages/adapters/src/medlarspring_adapters/events.py
+++ b/packages/adapters/src/medlarspring_adapters/events.py
@@ -139,26 +139,26 @@
         self._limiter = limiter
 
     def info(self, event: Event, **fields: object) -> None:
-        """Log what went as planned."""
+        """Log an event of normal operation."""
         self._write(logging.INFO, event, fields)
 
     def warning(self, event: Event, **fields: object) -> None:
-        """Log what an operator may want to look at."""
+        """Log an event that may need an operator's attention."""
         self._write(logging.WARNING, event, fields)
 
     def error(self, event: Event, **fields: object) -> None:
-        """Log what an operator has to look at."""
+        """Log an event that needs an operator's attention."""
         self._write(logging.ERROR, event, fields)
 
     def pop_dropped_counts(self) -> dict[str, int]:
-        """Return how many lines were left out since the last call, by event."""
+        """Return and reset the number of dropped lines by event."""
         if self._limiter is None:
             return {}
         dropped_counts = self._limiter.pop_dropped_counts()
         return {str(event): lines for event, lines in dropped_counts.items()}
 
     def close(self) -> None:
-        """Write what waits, for a moment at most."""
+        """Write the queued lines, waiting for a bounded time."""
         for handler in self._logger.handlers:
             handler.close()
 
@@ -192,7 +192,7 @@
 def create_bounded_log(
     entry_vm_id: EntryVMId, clock: Clock, descriptor: int, level: str = "INFO"
 ) -> EventLog:
-    """Return a log that never blocks and whose volume is bounded by event."""
+    """Return a log that never blocks and limits the rate of each event's lines."""
     limiter = LineLimiter(clock)
     handler = QueuedHandler(descriptor, limiter.record_dropped)
     handler.setFormatter(
--- a/packages/adapters/src/medlarspring_adapters/fleet_api.py
+++ b/packages/adapters/src/medlarspring_adapters/fleet_api.py
@@ -26,7 +26,7 @@
 
 
 class StartMoves(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Moves of named VMs, or of ``count`` VMs chosen by the giving pool."""
+    """Moves of named VMs, or of ``count`` VMs chosen by the source pool."""
 
     id: str
     operator: str
@@ -37,7 +37,7 @@
 
 
 class WaveView(Struct, frozen=True, kw_only=True):
-    """A wave as operators watch it."""
+    """State and progress of a wave."""
 
     id: WaveId
     state: str
@@ -47,7 +47,7 @@
     vms: int
     counts_by_step: dict[str, int]
     expected_end: float | None
-    """Wall time; None while nothing can be said."""
+    """Wall time; None while there is no estimate."""
     resumes_at: float | None
     not_returned: tuple[VMId, ...] = ()
     blocks_by_pool: dict[PoolId, str] = {}
@@ -66,12 +66,12 @@
 
 
 class VMView(Struct, frozen=True, kw_only=True):
-    """A VM's record and what the platform shows of it."""
+    """A VM's record and the platform's view of the VM."""
 
     record: VMRecord
     health: str
     condition: str | None
-    """None when the platform shows nothing of it."""
+    """None when the platform does not list the VM."""
 
 
 class VMsAnswer(Struct, frozen=True, kw_only=True):
@@ -81,7 +81,7 @@
 
 
 class PoolView(Struct, frozen=True, kw_only=True):
-    """A pool against its availability budget."""
+    """A pool's VMs compared with its availability budget."""
 
     id: PoolId
     wanted_vms: int
@@ -101,7 +101,7 @@
 
 
 class SpareAnswer(Struct, frozen=True, kw_only=True):
-    """Spare in VMs, pooled over pools and partners."""
+    """Spare capacity in VMs, shared across pools and partners."""
 
     held: int
     needed: int
--- a/packages/adapters/src/medlarspring_adapters/fleet_codec.py
+++ b/packages/adapters/src/medlarspring_adapters/fleet_codec.py
@@ -1,4 +1,4 @@
-"""How the platform spells what it and the operator keep in the store."""
+"""Interface for keys and formats of the platform's and the operator's records."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         self.detail = detail
 
     def message(self) -> str:
-        """Say which record and what to do."""
+        """Return which record can't be read and what to do."""
         return (
             f"The record {self.key} can't be read ({self.detail}). The last readable"
             " one stays in force; correct the record or upgrade this entry VM."
@@ -35,40 +35,40 @@
     """Keys and formats of the operator's and the workers' records."""
 
     operator_prefix: str
-    """Prefix of all that the operator writes."""
+    """Prefix of all records that the operator writes."""
     worker_prefix: str
     """Prefix of the workers' entries."""
 
     def is_config(self, key: str) -> bool:
-        """Tell whether the key holds the configuration."""
+        """Return whether the key holds the configuration."""
         ...
 
     def is_wave(self, key: str) -> bool:
-        """Tell whether the key holds the order of a maintenance wave."""
+        """Return whether the key holds the order of a maintenance wave."""
         ...
 
     def decode_config(
         self, key: str, value: bytes
     ) -> Result[OperatorConfig, RecordUnreadable]:
-        """Read the operator's configuration."""
+        """Decode the operator's configuration."""
         ...
 
     def decode_wave(
         self, key: str, value: bytes
     ) -> Result[WaveOrder, RecordUnreadable]:
-        """Read the order of a wave."""
+        """Decode the order of a wave."""
         ...
 
     def decode_worker(
         self, key: str, value: bytes
     ) -> Result[WorkerEntry, RecordUnreadable]:
-        """Read a worker's entry."""
+        """Decode a worker's entry."""
         ...
 
     def encode_wave_status(
         self, wave_id: WaveId, *, complete: bool
     ) -> tuple[str, bytes]:
-        """Return key and value that tell the operator how far a wave is."""
+        """Return the key and value that report a wave's progress to the operator."""
         ...
 
 
--- a/packages/adapters/src/medlarspring_adapters/fleet_records.py
+++ b/packages/adapters/src/medlarspring_adapters/fleet_records.py
@@ -1,4 +1,4 @@
-"""Fleet records as JSON values of the store."""
+"""Encodes fleet records as JSON and applies store entries to the fleet tables."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def apply_entry(tables: FleetTables, entry: Entry) -> None:
-    """Decode an entry into the tables; other keys are passed over."""
+    """Decode an entry into the tables; keys of other kinds are ignored."""
     kind = entry.key.removeprefix(FLEET_PREFIX).partition("/")[0]
     record_type = TYPES_BY_PREFIX.get(f"{FLEET_PREFIX}{kind}/")
     if record_type is not None:
@@ -40,11 +40,11 @@
 
 
 def apply_listing(tables: FleetTables, prefix: str, listing: Listing) -> None:
-    """Take all records under a prefix, and forget those that are gone.
+    """Replace all records under a prefix with those of a listing.
 
-    A watch may have brought newer records while the listing was on its way;
-    those are not in it and must not be forgotten, for no watch brings them
-    again.
+    A watch may have delivered newer records than the listing has. They must not be
+    removed, since no watch delivers them again; removal is therefore conditional on
+    the listing's revision.
     """
     present = {entry.key for entry in listing.entries}
     for key in list(tables.revisions_by_key):
--- a/packages/adapters/src/medlarspring_adapters/group_commit.py
+++ b/packages/adapters/src/medlarspring_adapters/group_commit.py
@@ -1,4 +1,4 @@
-"""Carries many transactions to the store in few counted calls."""
+"""Batches transactions so that many are committed in few counted store calls."""
 
 from __future__ import annotations
 
@@ -23,13 +23,16 @@
 
 MAX_PER_CALL = 64
 MAX_CALLS_AT_ONCE = 4
-"""One call that hangs must not hold up all that come after it."""
+"""More than one, so that a call that hangs does not block all later ones."""
 
 Answer = Result[Committed, StoreError]
 
 
 class GroupCommit:
-    """Sends the first transaction at once; those that follow share calls."""
+    """Sends a first transaction at once and batches those that follow.
+
+    ``choose_interval`` returns the shortest time between the starts of two calls.
+    """
 
     def __init__(
         self,
@@ -48,7 +51,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def commit(self, transaction: Transaction) -> Answer:
-        """Commit one transaction, together with others that wait."""
+        """Commit one transaction, batched with other pending ones."""
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._waiting.append((transaction, future))
         self._call_when_due()
@@ -78,7 +81,7 @@
         self._call_when_due()
 
     def _collect_batch(self) -> list[tuple[Transaction, asyncio.Future[Answer]]]:
-        """Take what goes into one call; no key is written twice by it."""
+        """Remove and return the next batch, in which no key is written twice."""
         batch: list[tuple[Transaction, asyncio.Future[Answer]]] = []
         deferred: deque[tuple[Transaction, asyncio.Future[Answer]]] = deque()
         keys: set[str] = set()
--- a/packages/adapters/src/medlarspring_adapters/http_channel.py
+++ b/packages/adapters/src/medlarspring_adapters/http_channel.py
@@ -1,4 +1,4 @@
-"""Calls to one HTTP address, with the failures that matter told apart."""
+"""Calls to one HTTP address that classify failures by their effect."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
     from medlarspring_tables import Seconds
 
 KEEPALIVE_SECONDS = 12.0
-"""Idle connections are closed by us first: the platform's servers end theirs
-after 15 s, and a request that meets such an end has an unknown outcome."""
+"""Less than the 15 s after which the platform's servers close idle connections: a
+request sent while the server closes the connection has an unknown outcome."""
 CONNECT_SECONDS = 0.4
 """Longest wait for a connection; a round trip in a region takes 3 ms."""
 CLOSE_SECONDS = 0.5
-"""Longest wait for connections to close when the process ends."""
+"""Longest wait for connections to close at shutdown."""
 RETIRED_SECONDS = 3.0
-"""How long calls in flight keep a session that is no longer used."""
+"""Time for which a retired session stays open for its calls in flight."""
 
 
 class NotSent(Exception):
-    """The request never reached the other side; it was certainly not carried out."""
+    """The request did not reach the server and was certainly not carried out."""
 
 
 class NoOpenConnection(NotSent):
-    """No connection was open, and the request was not to open one."""
+    """No connection was open, and the request was not allowed to open one."""
 
 
 class Unanswered(Exception):
-    """The request may have been carried out, now or later; no answer came."""
+    """No answer came; the request may have been carried out or may be later."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpAnswer:
-    """A whole answer."""
+    """A complete HTTP response."""
 
     status: int
     body: bytes
@@ -48,9 +48,9 @@
 class HttpChannel:
     """Connections to one address.
 
-    Something between the two ends may lose track of connections: they stay open
-    and silent while new ones work. All pooled connections are then dead at once
-    and each would cost one timeout. So the first timeout retires them all.
+    A middlebox may drop its connection state: existing connections stay open but
+    pass no data, while new ones work. All pooled connections are then dead at once
+    and each would cost one timeout, so the first timeout retires them all.
     """
 
     def __init__(
@@ -78,8 +78,9 @@
     ) -> HttpAnswer:
         """Make one call; raises ``NotSent`` or ``Unanswered``.
 
-        With ``reuse_only``, where the channel allows it, the call goes over a
-        connection that has carried an answer before, or not at all.
+        With ``reuse_only``, where the channel allows it, the call is made only over a
+        connection that has carried an answer before; without one it raises
+        ``NoOpenConnection``.
         """
         session = self._open_session()
         try:
@@ -104,10 +105,10 @@
             raise Unanswered(f"{self.address}: {reason}") from error
 
     def retire(self) -> None:
-        """Leave all connections behind; they are closed in the background.
+        """Stop using all open connections and close them in the background.
 
-        Closing waits for bytes that a dead peer never takes, so nobody must wait
-        for it whose calls go elsewhere.
+        Closing waits for data that a dead peer never accepts, so callers whose calls
+        go elsewhere must not wait for it.
         """
         if self._session is not None:
             self._retire(self._session)
@@ -115,7 +116,7 @@
     async def close(self) -> None:
         """Close all connections, waiting for at most ``CLOSE_SECONDS``."""
         session, self._session = self._session, None
-        # A task that is cancelled before it has begun would close nothing.
+        # A task that is cancelled before it starts would not close its session.
         await asyncio.sleep(0)
         closing = list(self._retired)
         for task in closing:
--- a/packages/adapters/src/medlarspring_adapters/job_api.py
+++ b/packages/adapters/src/medlarspring_adapters/job_api.py
@@ -8,7 +8,7 @@
 
 
 class JobRequest(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A job as submitted; the same id and content again changes nothing."""
+    """A job to submit; a repeat with the same id and content has no effect."""
 
     id: JobId
     partner_id: PartnerId
@@ -37,7 +37,7 @@
 
 
 class SubmitAnswer(Struct, frozen=True, kw_only=True):
-    """What became of submitted jobs."""
+    """Outcome of a submission."""
 
     accepted: tuple[JobId, ...] = ()
     repeated: tuple[JobId, ...] = ()
@@ -57,16 +57,16 @@
 
 
 class CancelAnswer(Struct, frozen=True, kw_only=True):
-    """What became of a cancellation; repeat it until nothing remains."""
+    """Outcome of a cancellation, to be repeated until ``remaining`` is 0."""
 
     cancelled: int
     already_ended: int
     remaining: int
-    """Not cancelled yet: raced by the holder, or the store did not answer."""
+    """Not cancelled yet: the holder wrote concurrently, or the store did not answer."""
 
 
 class JobView(Struct, frozen=True, kw_only=True):
-    """A job and, while it waits, why."""
+    """A job and, while it waits, the reason."""
 
     job: Job
     waits_for: str = ""
--- a/packages/adapters/src/medlarspring_adapters/job_store.py
+++ b/packages/adapters/src/medlarspring_adapters/job_store.py
@@ -30,22 +30,22 @@
 
 JOBS_PREFIX = "fleet/jobs/"
 MAX_JOBS_PER_CALL = 63
-"""One less than a store call takes, for the audit record."""
+"""One less than the limit of a store call, leaving space for the audit record."""
 
 
 class SaveOutcome(Enum):
-    """What became of one record's write."""
+    """Outcome of one record's write."""
 
     SAVED = "saved"
     CONFLICT = "conflict"
-    """Somebody else wrote the record, or the fence no longer holds."""
+    """The record was changed concurrently, or the fence no longer holds."""
     NOT_APPLIED = "not applied"
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class JobWrite:
-    """A job's new record and the revision it replaces; 0 creates it."""
+    """A job's new record and the revision that it replaces; 0 creates the record."""
 
     job: Job
     expected: Revision
@@ -76,7 +76,7 @@
 
 
 class CreateAudit(Protocol):
-    """Makes the audit record of one batch of writes."""
+    """Creates the audit record of one batch of writes."""
 
     def __call__(self, writes: Sequence[JobWrite]) -> AuditRecord:
         """Return the record."""
@@ -84,7 +84,7 @@
 
 
 class JobStore:
-    """Reads and writes job records, many in one counted call."""
+    """Reads and writes job records, batched into few counted calls."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
@@ -99,9 +99,9 @@
         fence: Expect | None,
         create_audit: CreateAudit | None = None,
     ) -> list[SavedJob]:
-        """Write records, each on its own; the fence is a condition of each.
+        """Write records independently of each other; the fence is a condition of each.
 
-        An audit record of each batch is part of the same store call.
+        The audit record of each batch is part of the same store call.
         """
         saved: list[SavedJob] = []
         for start in range(0, len(writes), MAX_JOBS_PER_CALL):
@@ -119,7 +119,7 @@
         return await self._store.read(job_key(pool_id, job_id))
 
     async def delete(self, writes: Sequence[JobWrite], fence: Expect | None) -> None:
-        """Remove records that have not changed; what is not removed is tried later."""
+        """Remove records that are unchanged; a later call can remove the others."""
         for start in range(0, len(writes), MAX_JOBS_PER_CALL):
             batch = writes[start : start + MAX_JOBS_PER_CALL]
             await self._store.commit_each(
@@ -162,10 +162,10 @@
     unchanged = Expect(job_key(write.job.pool_id, write.job.id), write.expected)
     if fence is None:
         return (unchanged,)
-    # A holder paused past its lease would start jobs that nobody touched since,
-    # beside those its successor started, and the partner's quota would break.
-    # The holder key's revision changes with each holder, so that the late
-    # write is refused.
+    # A holder that was paused until its lease expired would start jobs that are
+    # unchanged since, in addition to those of the next holder, and exceed the
+    # partner's quota. The holder key's revision changes with each holder, so the
+    # late write is refused.
     return (unchanged, fence)
 
 
--- a/packages/adapters/src/medlarspring_adapters/library_log.py
+++ b/packages/adapters/src/medlarspring_adapters/library_log.py
@@ -1,4 +1,4 @@
-"""What libraries log, among the events of the process."""
+"""Forwards log records of libraries to the event log."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 class LibraryHandler(logging.Handler):
-    """Passes what libraries log on as events.
+    """Logs records of libraries as events.
 
-    Their own lines would be bare text between the JSON lines, without a bound.
+    Written directly, they would be plain text between the JSON lines, without a rate
+    limit.
     """
 
     def __init__(self, log: EventLog) -> None:
@@ -22,7 +23,7 @@
         self._log = log
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Pass one line on."""
+        """Log one record as an event."""
         fault = record.exc_info[1] if record.exc_info else None
         self._log.warning(
             Event.LIBRARY_LINE,
@@ -33,7 +34,7 @@
 
 
 def redirect_library_logs(log: EventLog) -> None:
-    """Have all libraries log through ``log`` from now on."""
+    """Redirect the log records of all libraries to ``log``."""
     root = logging.getLogger()
     root.handlers = [LibraryHandler(log)]
 
--- a/packages/adapters/src/medlarspring_adapters/log_output.py
+++ b/packages/adapters/src/medlarspring_adapters/log_output.py
@@ -1,4 +1,4 @@
-"""Log lines that are bounded in number and never block the process."""
+"""Rate-limited log output that never blocks the process."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
     from medlarspring_tables import Seconds
 
 LINES_PER_SECOND = 400.0
-"""Of one event; a controller of 600 tasks a second stays below it on average, and
-a line takes 25 microseconds, so that each event takes 1% of a core at most."""
+"""Limit for each event; a controller of 600 tasks a second stays below it on average,
+and a line takes 25 microseconds, so that each event takes 1% of a core at most."""
 BURST_LINES = 1_200.0
 MAX_WAITING_LINES = 5_000
-"""Lines that wait for a reader that has stopped; about 2 MB."""
+"""Lines queued while the reader does not read; about 2 MB."""
 CLOSE_SECONDS = 0.5
 BATCH_SECONDS = 0.025
-"""Lines of this time are written together: 40 wake-ups and calls a second in place of
-one a line, 800 a second at a turn's peak. A process that loses its power loses so much
-of its log."""
+"""Lines of this period are written together: 40 wake-ups and system calls a second
+instead of one per line, which is 800 a second at the peak of a burst. The lines of
+this period are lost if the machine loses power."""
 
 
 @dataclass(slots=True)
 class Allowance:
-    """Lines that one event may still write, refilled over time."""
+    """Token bucket of one event: lines that it may still write, refilled over time."""
 
     lines: float
     at: Seconds
 
 
 class LineLimiter:
-    """Bounds the lines of each event, and counts what was left out."""
+    """Limits the rate of each event's lines and counts dropped lines."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -46,7 +46,7 @@
         self._dropped_by_event: Counter[int] = Counter()
 
     def may_write(self, event: int) -> bool:
-        """Use up one line of an event; tell whether there was one."""
+        """Use one line of an event's allowance; return whether one was left."""
         now = self._clock.now()
         allowance = self._allowances_by_event.get(event)
         if allowance is None:
@@ -66,17 +66,17 @@
         self._dropped_by_event[event] += 1
 
     def pop_dropped_counts(self) -> dict[int, int]:
-        """Return and forget how many lines were left out, by event."""
+        """Return and reset the number of dropped lines by event."""
         dropped_counts = dict(self._dropped_by_event)
         self._dropped_by_event.clear()
         return dropped_counts
 
 
 class QueuedHandler(logging.Handler):
-    """Hands lines to a thread that writes them; drops them when too many wait.
+    """Queues lines for a writer thread and drops them when the queue is full.
 
-    The reader of the pipe may stop. Written by the event loop itself, the next
-    line would then stop the whole process: no lease would be renewed any more.
+    The reader of the pipe may stop reading. If the event loop wrote the lines, the
+    next one would then block the whole process, and no lease would be renewed.
     """
 
     def __init__(
@@ -106,12 +106,12 @@
             self._drop(getattr(record, "event", 0))
 
     def close(self) -> None:
-        """Write what waits, for a moment at most."""
+        """Write the queued lines, waiting for a bounded time."""
         self._closing.set()
         try:
             self._lines.put(None, timeout=CLOSE_SECONDS)
         except queue.Full:
-            # The reader has stopped; the rest is lost with the process.
+            # The reader has stopped; the remaining lines are lost.
             super().close()
             return
         self._thread.join(CLOSE_SECONDS)
@@ -125,7 +125,7 @@
                 return
 
     def _drain_queue(self) -> tuple[list[bytes], bool]:
-        """Return the lines that wait, and whether nothing comes after them."""
+        """Return the queued lines and whether they are the last ones."""
         lines: list[bytes] = []
         while True:
             try:
@@ -137,13 +137,13 @@
             lines.append(line)
 
     def _write(self, data: bytes) -> bool:
-        """Write all of it; tell whether anybody reads."""
+        """Write all data; return False if the descriptor can't be written to."""
         rest = memoryview(data)
         while rest:
             try:
                 rest = rest[os.write(self._descriptor, rest) :]
             except OSError:
-                # Nobody reads any more; there is nowhere to say so.
+                # The reader has closed the pipe, so the error can't be logged.
                 return False
         return True
 
--- a/packages/adapters/src/medlarspring_adapters/metrics.py
+++ b/packages/adapters/src/medlarspring_adapters/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics sent by statsd over UDP; docs/METRICS.md names them."""
+"""Metric names and the statsd client; docs/METRICS.md describes the metrics."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 
 class StatsdMetrics:
-    """Metrics to a statsd daemon; a lost datagram is not noticed."""
+    """Sends metrics to a statsd daemon over UDP; lost datagrams are not detected."""
 
     def __init__(self, host: str, port: int) -> None:
         self._client = StatsClient(host, port, prefix="medlarspring")
--- a/packages/adapters/src/medlarspring_adapters/operator_api.py
+++ b/packages/adapters/src/medlarspring_adapters/operator_api.py
@@ -1,4 +1,4 @@
-"""What the operator port answers; shared by the daemon and the command line."""
+"""Responses of the operator port, shared by the daemon and the command line."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class TableAnswer(Struct, frozen=True, kw_only=True):
-    """The table, and where it was read."""
+    """The table and the source from which it was read."""
 
     table: ConfigTable
     from_store: bool
-    """False when the store gave no answer and the table in force is shown."""
+    """False if the store did not answer and this is the table in force."""
     entry_vm: EntryVMId
     warning: str = ""
 
@@ -28,15 +28,15 @@
     revision: Revision
     changes: tuple[RowChange, ...]
     repeated: bool
-    """True when the edit had been accepted before under the same id."""
+    """True if the edit was accepted before under the same id."""
     entry_vm: EntryVMId
 
 
 class PlanAnswer(Struct, frozen=True, kw_only=True):
-    """What an import would change; nothing has been changed yet."""
+    """Changes that an import would make; none has been applied yet."""
 
     revision: Revision
-    """Table revision that the difference was made against."""
+    """Table revision with which the import was compared."""
     rows: tuple[RowEdit, ...]
     changes: tuple[RowChange, ...]
 
@@ -46,17 +46,17 @@
 
     records: tuple[AuditRecord, ...]
     next_before: Revision | None = None
-    """Ask again with this as ``before`` for older records."""
+    """Value of ``before`` that requests the next, older records."""
 
 
 class ExplainAnswer(Struct, frozen=True, kw_only=True):
-    """What the entry VMs remember about a subject, oldest first."""
+    """Decisions recorded by the entry VMs on a subject, oldest first."""
 
     decisions: tuple[Decision, ...]
 
 
 class Health(Enum):
-    """How well something works, from best to worst."""
+    """Health levels, from best to worst."""
 
     OK = "ok"
     DEGRADED = "degraded"
@@ -65,7 +65,7 @@
 
 
 class Finding(Struct, frozen=True, kw_only=True):
-    """What one entry VM knows of one of the things it depends on."""
+    """Health of one dependency of an entry VM."""
 
     area: str
     health: Health
@@ -75,7 +75,7 @@
 
 
 class PeerStatus(Struct, frozen=True, kw_only=True):
-    """Another entry VM as this one sees it."""
+    """State of another entry VM, as observed by this one."""
 
     id: EntryVMId
     zone: str
@@ -87,7 +87,7 @@
 
 
 class StatusAnswer(Struct, frozen=True, kw_only=True):
-    """The state of one entry VM as it knows it."""
+    """State of one entry VM, as reported by itself."""
 
     entry_vm: EntryVMId
     zone: str
@@ -96,12 +96,12 @@
     health: Health
     """The worst of the findings."""
     table_revision: Revision | None
-    """None when no table is in force yet; callers are refused as not run."""
+    """None if no table is in force yet; callers' requests are then refused, not run."""
     stopping: bool
     findings: tuple[Finding, ...]
     peers: tuple[PeerStatus, ...]
     held_pools: tuple[str, ...]
-    """Pools whose control work this entry VM does."""
+    """Pools whose control work this entry VM performs."""
     store_calls: dict[str, int]
     """Calls since the start, by mechanism."""
     addresses: dict[str, str]
--- a/packages/adapters/src/medlarspring_adapters/peer_client.py
+++ b/packages/adapters/src/medlarspring_adapters/peer_client.py
@@ -25,9 +25,9 @@
 REFUSED = "connection refused"
 
 CHANNEL_OPTIONS: list[tuple[str, int]] = [
-    # A channel gone silent keeps its TCP connection for many minutes, and every
-    # call on it would time out while new connections work. The ping finds that
-    # out within 12 s and the channel connects afresh.
+    # A channel whose TCP connection no longer passes data keeps it for many minutes,
+    # and every call on it would time out while new connections work. The keepalive
+    # ping detects this within 12 s, and the channel reconnects.
     ("grpc.keepalive_time_ms", KEEPALIVE_MS),
     ("grpc.keepalive_timeout_ms", KEEPALIVE_TIMEOUT_MS),
     ("grpc.http2.max_pings_without_data", 0),
@@ -57,7 +57,7 @@
     code = "peer-unreachable"
 
     def message(self) -> str:
-        """Say what failed and what to do."""
+        """Return what failed and what to do."""
         return (
             f"Entry VM {self.entry_vm_id} was not reached ({self.detail})."
             " Check that it runs and that its peer port is open to this VM."
@@ -76,7 +76,7 @@
     code = "peer-failed"
 
     def message(self) -> str:
-        """Say what failed and what to do."""
+        """Return what failed and what to do."""
         return (
             f"Entry VM {self.entry_vm_id} did not answer ({self.detail})."
             " Check its load, and that all entry VMs share one peer token."
@@ -114,7 +114,7 @@
     async def find_decisions(
         self, query: peer_pb2.DecisionQuery, timeout_seconds: Seconds
     ) -> Result[peer_pb2.DecisionReply, PeerError]:
-        """Ask what the peer remembers of a subject."""
+        """Request the peer's recorded decisions on a subject."""
         return await self._call(self._stub.FindDecisions, query, timeout_seconds)
 
     async def close(self) -> None:
@@ -135,7 +135,7 @@
             task = asyncio.current_task()
             if task is not None and task.cancelling():
                 raise
-            # A channel closed under a call cancels the call, not its task.
+            # Closing a channel cancels its calls, but not the tasks that await them.
             return Failure(PeerFailed(self.entry_vm_id, f"channel closed: {error}"))
 
     def _describe(self, error: grpc.aio.AioRpcError) -> PeerError:
--- a/packages/adapters/src/medlarspring_adapters/peer_server.py
+++ b/packages/adapters/src/medlarspring_adapters/peer_server.py
@@ -19,7 +19,7 @@
 GRACE_SECONDS = 0.5
 
 SERVER_OPTIONS: list[tuple[str, int]] = [
-    # Two daemons on one port would each get a part of the calls.
+    # With SO_REUSEPORT, two daemons on one port would each receive some of the calls.
     ("grpc.so_reuseport", 0),
     ("grpc.keepalive_permit_without_calls", 1),
     ("grpc.http2.min_ping_interval_without_data_ms", MIN_PING_MS),
@@ -37,7 +37,7 @@
         self.listen = listen
 
     def message(self) -> str:
-        """Say what failed and what to do."""
+        """Return what failed and what to do."""
         return (
             f"The peer port {self.listen} could not be opened."
             " End the process that uses it or change [peer] listen."
@@ -45,10 +45,10 @@
 
 
 class PeerHandlers(Protocol):
-    """What the daemon answers to its peers."""
+    """Handlers of the daemon for calls of its peers."""
 
     def exchange(self, report: peer_pb2.Report) -> peer_pb2.Report:
-        """Take a peer's report and return the own one."""
+        """Apply a peer's report and return this entry VM's own report."""
         ...
 
     def grant_slots(self, request: peer_pb2.SlotRequest) -> peer_pb2.SlotReply:
@@ -56,20 +56,20 @@
         ...
 
     def fetch_table(self, request: peer_pb2.TableRequest) -> peer_pb2.TableReply:
-        """Return the table in force if it is newer than the asker's."""
+        """Return the table in force if it is newer than the requester's."""
         ...
 
     def find_decisions(self, query: peer_pb2.DecisionQuery) -> peer_pb2.DecisionReply:
-        """Return what is remembered about a subject."""
+        """Return the recorded decisions on a subject."""
         ...
 
     def record_wrong_token(self) -> None:
-        """Learn that a call was refused for its token."""
+        """Record that a call was refused because of its token."""
         ...
 
 
 class _Servicer(peer_pb2_grpc.PeerServicer):
-    """Hands each call to the daemon; all answers are made without waiting."""
+    """Passes each call to the daemon's handlers, all of which are synchronous."""
 
     def __init__(self, handlers: PeerHandlers) -> None:
         self._handlers = handlers
@@ -115,7 +115,7 @@
 
 
 class PeerServer:
-    """The open peer port."""
+    """Server of the peer port."""
 
     def __init__(self, listen: str, token: str, handlers: PeerHandlers) -> None:
         self._listen = listen
@@ -125,7 +125,7 @@
 
     async def start(self) -> str:
         """Open the port; returns its real ``ip:port``."""
-        # Made here, since a server belongs to the loop that runs at the time.
+        # Created here because a server is bound to the event loop that is running.
         server = grpc.aio.server(
             interceptors=[_TokenCheck(self._token, self._handlers)],
             options=SERVER_OPTIONS,
@@ -143,7 +143,7 @@
         return f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Close the port; calls in flight get a short while."""
+        """Close the port; calls in flight have ``GRACE_SECONDS`` to finish."""
         if self._server is not None:
             await self._server.stop(GRACE_SECONDS)
 
--- a/packages/adapters/src/medlarspring_adapters/prefix_follower.py
+++ b/packages/adapters/src/medlarspring_adapters/prefix_follower.py
@@ -1,4 +1,4 @@
-"""Follows all keys under a prefix: one listing, then a watch from there on."""
+"""Follows all keys under a prefix with a listing and a watch from its revision on."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 
 class PrefixListener(Protocol):
-    """Takes over what the store holds under a prefix."""
+    """Receives the store's entries under a prefix."""
 
     def apply_listing(self, listing: Listing) -> None:
-        """Take all entries; what is not among them is gone."""
+        """Replace all entries with those of a listing."""
         ...
 
     def apply_batch(self, batch: WatchBatch) -> None:
-        """Take changes since the last call."""
+        """Apply the changes since the last call."""
         ...
 
 
 class PrefixFollower:
-    """Keeps a listener current until it is stopped."""
+    """Keeps a listener up to date until ``stop`` is called."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to follow; nothing happens if that has begun already."""
+        """Start to follow the prefix; has no effect if already started."""
         if self._task is None:
             self._task = asyncio.create_task(self._run())
 
@@ -73,8 +73,8 @@
                 listing = listed.unwrap()
                 self._listener.apply_listing(listing)
                 await self._watch(listing.revision)
-            # All followers lose the store at once; without jitter they would
-            # all read whole prefixes in the moment in which it comes back.
+            # All followers lose the store at once; without jitter they would all
+            # list their prefixes at the moment at which it is available again.
             await asyncio.sleep(retry_seconds * self._rng.uniform(0.5, 1.5))
             retry_seconds = min(2 * retry_seconds, MAX_RETRY_SECONDS)
 
--- a/packages/adapters/src/medlarspring_adapters/problems.py
+++ b/packages/adapters/src/medlarspring_adapters/problems.py
@@ -1,4 +1,4 @@
-"""Refusals as ``application/problem+json``."""
+"""Encodes refusals as ``application/problem+json``."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The document that callers and their machines read."""
+    """Problem document of a refused request."""
 
     type: str
     title: str
@@ -32,7 +32,7 @@
 
 
 def encode_problem(refusal: Refusal, request_id: RequestId) -> bytes:
-    """Return the document of one refusal."""
+    """Return the problem document of a refusal."""
     kind = refusal.kind
     problem = Problem(
         type=TYPE_PREFIX + kind.code,
@@ -48,7 +48,7 @@
 
 
 def create_problem_response(refusal: Refusal, request_id: RequestId) -> web.Response:
-    """Return the HTTP answer of one refusal."""
+    """Return the HTTP response of a refusal."""
     headers = {"Request-Id": request_id, "Content-Type": CONTENT_TYPE}
     retry_after = _whole_seconds(refusal)
     if retry_after is not None:
--- a/packages/adapters/src/medlarspring_adapters/prometheus_metrics.py
+++ b/packages/adapters/src/medlarspring_adapters/prometheus_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics kept in the process and read as text from the metrics address."""
+"""In-process metrics, exposed in Prometheus text format."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     1.0, 2.5, 5.0, 10.0, 25.0, 50.0, 100.0, 250.0, 500.0,
     1_000.0, 2_500.0, 5_000.0, 10_000.0, 30_000.0,
 )  # fmt: skip
-"""From a call in the zone to a job that waited through a takeover."""
+"""Range from a call within the zone to a job that waits for a takeover."""
 
 
 class PrometheusMetrics:
--- a/packages/adapters/src/medlarspring_adapters/store.py
+++ b/packages/adapters/src/medlarspring_adapters/store.py
@@ -1,8 +1,8 @@
-"""The platform's key-value service as the product sees it.
+"""Interface of the platform's key-value service.
 
-One module per real service implements ``Store``; tests use a fake in memory.
-Every call that can fail returns a ``Result``, so that no caller can overlook
-the difference between "not applied" and "perhaps applied".
+One module per real service implements ``Store``; tests use an in-memory fake.
+Every call that can fail returns a ``Result``, so that callers have to distinguish
+calls that had no effect from those that may have had one.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class StoreUnavailable(StoreError):
-    """The call certainly had no effect."""
+    """The call failed and certainly had no effect."""
 
     code = "store-unavailable"
 
@@ -34,7 +34,7 @@
         self.detail = detail
 
     def message(self) -> str:
-        """Say what failed and what to do."""
+        """Return what failed and what to do."""
         return (
             f"The store did not take the call ({self.detail})."
             " Nothing was changed; check [store] endpoints and try again."
@@ -42,12 +42,12 @@
 
 
 class LeaseGone(StoreUnavailable):
-    """The store does not know the lease any more; nothing was changed."""
+    """The lease no longer exists in the store; nothing was changed."""
 
     code = "store-lease-gone"
 
     def message(self) -> str:
-        """Say what failed and what to do."""
+        """Return what failed and what to do."""
         return (
             f"The lease has lapsed ({self.detail}). Nothing was changed; repeat the"
             " command, which takes a new lease."
@@ -55,12 +55,12 @@
 
 
 class StoreOverBudget(StoreUnavailable):
-    """This process keeps to its budget of calls; the store was not asked."""
+    """This process has used up its call budget; the call was not sent."""
 
     code = "store-over-budget"
 
     def message(self) -> str:
-        """Say what failed and what to do."""
+        """Return what failed and what to do."""
         return (
             f"This entry VM has used up its store calls ({self.detail})."
             " Nothing was changed; repeat the command in a few seconds, or at"
@@ -69,7 +69,7 @@
 
 
 class StoreOutcomeUnknown(StoreError):
-    """The call may have taken effect; only a later read tells."""
+    """The call may have taken effect; only a later read can show it."""
 
     code = "store-outcome-unknown"
 
@@ -78,7 +78,7 @@
         self.detail = detail
 
     def message(self) -> str:
-        """Say what failed and what to do."""
+        """Return what failed and what to do."""
         return (
             f"The store's answer was lost ({self.detail})."
             " Repeat the command with the same id: it is applied once."
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One key as it stands in the store."""
+    """One key and its current value in the store."""
 
     key: str
     value: bytes
@@ -139,18 +139,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """What became of one transaction."""
+    """Outcome of one transaction."""
 
     succeeded: bool
     revision: Revision
-    """Store revision after the call; the mod revision of what was written."""
+    """Store revision after the call; the mod revision of the written keys."""
     read_by_key: dict[str, Entry]
-    """Entries asked for by ``read_on_failure``; absent keys are left out."""
+    """Entries requested by ``read_on_failure``; absent keys are omitted."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchBatch:
-    """Changes of one store revision or of several, oldest first."""
+    """Changes of one or more store revisions, oldest first."""
 
     revision: Revision
     changed: tuple[Entry, ...]
@@ -175,9 +175,9 @@
     async def commit_each(
         self, transactions: Sequence[Transaction]
     ) -> Result[list[Committed], StoreError]:
-        """Decide many transactions on their own in one counted call.
+        """Commit many independent transactions in one counted call.
 
-        No two of them may write the same key; at most 64 per call.
+        At most 64 per call; no two transactions may write the same key.
         """
         ...
 
@@ -186,7 +186,7 @@
         ...
 
     async def keep_lease(self, lease_id: LeaseId) -> Result[float, StoreError]:
-        """Renew a lease; returns the seconds left, 0 when it has lapsed."""
+        """Renew a lease; returns the seconds left, 0 if it has expired."""
         ...
 
     async def revoke_lease(self, lease_id: LeaseId) -> Result[None, StoreError]:
@@ -196,8 +196,8 @@
     def watch(self, prefix: str, start: Revision) -> AsyncIterator[WatchBatch]:
         """Yield changes from revision ``start`` on.
 
-        The iterator ends when the connection fails or stays silent too long;
-        the caller reads the prefix again and watches from there.
+        The iterator ends when the connection fails or receives nothing for too long;
+        the caller then lists the prefix again and watches from that revision on.
         """
         ...
 
--- a/packages/adapters/src/medlarspring_adapters/store_meter.py
+++ b/packages/adapters/src/medlarspring_adapters/store_meter.py
@@ -1,8 +1,8 @@
-"""Counts and bounds the store calls of this process by mechanism.
+"""Counts the store calls of this process and limits their rate by mechanism.
 
-The platform counts each call, and its service takes some hundred writes and
-two thousand reads a second for everybody. Each mechanism has a budget of its
-own, so that one in trouble cannot take the calls of the others.
+The platform counts each call, and its service handles some hundred writes and two
+thousand reads a second for all clients together. Each mechanism has a budget of its
+own, so that one that makes too many calls cannot use up those of the others.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class Mechanism(Enum):
-    """What a store call is for."""
+    """Purpose of a store call."""
 
     CONFIGURATION = "configuration"
     EDITS = "edits"
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class Bucket:
-    """Calls that one mechanism may make now, refilled over time."""
+    """Token bucket with the calls that one mechanism may still make."""
 
     rate: float
     tokens: float
@@ -101,13 +101,13 @@
 
 @dataclass(slots=True)
 class StoreCalls:
-    """What this process asked of the store, for status and metrics."""
+    """Counts and state of this process's store calls, for status and metrics."""
 
     calls_by_mechanism: dict[Mechanism, int] = field(default_factory=dict)
     over_budget_by_mechanism: dict[Mechanism, int] = field(default_factory=dict)
     answered_at: Seconds | None = None
     failing_since: Seconds | None = None
-    """When the first call failed that no answered call has followed."""
+    """Time of the first failed call since the last successful one."""
 
 
 @runtime_checkable
@@ -120,7 +120,7 @@
 
 
 class MeteredStore:
-    """Passes calls on to a store, counts them and keeps to the budgets."""
+    """Forwards calls to a store, counts them and enforces the budgets."""
 
     def __init__(self, inner: Store, clock: Clock) -> None:
         self._inner = inner
@@ -134,13 +134,13 @@
         }
 
     def with_mechanism(self, mechanism: Mechanism) -> MeteredStore:
-        """Return the same store with all calls counted for one mechanism."""
+        """Return a view of this store that counts all calls for one mechanism."""
         view = copy.copy(self)
         view._fixed_mechanism = mechanism
         return view
 
     def failing_seconds(self) -> Seconds:
-        """Return for how long the store has not answered; 0 while it does."""
+        """Return the time since the store stopped answering; 0 while it answers."""
         if self.calls.failing_since is None:
             return 0.0
         return max(self._clock.now() - self.calls.failing_since, 0.001)
@@ -166,7 +166,7 @@
     async def commit_each(
         self, transactions: Sequence[Transaction]
     ) -> Result[list[Committed], StoreError]:
-        """Decide many transactions on their own in one counted call."""
+        """Commit many independent transactions in one counted call."""
         mechanism = _classify_write(transactions[0])
         return await self._forward(mechanism, self._inner.commit_each, transactions)
 
@@ -179,12 +179,12 @@
         return await self._forward(Mechanism.LEASES, self._inner.keep_lease, lease_id)
 
     async def revoke_lease(self, lease_id: LeaseId) -> Result[None, StoreError]:
-        """End a lease; never held back, since others wait for its keys."""
+        """End a lease; not limited by the budget, since others wait for its keys."""
         self._count(Mechanism.LEASES)
         return self._record_outcome(await self._inner.revoke_lease(lease_id))
 
     async def watch(self, prefix: str, start: Revision) -> AsyncIterator[WatchBatch]:
-        """Yield changes; the open watch counts as one call, as each renewal."""
+        """Yield changes; opening a watch counts as one call, as does each reopening."""
         mechanism = _classify(prefix)
         if not self._may_call(mechanism):
             return
@@ -239,13 +239,13 @@
 
 
 def _classify_write(transaction: Transaction) -> Mechanism:
-    """Name the mechanism by the first write, or condition if nothing is written."""
+    """Return the mechanism of the first write, else of the first condition."""
     keys = [write.key for write in transaction.writes]
     keys += [expect.key for expect in transaction.expects]
     if not keys:
         return Mechanism.OTHER
     mechanism = _classify(keys[0])
-    # The table is read for distribution and written by editors only.
+    # The table is read for distribution and written only by edits.
     return Mechanism.EDITS if mechanism is Mechanism.CONFIGURATION else mechanism
 
 
--- a/packages/adapters/src/medlarspring_adapters/upstream_connections.py
+++ b/packages/adapters/src/medlarspring_adapters/upstream_connections.py
@@ -1,4 +1,4 @@
-"""Connections kept open to upstream VMs: how many, how long, how idle."""
+"""Connection pool for upstream VMs with limits on count, age and idle time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class UpstreamConnection(ResponseHandler):
-    """A connection that knows its age."""
+    """A connection that records when it was opened."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
@@ -29,7 +29,7 @@
 
 
 class UpstreamConnector(aiohttp.TCPConnector):
-    """Keeps few, young and lately used connections, and only clean ones."""
+    """Pools connections within the limits and discards those with unexpected data."""
 
     def __init__(self) -> None:
         super().__init__(
@@ -38,13 +38,13 @@
         factory = partial(UpstreamConnection, loop=self._loop)
         self._factory = cast("partial[ResponseHandler]", factory)
         self.idle_by_address: dict[tuple[str, int | None], int] = {}
-        """How many idle connections each ``(ip, port)`` may have."""
+        """Most idle connections of each ``(ip, port)``."""
 
     def drop_idle(self, address: str) -> None:
         """Close the idle connections to an upstream VM.
 
-        When one connection has gone silent, those opened before it mostly have
-        too. Each would cost one more request its time to find out.
+        When one connection no longer passes data, most of those opened before it do
+        not either, and each would cost a further request its timeout.
         """
         for key in list(self._conns):
             if f"{key.host}:{key.port}" == address:
@@ -55,8 +55,8 @@
         kept = self._conns.get(key)
         while kept:
             protocol = kept[0][0]
-            # A late or second answer may have arrived while nobody waited. On
-            # a reused connection the next caller would be given it.
+            # A late or second answer may have arrived on the idle connection. If it
+            # were reused, the next caller would receive that answer.
             if not protocol.should_close and not self._is_old(protocol):
                 break
             kept.popleft()
--- a/packages/adapters/src/medlarspring_adapters/upstream_http.py
+++ b/packages/adapters/src/medlarspring_adapters/upstream_http.py
@@ -1,4 +1,4 @@
-"""Requests to upstream VMs: connections, failures by their proof, answers."""
+"""Client for requests to upstream VMs; classifies failures by possible delivery."""
 
 from __future__ import annotations
 
@@ -34,15 +34,16 @@
         "upgrade",
     }
 )
-"""Headers that concern one connection and are never passed on."""
+"""Hop-by-hop headers, which are never forwarded."""
 
 CONNECT_TIMEOUT = aiohttp.ClientTimeout(total=None, sock_connect=1.0)
-"""The library's own timers are left out but for connecting: a second set of
-timers for each request costs more than the whole admission."""
+"""Only the library's connect timeout is used: a second set of timers for each request
+costs more than the whole admission."""
 STALE_CONNECTION_SECONDS = 5.0
-"""After its connections were closed, a VM answers for its silence so long."""
+"""For this time after a VM's idle connections were closed, a timeout on a new
+connection is attributed to the VM instead of the connection."""
 STATE_HEADER = "Upstream-State"
-"""Set by an upstream VM that refuses work, with why: ``full`` or ``leaving``."""
+"""Set by an upstream VM that refuses work to the reason: ``full`` or ``leaving``."""
 ID_HEADER = "Request-Id"
 
 
@@ -50,16 +51,16 @@
 
 
 class DeliveryStatus(Enum):
-    """What is known of a request that failed."""
+    """Whether a failed request may have been sent."""
 
     NOT_SENT = "no"
-    """No byte left this process: it was certainly not run."""
+    """No data was sent, so the request was certainly not run."""
     POSSIBLY_SENT = "perhaps"
 
 
 @dataclass(slots=True)
 class OutgoingRequest:
-    """One request as it goes to one upstream VM."""
+    """One request to one upstream VM."""
 
     address: str
     method: str
@@ -67,11 +68,11 @@
     headers: CIMultiDict[str]
     body: bytes
     header_timeout: Seconds
-    """For the answer's headers."""
+    """Timeout in seconds for the response headers."""
 
 
 class UpstreamFault(MedlarspringError):
-    """The upstream gave no usable answer."""
+    """The upstream VM gave no usable answer."""
 
     code = "upstream"
 
@@ -88,15 +89,15 @@
         self.detail = detail
         self.timed_out = timed_out
         self.old_connection = old_connection
-        """The connection may be at fault rather than the upstream VM."""
+        """Whether a stale connection may be the cause instead of the upstream VM."""
 
     def message(self) -> str:
-        """Say what failed and what to do."""
+        """Return what failed and what to do."""
         return f"The upstream VM gave no answer ({self.detail}); check its process."
 
 
 class UpstreamClient:
-    """One process's connections to all upstream VMs."""
+    """This process's connections to all upstream VMs."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -115,7 +116,7 @@
     async def send(
         self, sending: OutgoingRequest, *, fresh: bool
     ) -> Result[aiohttp.ClientResponse, UpstreamFault]:
-        """Send a request and return once the answer's headers are in."""
+        """Send a request and return when the response headers have arrived."""
         session = self._fresh if fresh else self._pooled
         began = self._clock.now()
         try:
@@ -147,10 +148,10 @@
         return _check_answer(response, sending)
 
     def _check_stale_connections(self, address: str, began: Seconds) -> bool:
-        """Whether a request that got no answer may have met a silent connection.
+        """Return whether a stale connection may have caused a timeout.
 
-        The idle connections of the upstream VM are closed then. Requests sent
-        after that went over new ones: their silence is the VM's own.
+        If so, the idle connections of the upstream VM are closed. Requests sent after
+        that use new connections, so their timeouts are attributed to the VM.
         """
         dropped_at = self._dropped_at_by_address.get(address, float("-inf"))
         if began <= dropped_at:
@@ -165,10 +166,10 @@
 async def read_answer(
     response: aiohttp.ClientResponse, timeout: Seconds
 ) -> Result[bytes, UpstreamFault]:
-    """Read an answer's whole body; one that ends early is a fault."""
+    """Read the whole body of a response; a truncated body is a fault."""
     try:
         if response.content.is_eof():
-            # It came with the headers, as small answers do.
+            # The body of a small response arrives with its headers.
             return Success(await response.read())
         async with asyncio.timeout(timeout):
             return Success(await response.read())
@@ -190,11 +191,11 @@
 def _check_answer(
     response: aiohttp.ClientResponse, sending: OutgoingRequest
 ) -> Result[aiohttp.ClientResponse, UpstreamFault]:
-    """Refuse answers that are not certainly the whole answer to this request."""
+    """Reject a response that may be incomplete or belong to another request."""
     answered_id = response.headers.get(ID_HEADER)
     if answered_id is not None and answered_id != sending.headers[ID_HEADER]:
-        # An upstream that answers twice, or late on a reused connection, would
-        # hand one caller the answer of another. The id it echoes tells.
+        # An upstream that answers twice, or late on a reused connection, would give
+        # one caller the answer of another. The echoed request id reveals this.
         response.close()
         return Failure(
             UpstreamFault(
@@ -204,8 +205,8 @@
             )
         )
     if _has_no_end(response, sending.method):
-        # Without a length or chunks the end of the connection is the end of
-        # the body, and a cut answer looks like a whole one.
+        # Without a length or chunked encoding, the body ends with the connection,
+        # and a truncated response cannot be told from a complete one.
         response.close()
         return Failure(
             UpstreamFault(
@@ -231,15 +232,15 @@
         auto_decompress=False,
         skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
     )
-    # aiohttp sends PUT and DELETE a second time by itself when a connection
-    # breaks; the caller would see one answer and the upstream two runs. All
-    # repeats are decided by the retry system, so this one is switched off.
+    # aiohttp repeats PUT and DELETE by itself when a connection breaks; the caller
+    # would see one answer and the upstream would run the request twice. The retry
+    # system decides about all repeats, so aiohttp's is disabled.
     session._retry_connection = False
     return session
 
 
 def copy_answer_headers(headers: CIMultiDictProxy[str]) -> CIMultiDict[str]:
-    """Return the headers of an answer that are passed on to the caller."""
+    """Return the headers of a response that are forwarded to the caller."""
     copied: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
         if name.lower() not in HOP_HEADERS:
--- a/packages/adapters/src/medlarspring_adapters/vm_control.py
+++ b/packages/adapters/src/medlarspring_adapters/vm_control.py
@@ -1,7 +1,7 @@
-"""The platform's control of VMs: what they do, drain, reboot, restore, assign.
+"""Client of the platform's VM control: read, drain, reboot, restore and assign VMs.
 
-Each action carries the revision of the record that intends it. The platform
-refuses an action older than one it has accepted for the VM, and repeats none.
+Each action carries the revision of the record that requests it. The platform refuses
+an action that is older than one it has accepted for the VM, and executes none twice.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class VMControlError(MedlarspringError):
-    """The platform did not confirm what was asked."""
+    """The platform did not confirm the request."""
 
 
 class VMControlUnreachable(VMControlError):
@@ -35,7 +35,7 @@
         self.detail = detail
 
     def message(self) -> str:
-        """Say what failed and what follows."""
+        """Return what failed and what happens next."""
         return (
             f"The platform's VM control gave no answer ({self.detail}). The action"
             " is asked again with the same revision; check [vm_control] url."
@@ -53,7 +53,7 @@
         self.reason = reason
 
     def message(self) -> str:
-        """Say what was refused and what follows."""
+        """Return what was refused and what happens next."""
         return (
             f"The platform refused an action on VM {self.vm_id}: {self.reason}."
             " The VM's record is read again; nothing has to be done."
@@ -61,12 +61,12 @@
 
 
 class VMControl(Protocol):
-    """Shows VMs and changes what they do."""
+    """Reads the state of VMs and requests actions on them."""
 
     async def read_vms(
         self, pool_ids: Collection[PoolId], vm_ids: Collection[VMId]
     ) -> Result[list[VMObservation], VMControlError]:
-        """Return the VMs that the platform holds in the pools, and the named ones."""
+        """Return the VMs that the platform lists for the pools, and the named ones."""
         ...
 
     async def act(
@@ -76,7 +76,7 @@
         revision: Revision,
         pool_id: PoolId | None = None,
     ) -> Result[VMObservation, VMControlError]:
-        """Ask for an action, idempotent by revision; ``pool_id`` is for assign."""
+        """Request an action, idempotent by revision; ``pool_id`` is for assign."""
         ...
 
 
@@ -102,7 +102,7 @@
 
 
 class HttpVMControl:
-    """The client of a VM control that speaks JSON over HTTP."""
+    """Implements ``VMControl`` with JSON over HTTP."""
 
     def __init__(self, url: str, timeout_seconds: float = 2.0) -> None:
         self._url = url.rstrip("/")
@@ -138,7 +138,7 @@
         revision: Revision,
         pool_id: PoolId | None = None,
     ) -> Result[VMObservation, VMControlError]:
-        """Ask for one action on one VM."""
+        """Request one action on one VM."""
         document: dict[str, object] = {"revision": revision}
         if pool_id is not None:
             document["pool"] = pool_id
--- a/packages/adapters/src/medlarspring_adapters/vm_lifecycle.py
+++ b/packages/adapters/src/medlarspring_adapters/vm_lifecycle.py
@@ -1,4 +1,4 @@
-"""The platform's control of VMs, as the scheduling of jobs sees it."""
+"""Interface of the platform's VM control as used by job scheduling."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class VMRefusal(Enum):
-    """Why the platform did not carry an operation out."""
+    """Reason for which the platform did not carry out an operation."""
 
     FENCE = "fence"
     BUSY = "busy"
-    """The VM is not up, or leaves."""
+    """The VM is not up or is leaving."""
     NOT_IN_WAVE = "not-in-wave"
     INVALID = "invalid"
-    """No such VM, or the pool is not for it."""
+    """The VM does not exist, or the pool does not accept it."""
     OVER_RATE = "over-rate"
 
 
@@ -36,10 +36,10 @@
         super().__init__(detail)
         self.detail = detail
         self.may_follow = may_follow
-        """Whether the operation may have been carried out, or may be later."""
+        """Whether the operation may have been carried out or may be later."""
 
     def message(self) -> str:
-        """Say what failed and what happens next."""
+        """Return what failed and what happens next."""
         return (
             f"The platform's VM control did not answer ({self.detail})."
             " The list of VMs is read before anything is repeated."
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Authority:
-    """On whose word an operation is done."""
+    """Lease holder that requests an operation, and its fencing token."""
 
     holder: str
     fence: Fence
@@ -64,13 +64,13 @@
     async def move(
         self, vm_id: VMId, pool_id: PoolId, authority: Authority
     ) -> Result[VMRefusal | None, VMControlUnresponsive]:
-        """Move a VM to a pool; all that runs on it ends at once."""
+        """Move a VM to a pool; all runs on it end at once."""
         ...
 
     async def maintain(
         self, vm_id: VMId, wave_id: WaveId, authority: Authority
     ) -> Result[VMRefusal | None, VMControlUnresponsive]:
-        """Take a VM down for its maintenance; all that runs on it ends at once."""
+        """Take a VM down for its maintenance; all runs on it end at once."""
         ...
 
 
--- a/packages/adapters/src/medlarspring_adapters/vm_list.py
+++ b/packages/adapters/src/medlarspring_adapters/vm_list.py
@@ -31,7 +31,7 @@
 
 
 class Labels(Struct):
-    """Labels of one target; all strings, as published."""
+    """Labels of one target; all values are strings, as published."""
 
     id: str
     role: str = "upstream"
@@ -55,7 +55,7 @@
 
 
 class VMListUnavailable(MedlarspringError):
-    """The list gave no usable answer; the last one goes on to be used."""
+    """The list could not be read; the previous one stays in use."""
 
     code = "vm-list-unavailable"
 
@@ -64,7 +64,7 @@
         self.detail = detail
 
     def message(self) -> str:
-        """Say what failed and what to do."""
+        """Return what failed and what to do."""
         return (
             f"The VM list gave no usable answer ({self.detail})."
             " The last one stays in use; check [vm_list] url."
@@ -72,7 +72,7 @@
 
 
 class VMListClient:
-    """Reads the list with one GET each time."""
+    """Reads the list with one GET request per call."""
 
     def __init__(self, url: str, timeout_seconds: Seconds) -> None:
         self._url = url
@@ -81,10 +81,10 @@
         """Size of the last answer's body as it was sent."""
 
     async def read(self, now: Seconds) -> Result[VMList, VMListUnavailable]:
-        """Return the list; a connection is made for each read.
+        """Return the list, read over a new connection.
 
-        Reads are seconds apart, and a kept connection that has gone silent
-        would cost a timeout while a new one works.
+        Reads are seconds apart, and a kept connection that no longer passes data would
+        cost a timeout while a new one works.
         """
         timeout = aiohttp.ClientTimeout(total=self._timeout_seconds)
         try:
@@ -104,7 +104,7 @@
 
 
 def parse_vm_list(content: bytes, now: Seconds) -> Result[VMList, VMListUnavailable]:
-    """Return the rows of one answer; one unreadable row spoils only itself."""
+    """Parse a response; rows that can't be read are skipped."""
     try:
         groups = msgspec.json.decode(content, type=list[msgspec.Raw])
     except (msgspec.MsgspecError, ValueError) as error:
--- a/packages/adapters/src/medlarspring_adapters/worker_control.py
+++ b/packages/adapters/src/medlarspring_adapters/worker_control.py
@@ -1,4 +1,4 @@
-"""The platform's workers: they run tasks under leases and report on them."""
+"""Client of the platform's workers, which run tasks under leases and report on them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class TaskState(Enum):
-    """What a worker says of a task."""
+    """State of a task, as reported by its worker."""
 
     RUNNING = "running"
     SUCCEEDED = "succeeded"
@@ -25,23 +25,23 @@
     CHECKPOINTED = "checkpointed"
     OUT_OF_MEMORY = "out-of-memory"
     STOPPED = "stopped"
-    """Stopped by order, or because its lease ran out."""
+    """Stopped by order, or because its lease expired."""
 
 
 class TaskOrder(Struct, frozen=True, kw_only=True):
-    """Start an attempt of a job; the same order again changes nothing."""
+    """Start an attempt of a job; a repeat of the same order has no effect."""
 
     job_id: JobId
     attempt: int
     size: Size
     declared_seconds: float
     lease_seconds: float
-    """The worker stops the task when it is not renewed for this long."""
+    """The worker stops the task if its lease is not renewed within this time."""
     checkpoint: str = ""
 
 
 class TaskReport(Struct, frozen=True, kw_only=True):
-    """A worker's word on one attempt; use lags behind."""
+    """A worker's report on one attempt; the usage figures lag behind."""
 
     job_id: JobId
     attempt: int
@@ -59,7 +59,7 @@
 
 
 class RenewalRequest(Struct, frozen=True, kw_only=True):
-    """Renew leases and drop ended tasks whose end is on record."""
+    """Renew leases, and drop ended tasks whose end is recorded."""
 
     lease_seconds: float
     renewals: tuple[Renewal, ...] = ()
@@ -67,7 +67,7 @@
 
 
 class RenewalReply(Struct, frozen=True):
-    """All tasks that the worker knows, ended ones included."""
+    """All tasks that the worker knows, including ended ones."""
 
     reports: tuple[TaskReport, ...] = ()
 
@@ -97,7 +97,7 @@
         self.detail = detail
 
     def message(self) -> str:
-        """Say what failed and what happens next."""
+        """Return what failed and what happens next."""
         return (
             f"Worker {self.address} did not answer ({self.detail})."
             " The order is repeated; look at the VM if this goes on."
@@ -105,12 +105,12 @@
 
 
 class WorkerRefused(WorkerError):
-    """The worker knows that the attempt ended, or a newer one."""
+    """The worker refused: the attempt has ended, or a newer one is known."""
 
     code = "worker-refused"
 
     def message(self) -> str:
-        """Say what happened and what happens next."""
+        """Return what was refused and what happens next."""
         return (
             f"Worker {self.address} refused the attempt ({self.detail})."
             " The job is placed again under a new attempt."
@@ -121,13 +121,13 @@
     """Orders to workers by address; every order may be repeated."""
 
     async def start(self, address: str, order: TaskOrder) -> Result[None, WorkerError]:
-        """Start an attempt; refused when it ended here or a newer one is known."""
+        """Start an attempt; refused if it has ended or a newer one is known."""
         ...
 
     async def stop(
         self, address: str, job_id: JobId, order: StopOrder
     ) -> Result[None, WorkerError]:
-        """Begin to stop an attempt; its end comes with a later renewal."""
+        """Begin to stop an attempt; a later renewal reports its end."""
         ...
 
     async def throttle(
@@ -144,7 +144,7 @@
 
 
 class HttpWorkerControl:
-    """Worker control over HTTP with JSON bodies."""
+    """Implements ``WorkerControl`` over HTTP with JSON bodies."""
 
     def __init__(self, session: aiohttp.ClientSession, timeout: float) -> None:
         self._session = session
--- a/packages/adapters/src/medlarspring_adapters/worker_orders.py
+++ b/packages/adapters/src/medlarspring_adapters/worker_orders.py
@@ -1,4 +1,4 @@
-"""Orders to workers, as the product sees them; an adapter carries them out."""
+"""Interface for orders to workers; the platform's adapter implements it."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class Refusal(Enum):
-    """Why a worker did not carry an order out; it certainly has not."""
+    """Reason for which a worker refused an order; the order had no effect."""
 
     FENCE = "fence"
-    """A controller with a higher fence has been there."""
+    """The worker has seen an order with a higher fencing token."""
     OLD = "old"
-    """A run with this or a higher number was ended or stopped there."""
+    """A run with this or a higher number has ended or was stopped on the worker."""
     LATE = "late"
     """The order arrived after its own time limit."""
     ROOM = "room"
@@ -35,7 +35,7 @@
     OTHER_WORKER = "other-life"
     """Another worker answers at the address."""
     UNHEALTHY = "unhealthy"
-    """The worker turns work away for now."""
+    """The worker temporarily refuses work."""
     INVALID = "invalid"
 
 
@@ -49,10 +49,10 @@
         self.worker_id = worker_id
         self.detail = detail
         self.may_follow = may_follow
-        """Whether the order may have been carried out, or may be later."""
+        """Whether the order may have been carried out or may be later."""
 
     def message(self) -> str:
-        """Say what failed and what happens next."""
+        """Return what failed and what happens next."""
         return (
             f"Worker {self.worker_id} did not answer ({self.detail})."
             " It is asked again; look at its VM if this goes on."
@@ -75,7 +75,7 @@
     run: int
     payload: str
     not_after_ms: Milliseconds
-    """Worker's clock: a later start is refused; also extends its lease."""
+    """By the worker's clock: a later start is refused; also extends the lease."""
     fence: Fence
     checkpoint: str = ""
     ticket: str = ""
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopOrder:
-    """Stop one run; a run that is not there yet is refused from then on."""
+    """Stop one run; if it has not started yet, its start is refused from then on."""
 
     task_id: str
     run: int
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PaceOrder:
-    """Let a run work at a part of its speed."""
+    """Limit a run to a percentage of its full speed."""
 
     task_id: str
     run: int
@@ -102,22 +102,22 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldOrder:
-    """Extend the lease of all that runs, and ask what runs and what ended."""
+    """Extend the lease of all runs, and request the running and the ended runs."""
 
     fence: Fence
     acknowledged: int
     """Ends up to this number are recorded and may be forgotten.
 
-    Told only over the connection that carried the last answer to a hold: a worker
-    that started again under its id counts its ends anew, and only the connection
-    tells one life from the next.
+    Sent only over the connection that carried the last answer to a hold: a worker
+    that restarts under its id numbers its ends from 1 again, and only the connection
+    identifies its incarnation.
     """
     lease_until_ms: Milliseconds
-    """Worker's clock; 0 extends nothing."""
+    """By the worker's clock; 0 does not extend the lease."""
     wait_ms: Milliseconds = 0
-    """The answer waits so long for an end."""
+    """Longest time for which the worker waits for an end before it answers."""
     aside: bool = False
-    """Asked beside another hold; such a one acknowledges nothing."""
+    """Whether another hold may be in flight; this one then acknowledges nothing."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,7 +125,7 @@
     """A worker's answer to a start, stop or pace."""
 
     clock_ms: Milliseconds
-    """0 where the answer did not tell."""
+    """0 if the answer does not contain it."""
     refusal: Refusal | None = None
 
 
@@ -138,9 +138,9 @@
     running: tuple[RunningRow, ...] = ()
     ended: tuple[EndedRow, ...] = ()
     born_ms: Milliseconds = 0
-    """When the life began that answers, in Unix time; 0 if it does not say."""
+    """Start of the answering incarnation in Unix time; 0 if it is not reported."""
     acknowledged: int = 0
-    """Up to which end the worker was told to forget; 0 over a new connection."""
+    """Highest acknowledged end of the request; 0 over a new connection."""
 
 
 class WorkerOrders(Protocol):
@@ -161,17 +161,17 @@
     async def pace(
         self, worker: WorkerAddress, order: PaceOrder, timeout_seconds: Seconds
     ) -> Result[OrderAnswer, WorkerUnresponsive]:
-        """Slow a run down, or speed it up again."""
+        """Change a run's speed."""
         ...
 
     async def hold(
         self, worker: WorkerAddress, order: HoldOrder, timeout_seconds: Seconds
     ) -> Result[HoldAnswer, WorkerUnresponsive]:
-        """Extend the lease and ask for the state."""
+        """Extend the lease and request the worker's state."""
         ...
 
     def forget(self, worker: WorkerAddress) -> None:
-        """Close the connections to a worker that is gone."""
+        """Close the connections to a terminated worker."""
         ...
 
 
--- a/packages/platform/src/medlarspring_platform/__init__.py
+++ b/packages/platform/src/medlarspring_platform/__init__.py
@@ -1,3 +1,3 @@
-"""The users' platform: its names, formats and calls; nothing here decides."""
+"""Adapter for the users' platform: names, formats and calls, no decision logic."""
 
 from __future__ import annotations
--- a/packages/platform/src/medlarspring_platform/advice.py
+++ b/packages/platform/src/medlarspring_platform/advice.py
@@ -1,4 +1,4 @@
-"""The platform's service of advice on restricted queues."""
+"""Client of the platform's placement adviser for restricted queues."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
     from collections.abc import Sequence
 
 TIMEOUT_SECONDS = 6.0
-"""Calls of one entry VM wait for each other, up to 32 of them."""
+"""The adviser queues the calls of one entry VM, up to 32 of them."""
 HTTP_OK = 200
 
 
 class WireQuestion(Struct):
-    """A step, and the workers that are asked about."""
+    """The step and the workers that advice is requested for."""
 
     step: str
     workers: list[str]
 
 
 class WireAdviceAnswer(Struct, rename="camel"):
-    """Rows of worker and ticket; workers left out may not run the step."""
+    """Pairs of worker and ticket; workers not listed may not run the step."""
 
     allowed: list[tuple[str, str]] = []
     valid_ms: int = 0
 
 
 class PlatformAdviser:
-    """Implements ``Adviser``."""
+    """Implements ``Adviser`` over the platform's HTTP interface."""
 
     def __init__(self, address: str) -> None:
         self._channel = HttpChannel(address)
--- a/packages/platform/src/medlarspring_platform/jobs_frontend.py
+++ b/packages/platform/src/medlarspring_platform/jobs_frontend.py
@@ -27,7 +27,7 @@
     from medlarspring_systems.scheduling.routes import RouteMatch
 
 DEFAULT_TIMEOUT_SECONDS = 3.0
-"""Taken for a customer that does not say how long it waits."""
+"""Used for requests without a deadline header."""
 MAX_TIMEOUT_SECONDS = 30.0
 JOB_ID = re.compile(r"[0-9a-f]{16}")
 
@@ -47,7 +47,7 @@
 
 
 class WireStep(Struct, rename="camel"):
-    """A step; fields that are 0, false or empty are left out."""
+    """A step; fields that are 0, false or empty may be omitted."""
 
     count: int
     cpu: int = 0
@@ -60,9 +60,9 @@
     same_rack: bool = False
     requires: str = ""
     affinity: str = ""
-    """Rack of the data."""
+    """Rack that holds the step's data."""
     max_per_server: int = 0
-    """On one worker."""
+    """Most tasks of the step that one worker may run at a time."""
     speculative: bool = False
     service_job: bool = False
     """Runs until the job is cancelled."""
@@ -70,14 +70,14 @@
     image: str = ""
     target_ms: int = 0
     fills: bool = False
-    """Uses what other tasks leave; its ``cpu`` is not counted."""
+    """Best-effort: uses leftover CPU; its ``cpu`` is not counted."""
 
 
 class WireJob(Struct, rename="camel"):
     """A job as submitted."""
 
     spec: str
-    """Opaque text for the workers, not what the job consists of."""
+    """Opaque payload for the workers; the job's structure is in ``steps``."""
     steps: list[WireStep]
     times: int = 0
     start_at_ms: int = 0
@@ -85,19 +85,19 @@
 
 
 class WireState(Struct):
-    """What became of a job."""
+    """State of a job."""
 
     state: str
 
 
 class WirePending(Struct):
-    """How many jobs of a queue have not started."""
+    """Number of jobs of a queue that have not started."""
 
     pending: int
 
 
 class WireProblem(Struct):
-    """Why a call was not carried out."""
+    """Error body: code and message of a request that was not carried out."""
 
     error: str
     message: str
@@ -107,15 +107,15 @@
 
 
 class JobsFrontend:
-    """Translates between HTTP and the product's intake of jobs."""
+    """Translates between HTTP and the job intake."""
 
     def __init__(self, service: SchedulingService) -> None:
         self._service = service
         self.closing = False
-        """Whether each answer asks the customer to leave this connection."""
+        """Whether each response closes its connection (set during shutdown)."""
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request of a customer."""
+        """Handle one request of a customer."""
         response = await self._answer(request)
         if self.closing:
             response.force_close()
@@ -200,7 +200,7 @@
         return _json(WireState(_STATE_NAMES_BY_STATUS[JobStatus.CANCELLED]))
 
     async def handle_readiness(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer the balancer's probe."""
+        """Handle the load balancer's readiness probe."""
         if request.path != wire.READY_PATH:
             return web.Response(status=HTTPStatus.NOT_FOUND)
         ready = self._service.is_ready()
@@ -209,7 +209,7 @@
 
 
 def _read_timeout(request: web.BaseRequest) -> float:
-    """Return how long the customer waits, in seconds."""
+    """Return the request's timeout in seconds, from its deadline header."""
     text = request.headers.get(wire.DEADLINE_HEADER, "")
     try:
         seconds = float(text) / 1_000.0
@@ -280,9 +280,10 @@
     response = _problem(_HTTP_BY_ERROR[type(error)], error.code, error.message())
     if isinstance(error, NotReady):
         response.headers["Retry-After"] = str(error.retry_after)
-        # An entry VM that has lost the store leaves the balancer's rotation, but a
-        # connection stays with it. Ended, the customer's next try reaches another one:
-        # 0.02 more of the payoff on five days with outages (pairs with the same seed).
+        # An entry VM that cannot reach the store leaves the balancer's rotation, but
+        # open connections stay with it. Closing them lets the customer's next attempt
+        # reach another entry VM: 0.02 more of the payoff on five days with outages
+        # (paired runs with the same seed).
         response.force_close()
     return response
 
--- a/packages/platform/src/medlarspring_platform/launcher.py
+++ b/packages/platform/src/medlarspring_platform/launcher.py
@@ -1,4 +1,4 @@
-"""Starts medlarspring on the users' platform; ``medlarspring-platformd``."""
+"""Entry point of ``medlarspring-platformd``, the daemon for the users' platform."""
 
 from __future__ import annotations
 
@@ -39,20 +39,21 @@
 EXIT_SETTINGS = 2
 METRICS_PORT = 9464
 METRICS_PATH = "/metrics"
-"""As stated in ``deploy/system.toml``, which tells the platform where to read."""
+"""As stated in ``deploy/system.toml``, from which the platform learns the address."""
 REPORT_SECONDS = 1.0
-"""How often left out log lines are counted in the log."""
+"""Interval at which the counts of dropped log lines are logged."""
 DRAIN_SECONDS = 2.6
-"""Customers' connections are served so long after the signal to stop: the balancer
-sends new ones until it has missed two probes, one a second."""
+"""Time for which customers' connections are served after the stop signal: the
+balancer sends new ones until two probes have failed, at one probe a second."""
 CLOSE_SECONDS = 1.5
-"""Longest wait for answers in flight after that."""
+"""Longest wait for responses in flight after ``DRAIN_SECONDS``."""
 IDLE_SECONDS = 75.0
-"""Customers' idle connections are kept so long; the balancer spreads by connection."""
+"""Keep-alive time of customers' idle connections; the balancer distributes load by
+connection."""
 
 
 class PlatformDaemon(aiomisc.Service):
-    """One process on one entry VM."""
+    """Service of the daemon process on one entry VM."""
 
     def __init__(self, settings: PlatformSettings) -> None:
         super().__init__()
@@ -65,7 +66,7 @@
         self._runners: list[web.ServerRunner] = []
 
     async def start(self) -> None:
-        """Open the ports and join the others."""
+        """Open the ports and join the other entry VMs."""
         redirect_library_logs(self._log)
         self._node = self._create_node()
         self._service: SchedulingService = create_scheduling_service(self._node)
@@ -82,7 +83,7 @@
         self._log.info(Event.LISTENING, caller=caller, readiness=readiness)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Hand over, serve until the balancer has noticed, then finish."""
+        """Hand over the cells, serve until the balancer has stopped routing, exit."""
         self._log.info(Event.STOPPING)
         self._node.stopping = True
         self._frontend.closing = True
@@ -98,7 +99,7 @@
         self._log.close()
 
     async def _serve_metrics(self) -> None:
-        """Open the metrics address; a port in use costs the metrics, no more."""
+        """Open the metrics address; without it the daemon runs without metrics."""
         address = f"{self._settings.inner_host}:{METRICS_PORT}"
         try:
             await self._serve(self._handle_metrics, address)
@@ -155,7 +156,7 @@
         )
 
     async def _serve(self, handler, address: str) -> str:  # type: ignore[no-untyped-def]
-        """Open a port and return its address; port 0 lets the kernel choose."""
+        """Open a port and return its address; port 0 selects a free port."""
         host, _, port = address.rpartition(":")
         server = web.Server(handler, access_log=None, keepalive_timeout=IDLE_SECONDS)
         runner = web.ServerRunner(server, shutdown_timeout=CLOSE_SECONDS)
--- a/packages/platform/src/medlarspring_platform/machines.py
+++ b/packages/platform/src/medlarspring_platform/machines.py
@@ -1,4 +1,4 @@
-"""The platform's control of machines, which the product calls VMs."""
+"""Client of the platform's machine control; its machines are VMs here."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from medlarspring_tables.scheduling import VMEntry, VMPhase, WorkerId
 
 TIMEOUT_SECONDS = 1.0
-"""An answer takes 15 ms, or 50 times as long on a slow day."""
+"""A response takes 15 ms, or 50 times as long when the platform is slow."""
 MAX_PAGES = 100
 HTTP_OK = 200
 HTTP_BAD_REQUEST = 400
@@ -40,7 +40,7 @@
 
 
 class WireMachine(Struct, rename="camel"):
-    """A machine; ``id`` is its present worker, empty while it is off."""
+    """A machine; ``id`` is its current worker, empty while the machine is off."""
 
     machine_id: str
     pool: str
@@ -73,13 +73,13 @@
 
 
 class WireReason(Struct):
-    """Why an operation was refused."""
+    """Reason for which an operation was refused."""
 
     reason: str = ""
 
 
 class PlatformMachines:
-    """Implements ``VMLifecycle``."""
+    """Implements ``VMLifecycle`` over the platform's HTTP interface."""
 
     def __init__(self, address: str) -> None:
         self._channel = HttpChannel(address)
--- a/packages/platform/src/medlarspring_platform/operator_records.py
+++ b/packages/platform/src/medlarspring_platform/operator_records.py
@@ -27,16 +27,16 @@
 
 
 class WireAdvice(Struct, rename="camel"):
-    """How long the adviser takes, and how long a ticket holds."""
+    """Response time of the adviser and validity of its tickets."""
 
     decide_ms: int = 0
     period_ms: int = 0
-    """For each worker named in a call."""
+    """Additional time for each worker named in a call."""
     valid_ms: int = 0
 
 
 class WireRoute(Struct, rename="camel"):
-    """A route; on this platform a queue of jobs."""
+    """A route; this platform's name for a queue of jobs."""
 
     name: str
     host: str = ""
@@ -47,12 +47,12 @@
     max_attempts: int = 1
     stretch: float = 1.0
     target_duration_ms: int = 0
-    """Not a duration of its own: added to the stretched critical path."""
+    """Allowance that is added to the stretched critical path."""
     hint: WireAdvice | None = None
 
 
 class WireService(Struct, rename="camel"):
-    """A service; on this platform a pool of VMs."""
+    """A service; this platform's name for a pool of VMs."""
 
     name: str
     rejects_overload: bool = True
@@ -87,7 +87,7 @@
 
 
 class WireWaveStatus(Struct, rename="camel"):
-    """How far a wave is."""
+    """Progress of a wave."""
 
     wave: int
     state: str
@@ -107,7 +107,7 @@
 
 
 class WireWorkerRoom(Struct, rename="camel"):
-    """What a worker offers; without processors it could run nothing."""
+    """Resources that a worker offers; ``cpu`` must be positive to run any task."""
 
     cpu: Annotated[int, msgspec.Meta(gt=0)]
     mem_mb: Size
@@ -117,9 +117,10 @@
 class WireWorker(Struct, rename="camel"):
     """A worker's entry.
 
-    Other programs may write under the workers' prefix. Fields without a default
-    are in every worker's own entry; an entry that lacks one, or has it of another
-    type, leads nowhere, and each order sent there would be a task that waits.
+    Other programs may write under the workers' prefix. Every entry written by a
+    worker has the fields without a default. An entry that lacks one, or has it with
+    another type, is rejected: orders to it would reach no worker, and their tasks
+    would wait.
     """
 
     service: Name
@@ -143,12 +144,12 @@
 
 
 def to_resources(resources: WireRoom) -> Resources:
-    """Return the product's form of a capacity."""
+    """Convert a capacity of the platform to ``Resources``."""
     return Resources(resources.cpu, resources.mem_mb, resources.gpu)
 
 
 def find_rack(labels: list[str]) -> RackId:
-    """Return the rack among a worker's labels."""
+    """Return the rack among a worker's labels, or an empty id if there is none."""
     for label in labels:
         if label.startswith(wire.RACK_LABEL_PREFIX) and "-" in label:
             return RackId(label)
@@ -156,7 +157,7 @@
 
 
 def _is_worker_id(text: str) -> bool:
-    """Tell whether an id can stand in the header that each order carries."""
+    """Return whether an id is valid in the header that each order carries."""
     return bool(text) and text.isascii() and text.isprintable() and " " not in text
 
 
@@ -167,17 +168,17 @@
     worker_prefix = wire.WORKER_PREFIX
 
     def is_config(self, key: str) -> bool:
-        """Tell whether the key holds the configuration."""
+        """Return whether the key holds the configuration."""
         return key == wire.CONFIG_KEY
 
     def is_wave(self, key: str) -> bool:
-        """Tell whether the key holds the order of a maintenance wave."""
+        """Return whether the key holds the order of a maintenance wave."""
         return key.startswith(wire.WAVE_PREFIX)
 
     def decode_config(
         self, key: str, value: bytes
     ) -> Result[OperatorConfig, RecordUnreadable]:
-        """Read the operator's configuration."""
+        """Decode the operator's configuration."""
         try:
             return Success(_to_config(_config_decoder.decode(value)))
         except msgspec.MsgspecError as error:
@@ -186,7 +187,7 @@
     def decode_wave(
         self, key: str, value: bytes
     ) -> Result[WaveOrder, RecordUnreadable]:
-        """Read the order of a wave."""
+        """Decode the order of a wave."""
         try:
             order = _wave_decoder.decode(value)
         except msgspec.MsgspecError as error:
@@ -203,7 +204,7 @@
     def decode_worker(
         self, key: str, value: bytes
     ) -> Result[WorkerEntry, RecordUnreadable]:
-        """Read a worker's entry."""
+        """Decode a worker's entry."""
         try:
             entry = _worker_decoder.decode(value)
         except msgspec.MsgspecError as error:
@@ -233,7 +234,7 @@
     def encode_wave_status(
         self, wave_id: WaveId, *, complete: bool
     ) -> tuple[str, bytes]:
-        """Return key and value that tell the operator how far a wave is."""
+        """Return the key and value that report a wave's progress to the operator."""
         state = "complete" if complete else "active"
         status = WireWaveStatus(wave=int(wave_id), state=state)
         return f"{wire.WAVE_STATUS_PREFIX}{wave_id}", msgspec.json.encode(status)
--- a/packages/platform/src/medlarspring_platform/settings.py
+++ b/packages/platform/src/medlarspring_platform/settings.py
@@ -15,7 +15,7 @@
 
 
 class SettingsUnreadable(MedlarspringError):
-    """The settings file lacks something or can't be read."""
+    """The settings file is incomplete or can't be read."""
 
     code = "settings-unreadable"
 
@@ -25,7 +25,7 @@
         self.detail = detail
 
     def message(self) -> str:
-        """Say what is missing and what to do."""
+        """Return what is missing and what to do."""
         return (
             f"The settings file {self.path} can't be used: {self.detail}."
             " Let the platform write it anew, or point MEDLARSPRING_CONFIG at it."
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """What a process learns of itself and of its surroundings."""
+    """Settings of one process: its identity, addresses and limits."""
 
     node: str
     zone: str
@@ -44,7 +44,7 @@
     readiness: str
     inner_host: str
     inner_port: int
-    """First port that is free for calls between entry VMs."""
+    """First port reserved for calls between entry VMs."""
     store_address: str
     vm_control_address: str
     adviser_address: str
@@ -71,7 +71,7 @@
     "maintenance": ("maintenanceS", 1.0),
     "remote_factor": ("remoteFactor", 1.0),
 }
-"""Our field: the platform's name under ``bounds`` and its unit in seconds."""
+"""``FleetLimits`` field: the platform's name under ``bounds``, its unit in seconds."""
 
 
 def read_settings(path: Path) -> Result[PlatformSettings, SettingsUnreadable]:
@@ -122,7 +122,7 @@
         vm_control_address=values.get("cloud.address", ""),
         adviser_address=values.get("hint", ""),
         memory_mb=int(values.get("limits.memoryMb", "300")),
-        # The platform's "cores" is how many times as fast the one core is.
+        # The platform's "cores" is the speed of the single core as a multiple.
         cores=cpu_share * speed,
         limits=_build_limits(values),
     )
--- a/packages/platform/src/medlarspring_platform/store.py
+++ b/packages/platform/src/medlarspring_platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store behind the product's ``Store`` protocol."""
+"""Client of the platform's metadata store; implements the ``Store`` protocol."""
 
 from __future__ import annotations
 
@@ -39,23 +39,23 @@
     from medlarspring_tables import Seconds
 
 MAX_ENTRIES = 32
-"""Conditions, writes and deletions that the store takes in one transaction."""
+"""Most conditions, writes and deletions that the store accepts in one transaction."""
 WATCH_WAIT_SECONDS = 0.8
-"""How long the store holds a watch open without news.
+"""Longest time for which the store holds a watch call open without events.
 
-A connection that went silent is noticed at the end of this time, so that a new
-configuration is in force well within its 2 s; longer waits save calls that cost
-a hundredth of a percent of what a job is worth.
+A connection that no longer passes data is detected after this time, so that a new
+configuration takes effect well within its 2 s. A longer wait would only save calls,
+which cost a hundredth of a percent of a job's value.
 """
 WATCH_SLACK_SECONDS = 0.4
 WATCH_RETRY_SECONDS = 0.1
 MAX_WATCH_RETRY_SECONDS = 0.2
-"""After an outage of 2.6 s most entry VMs refused callers for 0.9 s more, with 0.4 and
-a wait in the first watch that got through."""
+"""With 0.4 s, and a wait in the first watch call that succeeded, most entry VMs refused
+callers for 0.9 s more after an outage of 2.6 s."""
 MIN_TIMEOUT_SECONDS = 0.15
 MAX_TIMEOUT_SECONDS = 1.2
 TIMEOUT_FACTOR = 5.0
-"""A call that takes so many times the usual time is taken for lost."""
+"""A call times out after this multiple of the mean response time."""
 
 HTTP_OK = 200
 HTTP_NOT_FOUND = 404
@@ -64,7 +64,7 @@
 
 
 class WireItem(Struct, rename="camel"):
-    """One key, or an event that wrote or removed it."""
+    """One key, or an event that wrote or deleted it."""
 
     key: str
     value: str = ""
@@ -84,14 +84,14 @@
 
 
 class WireEvents(Struct, rename="camel"):
-    """What a watch has to tell."""
+    """Events that a watch call returns."""
 
     events: list[WireItem] = []
     as_of: int = 0
 
 
 class WireCondition(Struct):
-    """A key's revision must be this one; 0 for a key that must not exist."""
+    """The revision that a key must have; 0 if the key must not exist."""
 
     key: str
     revision: int
@@ -106,7 +106,7 @@
 
 
 class WireTxn(Struct, rename="camel"):
-    """All or nothing."""
+    """A transaction: all writes are applied if all conditions hold, else none."""
 
     expected_rev: list[WireCondition]
     puts: list[WirePut]
@@ -114,7 +114,7 @@
 
 
 class WireTxnAnswer(Struct, rename="camel"):
-    """The new revision, or the items named in failed conditions."""
+    """The new revision, or the items of the failed conditions."""
 
     revision: int = 0
     items: list[WireItem] = []
@@ -122,7 +122,7 @@
 
 
 class WireLease(Struct, rename="camel"):
-    """A lease and how long it lives."""
+    """A lease and its time to live."""
 
     ttl_ms: int = 0
     lease: int = 0
@@ -132,11 +132,11 @@
 
 
 class AdaptiveTimeout:
-    """How long to wait for an answer, from how long answers took lately.
+    """Call timeout that follows the recent response times.
 
-    The store answers in 8 ms, or in 250 ms for some seconds; an answer may also
-    never come. A fixed short wait would give every slow answer up, a fixed long
-    one would stall all writes behind each lost answer.
+    The store responds in 8 ms, in slow periods of some seconds in 250 ms, and
+    sometimes not at all. A fixed short timeout would abandon every slow response; a
+    fixed long one would stall all writes behind each lost response.
     """
 
     def __init__(self) -> None:
@@ -144,22 +144,22 @@
         self._timeouts = 0
 
     def timeout(self) -> Seconds:
-        """Return the time to wait for the next answer."""
+        """Return the timeout of the next call."""
         usual = max(TIMEOUT_FACTOR * self._mean, MIN_TIMEOUT_SECONDS)
         return min(usual * 2.0**self._timeouts, MAX_TIMEOUT_SECONDS)
 
     def record_answer(self, seconds: Seconds) -> None:
-        """Learn from an answer."""
+        """Update the mean with a response time and reset the backoff."""
         self._timeouts = 0
         self._mean += 0.2 * (seconds - self._mean)
 
     def record_timeout(self) -> None:
-        """Learn that no answer came in time."""
+        """Double the timeout of the next calls, up to three times."""
         self._timeouts = min(self._timeouts + 1, 3)
 
 
 class PlatformStore:
-    """Implements ``Store`` by the platform's HTTP interface."""
+    """Implements ``Store`` over the platform's HTTP interface."""
 
     def __init__(self, address: str, clock: Clock, metrics: Metrics) -> None:
         self._metrics = metrics
@@ -168,7 +168,7 @@
         self._clock = clock
         self._adaptive_timeout = AdaptiveTimeout()
         self.failing_since: Seconds | None = None
-        """When the first call failed that no answered one has followed."""
+        """Time of the first failed call since the last successful one."""
         self.answered_at: Seconds = 0.0
 
     async def close(self) -> None:
@@ -238,10 +238,10 @@
     async def commit_each(
         self, transactions: Sequence[Transaction]
     ) -> Result[list[Committed], StoreError]:
-        """Decide many transactions on their own, in as few calls as they need.
+        """Commit many independent transactions in as few calls as possible.
 
-        The store's transactions are all or nothing, so a joint one that fails
-        is taken apart.
+        A transaction of the store is applied as a whole or not at all, so if the
+        combined one fails, each is committed in a call of its own.
         """
         if len(transactions) > 1 and count_entries(transactions) <= MAX_ENTRIES:
             joined = await self.commit(_join(transactions))
@@ -267,7 +267,7 @@
         return lease.map(lambda granted: LeaseId(granted.lease))
 
     async def keep_lease(self, lease_id: LeaseId) -> Result[float, StoreError]:
-        """Renew a lease; returns the seconds left, 0 when it has lapsed."""
+        """Renew a lease; returns the seconds left, 0 if it has expired."""
         answer = await self._call("POST", f"{wire.KEEP_PATH}{lease_id}")
         if not is_successful(answer):
             return Failure(answer.failure())
@@ -284,14 +284,14 @@
     async def watch(self, prefix: str, start: Revision) -> AsyncIterator[WatchBatch]:
         """Yield changes from revision ``start`` on.
 
-        Ends when the store no longer has the history; lost and silent
-        connections are replaced without the caller's help.
+        Ends when the store no longer has the history. Broken and unresponsive
+        connections are replaced without ending the iteration.
         """
         after = start - 1
         failures = 0
         while True:
-            # A watch that fails asks for no wait: its first answer is how the store's
-            # return is noticed, and each wait would refuse callers for as long.
+            # After a failure the watch call does not wait for events: its first
+            # response shows that the store is back, and callers are refused until then.
             wait = WATCH_WAIT_SECONDS if self.failing_since is None else 0.0
             path = (
                 f"{wire.WATCH_PATH}?prefix={quote(prefix, safe='')}&after={after}"
@@ -326,8 +326,8 @@
         except Unanswered as error:
             return Failure(StoreOutcomeUnknown(str(error)))
         if reply.status in (HTTP_OK, HTTP_GONE):
-            # Watches are the calls that go on while nothing else is sent; their
-            # answers are how a lost store is known to be back.
+            # Watch calls continue while no other calls are made, so their responses
+            # show that the store is reachable again.
             self.failing_since = None
             return Success(reply)
         return Failure(StoreUnavailable(f"HTTP status {reply.status}"))
@@ -348,7 +348,7 @@
             return self._fail(StoreOutcomeUnknown(str(error)))
         known = (HTTP_OK, HTTP_NOT_FOUND, HTTP_CONDITION_FAILED)
         if reply.status not in known:
-            # The store's contract: a refusal (429, 503) was not carried out.
+            # By the store's contract a refused call (429, 503) had no effect.
             return self._fail(StoreUnavailable(f"HTTP status {reply.status}"))
         now = self._clock.now()
         self._metrics.timing(Metric.STORE_CALL_MS, (now - sent_at) * 1_000)
@@ -375,7 +375,7 @@
 
 
 def count_entries(transactions: Sequence[Transaction]) -> int:
-    """Return what the transactions count towards the store's limit."""
+    """Return the number of entries that count towards ``MAX_ENTRIES``."""
     return sum(len(each.expects) + len(each.writes) for each in transactions)
 
 
@@ -401,11 +401,11 @@
 
 
 def _decode_value(item: WireItem) -> bytes:
-    """Return an item's bytes; text that is no base64 is passed on as it stands.
+    """Return an item's bytes; text that is not base64 is returned as it is, encoded.
 
-    One such item would otherwise end the listing or the watch that brings it, and
-    with it a takeover. As plain bytes it reaches the record's own reader, which
-    names the key and leaves it out.
+    Otherwise one malformed item would end the listing or watch that contains it, and
+    with it a takeover. As plain bytes it reaches the decoder of the record, which
+    reports the key and skips it.
     """
     try:
         return base64.b64decode(item.value, validate=True)
--- a/packages/platform/src/medlarspring_platform/wire.py
+++ b/packages/platform/src/medlarspring_platform/wire.py
@@ -1,4 +1,4 @@
-"""Paths, headers and words of the platform's interfaces, in one place."""
+"""Paths, headers and key prefixes of the platform's interfaces."""
 
 from __future__ import annotations
 
@@ -42,4 +42,4 @@
     r"|[1-5][0-9]{4}|[1-9][0-9]{0,3})"
 )
 ADDRESS_PATTERN = rf"^({_OCTET}\.){{3}}{_OCTET}:{_PORT}\Z"
-"""An IPv4 address and a port; there are no names to look up."""
+"""An IPv4 address and a port; host names are not supported."""
--- a/packages/platform/src/medlarspring_platform/workers.py
+++ b/packages/platform/src/medlarspring_platform/workers.py
@@ -34,9 +34,11 @@
     from medlarspring_tables import Seconds
 
 MAX_CONNECTIONS = 12
-"""To one worker; each new one is charged, and starts rarely come in larger bursts."""
+"""Per worker; the platform charges for each new connection, and bursts of starts are
+rarely larger."""
 HOLD_CONNECTIONS = 1
-"""With a second one, an acknowledgement could go to a life that has listed nothing."""
+"""With a second connection, an acknowledgement could reach an incarnation of the
+worker that has not listed its ends yet."""
 
 _ENDS_BY_NAME = {
     "done": RunEnd.DONE,
@@ -64,7 +66,7 @@
 
 
 class WireStart(Struct, rename="camel", omit_defaults=True):
-    """A start; ``untilMs`` bounds the order itself and extends the lease."""
+    """A start; ``untilMs`` is the order's time limit and extends the lease."""
 
     task: str
     run: int
@@ -84,7 +86,7 @@
 
 
 class WirePace(Struct):
-    """A change of pace."""
+    """A change of a run's speed."""
 
     task: str
     run: int
@@ -102,14 +104,14 @@
 
 
 class WireOrderAnswer(Struct, rename="camel"):
-    """What a worker says to an order."""
+    """A worker's answer to an order."""
 
     clock_ms: int = 0
     reason: str = ""
 
 
 class WireHoldAnswer(Struct, rename="camel"):
-    """What runs and what ended; rows are lists, see the constants above."""
+    """Running and ended runs; rows are lists, see ``_to_running``, ``_to_ended``."""
 
     clock_ms: int = 0
     reason: str = ""
@@ -122,12 +124,12 @@
 
 
 class PlatformWorkers:
-    """Implements ``WorkerOrders``."""
+    """Implements ``WorkerOrders`` over the platform's HTTP interface."""
 
     def __init__(self) -> None:
         self._channels_by_id: dict[WorkerId, HttpChannel] = {}
         self._holds_by_id: dict[WorkerId, HttpChannel] = {}
-        """Connections that carry holds alone, one after the other."""
+        """Connections reserved for hold calls, which are made one at a time."""
 
     async def start(
         self, worker: WorkerAddress, order: StartOrder, timeout_seconds: Seconds
@@ -154,7 +156,7 @@
     async def pace(
         self, worker: WorkerAddress, order: PaceOrder, timeout_seconds: Seconds
     ) -> Result[OrderAnswer, WorkerUnresponsive]:
-        """Slow a run down, or speed it up again."""
+        """Change a run's speed."""
         body = WirePace(order.task_id, order.run, order.percent, order.fence)
         return await self._order(worker, wire.PACE_PATH, body, timeout_seconds)
 
@@ -184,7 +186,7 @@
         body: WireHold,
         timeout_seconds: Seconds,
     ) -> HttpAnswer:
-        """Make the call; without its acknowledgement if that needs a connection."""
+        """Make the call, without the acknowledgement if it needs a new connection."""
         if order.aside:
             body.ack_cursor = 0
             return await self._call(worker, wire.HOLD_PATH, body, timeout_seconds)
@@ -204,7 +206,7 @@
         return await _post(channel, worker, wire.HOLD_PATH, body, timeout_seconds)
 
     def forget(self, worker: WorkerAddress) -> None:
-        """Close the connections to a worker that is gone, in the background."""
+        """Close the connections to a terminated worker in the background."""
         for channels_by_id in (self._channels_by_id, self._holds_by_id):
             channel = channels_by_id.pop(worker.id, None)
             if channel is not None:
@@ -258,8 +260,8 @@
     *,
     reuse_only: bool = False,
 ) -> HttpAnswer:
-    # An address may belong to another worker by now; the header keeps an
-    # order for the old one from being carried out there.
+    # The address may belong to another worker by now; the header prevents that
+    # worker from executing an order meant for the previous one.
     headers = {wire.EXPECTED_INSTANCE_HEADER: worker.id}
     return await channel.call(
         "POST",
@@ -303,7 +305,7 @@
 
 
 def _to_running(row: list[str | int | float]) -> RunningRow:
-    """Decode [task, run, saved, percent] with a fifth entry where it is measured."""
+    """Decode [task, run, saved, percent] with an optional fifth entry, the gauge."""
     task, run, saved, percent = row[:4]
     gauge = row[4] if len(row) > 4 else 0  # noqa: PLR2004
     return RunningRow(
@@ -318,7 +320,7 @@
 def _to_ended(row: tuple[int, str, int, str, str]) -> EndedRow:
     """Decode [N, task, run, how, saved]."""
     number, task, run, how, saved = row
-    # An unknown end is taken for a stop: the task runs again, no attempt is lost.
+    # An unknown end counts as a stop: the task runs again and no attempt is used up.
     end = _ENDS_BY_NAME.get(how, RunEnd.STOPPED)
     return EndedRow(number=number, task_id=task, run=run, end=end, checkpoint=saved)
 
