--- a/packages/adapters/src/medlarspring_adapters/etcd_gateway.py
+++ b/packages/adapters/src/medlarspring_adapters/etcd_gateway.py
@@ -58,7 +58,7 @@
 
 
 class EtcdGatewayStore:
-    """Implements ``Store``; starts at the last working endpoint, then tries the next."""
+    """Implements ``Store``; starts at the last working endpoint, then tries others."""
 
     def __init__(
         self,
