--- a/packages/adapters/tests/test_etcd_gateway.py
+++ b/packages/adapters/tests/test_etcd_gateway.py
@@ -151,13 +151,13 @@
         assert isinstance((await store.commit(PUT)).failure(), StoreUnavailable)
 
 
-async def test_lapsed_lease_refuses_the_write_as_not_applied(service: Service):
+async def test_write_with_expired_lease_is_not_applied(service: Service):
     async with open_store(*service.endpoints, timeout=5.0) as store:
         bound = Transaction((), (Put("a", b"1", LeaseId(77)),))
         assert isinstance((await store.commit(bound)).failure(), StoreUnavailable)
 
 
-async def test_pooled_connections_gone_silent_cost_one_timeout(service: Service):
+async def test_dead_pooled_connections_cost_one_timeout(service: Service):
     """
     Something between the ends loses track of all open connections. Ten pooled
     ones would cost the caller ten timeouts one after the other; after the
@@ -170,7 +170,7 @@
         assert [isinstance(each, Failure) for each in answers] == [True] + [False] * 4
 
 
-async def test_watch_gone_silent_resumes_without_a_gap(service: Service):
+async def test_dead_watch_resumes_without_a_gap(service: Service):
     """
     The watch stays open and no byte passes any more, while edits go on. The
     node would keep an old table for ever. After the silence it watches anew
--- a/packages/adapters/tests/test_log_output.py
+++ b/packages/adapters/tests/test_log_output.py
@@ -37,7 +37,7 @@
     assert document["entry_vm"] == "entry-0"
 
 
-def test_each_event_has_an_allowance_of_its_own_and_what_is_missing_is_counted():
+def test_each_event_has_its_own_allowance_and_dropped_lines_are_counted():
     clock = ManualClock()
     limiter = LineLimiter(clock)
     written = [limiter.may_write(9030) for _ in range(int(BURST_LINES) + 50)]
@@ -50,7 +50,7 @@
     assert refilled.count(True) == LINES_PER_SECOND
 
 
-def test_reader_that_stops_holds_nothing_up():
+def test_stopped_reader_does_not_block():
     """
     The process that collects the logs hangs and reads no more. Lines pile up in
     the pipe, then in the queue, then they are dropped and counted; a log call
@@ -92,7 +92,7 @@
     assert document["fault"] == "OSError('x')"
 
 
-def test_lines_of_one_moment_are_written_together(monkeypatch: pytest.MonkeyPatch):
+def test_lines_within_a_batch_are_written_together(monkeypatch: pytest.MonkeyPatch):
     """
     A controller logs two lines a task. Each one woke the thread that writes and was a
     system call of its own, in the process that had no time left at a turn's peak.
--- a/packages/adapters/tests/test_store_meter.py
+++ b/packages/adapters/tests/test_store_meter.py
@@ -58,7 +58,7 @@
     }
 
 
-async def test_mechanism_over_its_budget_leaves_the_others_theirs(
+async def test_mechanism_over_budget_does_not_affect_others(
     store: MeteredStore, inner: MemoryStore, clock: ManualClock
 ):
     """
--- a/packages/platform/tests/adapter/conftest.py
+++ b/packages/platform/tests/adapter/conftest.py
@@ -28,7 +28,7 @@
     from medlarspring_bench.platform_world.worker_model import TaskFacts
 
 HOST = "127.0.0.1"
-ROOM = Resources(4_000, 8_192, 0)
+RESOURCES = Resources(4_000, 8_192, 0)
 STEP = StepSpec(count=1, cpu_millis=1_000, memory_mb=512)
 
 
@@ -76,7 +76,7 @@
         await app.open(HOST, 0)
     for name, gate in worker_app.gates_by_name.items():
         addresses[name] = gate.address
-        fleet.add_vm(name, "zone-0", "r0-0", "consent", ROOM)
+        fleet.add_vm(name, "zone-0", "r0-0", "consent", RESOURCES)
     store_address = store_app.gates_by_name["entry-0"].address
     found = Platform(
         state=state,
--- a/packages/platform/tests/adapter/test_fleet.py
+++ b/packages/platform/tests/adapter/test_fleet.py
@@ -81,7 +81,7 @@
     assert answer.unwrap().refusal is refusal
 
 
-async def test_order_for_a_former_life_is_not_carried_out(platform: Platform):
+async def test_order_for_previous_worker_is_refused(platform: Platform):
     """
     A VM is back under its old address as another worker. An order for the former
     life must not start anything there: its record names a worker that is gone.
@@ -94,7 +94,7 @@
     assert not platform.fleet.workers_by_id[address.id].runs
 
 
-async def test_listing_tells_in_which_life_it_was_made(platform: Platform):
+async def test_listing_identifies_the_incarnation(platform: Platform):
     """
     A worker starts again under its id. Its next listing is empty and counts ends
     from 1 again; only the time of its start tells that this is another life.
@@ -110,7 +110,7 @@
     assert 0 < first.born_ms < second.born_ms
 
 
-async def list_end(platform: Platform, address: WorkerAddress) -> int:
+async def create_listed_end(platform: Platform, address: WorkerAddress) -> int:
     """Have a run end; return the number of its end as the next hold lists it."""
     await platform.workers.start(address, order(platform, address.id), TIMEOUT)
     await platform.workers.stop(address, StopOrder(TASK, 1, FENCE), TIMEOUT)
@@ -126,17 +126,17 @@
     platform: Platform, aside: bool, left: int
 ):
     address = await find_address(platform)
-    number = await list_end(platform, address)
+    number = await create_listed_end(platform, address)
     hold = HoldOrder(FENCE, number, 0, aside=aside)
     held = (await platform.workers.hold(address, hold, TIMEOUT)).unwrap()
     assert held.acknowledged == (0 if aside else number)
     assert len(held.ended) == left
 
 
-async def test_acknowledgement_does_not_reach_the_next_life(platform: Platform):
+async def test_acknowledgement_does_not_reach_next_incarnation(platform: Platform):
     """Guards against a life that forgets its ends by the numbers of the former one."""
     address = await find_address(platform)
-    number = await list_end(platform, address)
+    number = await create_listed_end(platform, address)
     platform.fleet.restart(VMId("m-0"), 0.0)
     await platform.wait_for_worker("m-0")
     hold = HoldOrder(FENCE, number, 0)
@@ -147,11 +147,11 @@
     assert platform.fleet.workers_by_id[address.id].acknowledged == 0
 
 
-async def test_order_to_nobody_has_certainly_not_been_carried_out(platform: Platform):
+async def test_order_without_connection_had_no_effect(platform: Platform):
     address = await find_address(platform)
     start = order(platform, address.id)
-    nobody = WorkerAddress(address.id, "127.0.0.1:1")
-    answer = await platform.workers.start(nobody, start, TIMEOUT)
+    closed_address = WorkerAddress(address.id, "127.0.0.1:1")
+    answer = await platform.workers.start(closed_address, start, TIMEOUT)
     assert answer.failure().may_follow is False
 
 
--- a/packages/platform/tests/adapter/test_jobs_frontend.py
+++ b/packages/platform/tests/adapter/test_jobs_frontend.py
@@ -108,7 +108,7 @@
     assert answer["state"] in ("queued", "active", "complete", "failed")
 
 
-async def test_job_that_nobody_submitted_is_unknown(frontend: Frontend):
+async def test_unsubmitted_job_is_unknown(frontend: Frontend):
     assert (await frontend.call("GET"))[0] == 410
     assert (await frontend.call("DELETE"))[0] == 410
 
@@ -144,7 +144,7 @@
     ],
     ids=lambda changes: str(changes)[:40],
 )
-async def test_job_that_can_not_be_is_refused_with_the_reason(
+async def test_invalid_job_is_refused_with_the_reason(
     frontend: Frontend, changes: dict[str, object]
 ):
     status, answer, _ = await frontend.submit(**changes)
@@ -181,7 +181,7 @@
     assert (await frontend.call(method, path))[0] == status
 
 
-async def test_refusal_while_the_store_is_away_says_when_to_come_back(
+async def test_refusal_during_store_outage_has_retry_after(
     frontend: Frontend,
 ):
     frontend.platform.weather.store_mood = StoreMood.BUSY
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("method", ["POST", "GET", "DELETE"])
-async def test_refusal_for_a_lost_store_ends_the_connection(
+async def test_refusal_during_store_outage_closes_the_connection(
     frontend: Frontend, method: str
 ):
     """
--- a/packages/platform/tests/adapter/test_malformed_records.py
+++ b/packages/platform/tests/adapter/test_malformed_records.py
@@ -50,7 +50,7 @@
 
 
 # The first draw reads all modules for constants, which takes seconds on a new machine.
-fixed = settings(
+reproducible = settings(
     deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow]
 )
 
@@ -67,7 +67,7 @@
     return json.dumps(changed).encode()
 
 
-@fixed
+@reproducible
 @given(
     value=st.one_of(
         st.binary(max_size=200), mutated(WORKER), mutated(CONFIG), mutated(WAVE)
@@ -80,9 +80,9 @@
             assert "op/wave/1" in found.failure().message()
 
 
-@fixed
+@reproducible
 @given(value=mutated(WORKER))
-def test_worker_that_is_taken_has_all_that_orders_need(value: bytes):
+def test_accepted_worker_entry_has_all_that_orders_need(value: bytes):
     found = CODEC.decode_worker(KEY, value)
     if not is_successful(found):
         return
@@ -97,14 +97,14 @@
     assert 0 < int(port) < 65_536
 
 
-def test_workers_own_entry_is_taken():
+def test_valid_worker_entry_is_accepted():
     assert is_successful(CODEC.decode_worker(KEY, json.dumps(WORKER).encode()))
 
 
 @pytest.mark.parametrize(
     "field", ["service", "address", "zone", "state", "capacity", "machineId"]
 )
-def test_entry_without_a_field_names_no_worker(field: str):
+def test_entry_without_a_field_is_rejected(field: str):
     value = {name: each for name, each in WORKER.items() if name != field}
     assert not is_successful(CODEC.decode_worker(KEY, json.dumps(value).encode()))
 
@@ -144,31 +144,31 @@
         ("zone", ""),
     ],
 )
-def test_entry_with_another_content_names_no_worker(field: str, content: object):
+def test_entry_with_invalid_content_is_rejected(field: str, content: object):
     value = json.dumps(WORKER | {field: content}).encode()
     assert not is_successful(CODEC.decode_worker(KEY, value))
 
 
 @pytest.mark.parametrize("name", ["", "two words", "line\nbreak", "é"])
-def test_key_that_no_header_can_carry_names_no_worker(name: str):
+def test_key_that_is_invalid_in_a_header_is_rejected(name: str):
     value = json.dumps(WORKER).encode()
     assert not is_successful(CODEC.decode_worker(f"servers/{name}", value))
 
 
 @pytest.mark.parametrize("text", ["%%%", "abc", "é", "YQ==\n!"])
-def test_value_that_is_no_base64_does_not_end_its_listing(text: str):
+def test_value_without_base64_does_not_end_listing(text: str):
     entry = _to_entry(WireItem(key=KEY, value=text, revision=3))
     assert (entry.key, entry.mod_revision) == (KEY, 3)
     assert not is_successful(CODEC.decode_worker(KEY, entry.value))
 
 
-@fixed
+@reproducible
 @given(value=st.binary(max_size=100))
 def test_any_bytes_are_read_back(value: bytes):
     text = base64.b64encode(value).decode()
     assert _to_entry(WireItem(key="k", value=text)).value == value
 
 
-def test_state_of_a_vm_that_is_not_known_is_no_proof_that_it_is_down():
+def test_unknown_vm_state_does_not_count_as_down():
     machine = WireMachine(machine_id="m-1", pool="s-1", state="hibernating")
     assert _to_vm(machine).phase is VMPhase.UNKNOWN
--- a/packages/platform/tests/adapter/test_store.py
+++ b/packages/platform/tests/adapter/test_store.py
@@ -52,13 +52,13 @@
     assert [entry.key for entry in listing.entries] == keys
 
 
-async def test_joint_write_that_fails_is_decided_one_by_one(platform: Platform):
+async def test_failed_combined_write_is_split(platform: Platform):
     await platform.store.commit(create("a/1"))
     answers = await platform.store.commit_each([create("a/1"), create("a/2")])
     assert [each.succeeded for each in answers.unwrap()] == [False, True]
 
 
-async def test_keys_go_with_their_lease(platform: Platform):
+async def test_keys_are_deleted_with_their_lease(platform: Platform):
     lease = (await platform.store.grant_lease(60.0)).unwrap()
     await platform.store.commit(Transaction((), (Put("a/1", b"v", lease),)))
     assert (await platform.store.keep_lease(lease)).unwrap() > 0
@@ -71,7 +71,7 @@
     assert isinstance(lost.failure(), LeaseGone)
 
 
-async def test_refused_write_is_known_not_to_have_been_done(platform: Platform):
+async def test_refused_write_had_no_effect(platform: Platform):
     platform.weather.store_mood = StoreMood.BUSY
     refused = await platform.store.commit(create("a/1"))
     assert isinstance(refused.failure(), StoreUnavailable)
@@ -96,18 +96,18 @@
 async def test_watch_yields_every_change_in_order(platform: Platform):
     start = Revision((await platform.store.read_prefix("a/")).unwrap().revision + 1)
     watch = platform.store.watch("a/", start)
-    following = asyncio.ensure_future(anext(watch))
+    next_batch = asyncio.ensure_future(anext(watch))
     await asyncio.sleep(0)
     await platform.store.commit(create("b/1"))
     await platform.store.commit(create("a/1"))
-    batch = await following
+    batch = await next_batch
     assert [entry.key for entry in batch.changed] == ["a/1"]
     await platform.store.commit(Transaction((), (Delete("a/1"),)))
     assert (await anext(watch)).deleted == ("a/1",)
     await watch.aclose()  # type: ignore[attr-defined]
 
 
-async def test_watch_ends_when_the_history_is_gone(platform: Platform):
+async def test_watch_ends_when_revision_was_compacted(platform: Platform):
     for number in range(3):
         await platform.store.commit(create(f"a/{number}"))
     platform.state.compact(platform.state.revision)
@@ -115,13 +115,13 @@
     assert batches == []
 
 
-async def test_return_of_the_store_is_noticed_without_a_call(platform: Platform):
+async def test_store_recovery_is_detected_without_a_call(platform: Platform):
     """
     The store turns everybody down for a second. Callers are refused at once until
     its return is noticed; only the watches go on meanwhile.
     """
     watch = platform.store.watch("a/", Revision(platform.state.revision + 1))
-    following = asyncio.ensure_future(anext(watch))
+    next_batch = asyncio.ensure_future(anext(watch))
     await asyncio.sleep(0.05)
     platform.weather.store_mood = StoreMood.BUSY
     await asyncio.sleep(1.2)  # The watch that was open before has been answered.
@@ -132,10 +132,10 @@
     async with asyncio.timeout(MAX_WATCH_RETRY_SECONDS + 0.3):
         while platform.store.failing_since is not None:
             await asyncio.sleep(0.01)
-    following.cancel()
+    next_batch.cancel()
 
 
-async def test_no_answer_from_a_store_that_is_not_there(platform: Platform):
+async def test_unresponsive_store_is_a_failure(platform: Platform):
     await platform.store.close()
     platform.weather.store_mood = StoreMood.SILENT
     silent = await platform.store.read("a/1")
