--- a/packages/adapters/tests/test_etcd_gateway.py
+++ b/packages/adapters/tests/test_etcd_gateway.py
@@ -31,7 +31,7 @@
 
 
 class Service:
-    """The stand-in in this loop, with one gate for each endpoint."""
+    """The stand-in service in this event loop, with one gate for each endpoint."""
 
     def __init__(self) -> None:
         self.service = KeyValueService(delay_seconds=0.0, progress_seconds=0.1)
@@ -109,9 +109,9 @@
     is_written: bool,
 ):
     """
-    The editor's write takes effect or not, and the answer does not come.
-    Told "not applied" the operator would enter the edit again under a new id;
-    so every write that may have left this process is reported as unknown.
+    A write may or may not take effect, and its answer does not arrive. If it were
+    reported as not applied, the operator would enter the edit again under a new id,
+    so every write that may have been sent is reported as unknown.
     """
     async with open_store(*service.endpoints) as store:
         await service.fault(**faults)
@@ -134,9 +134,9 @@
     service: Service,
 ):
     """
-    The first endpoint refuses the connection: the write goes to the second.
-    The first endpoint applies the write and loses the answer: a second try
-    would find its own write and be told "conflict", so there is none.
+    If the first endpoint refuses the connection, the write goes to the second. If the
+    first endpoint applies the write and the answer is lost, there is no second
+    attempt: it would conflict with its own write.
     """
     async with open_store(CLOSED_PORT, service.endpoints[1]) as store:
         assert (await store.commit(PUT)).unwrap().succeeded
@@ -159,9 +159,8 @@
 
 async def test_dead_pooled_connections_cost_one_timeout(service: Service):
     """
-    Something between the ends loses track of all open connections. Ten pooled
-    ones would cost the caller ten timeouts one after the other; after the
-    first one the client connects afresh.
+    A middlebox drops the state of all open connections. Ten pooled connections would
+    cost the caller ten successive timeouts; the client reconnects after the first.
     """
     async with open_store(service.endpoints[0]) as store:
         await asyncio.gather(*(store.read("a") for _ in range(10)))
@@ -172,9 +171,9 @@
 
 async def test_dead_watch_resumes_without_a_gap(service: Service):
     """
-    The watch stays open and no byte passes any more, while edits go on. The
-    node would keep an old table for ever. After the silence it watches anew
-    from the next revision, and sees each change once.
+    The watch's connection stays open but passes no data while edits continue, so the
+    node would keep an old table forever. After the timeout it opens a new watch at the
+    next revision and receives each change once.
     """
     async with open_store(*service.endpoints) as store:
         values = []
--- a/packages/adapters/tests/test_http_channel.py
+++ b/packages/adapters/tests/test_http_channel.py
@@ -1,4 +1,4 @@
-"""Connections to one address are closed with their owner."""
+"""Tests that closing a channel closes its connections."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 async def test_closing_leaves_no_connection_open():
     """
-    A process that stops closes its channels at once. A closing that was only
-    planned and cancelled before it began left each connection to the library,
-    which complained of it in the log.
+    Guards against connections that stay open at shutdown: a close task that is
+    cancelled before it starts does not close its session, and the library logs a
+    warning for each connection.
     """
     served = web.Server(lambda _: asyncio.sleep(0, web.Response()))
     runner = web.ServerRunner(served)
--- a/packages/adapters/tests/test_log_output.py
+++ b/packages/adapters/tests/test_log_output.py
@@ -52,9 +52,9 @@
 
 def test_stopped_reader_does_not_block():
     """
-    The process that collects the logs hangs and reads no more. Lines pile up in
-    the pipe, then in the queue, then they are dropped and counted; a log call
-    that waited would stop the renewal of every lease.
+    The process that collects the logs hangs and stops reading. Lines fill the pipe,
+    then the queue, and are then dropped and counted; a log call that blocked would
+    stop the renewal of every lease.
     """
     reader, writer = os.pipe()
     clock = ManualClock()
@@ -94,8 +94,9 @@
 
 def test_lines_within_a_batch_are_written_together(monkeypatch: pytest.MonkeyPatch):
     """
-    A controller logs two lines a task. Each one woke the thread that writes and was a
-    system call of its own, in the process that had no time left at a turn's peak.
+    A controller logs two lines per task. Without batching, each line wakes the writer
+    thread and takes a system call, in a process that is at its limit at the peak of a
+    burst.
     """
     reader, writer = os.pipe()
     written: list[int] = []
--- a/packages/adapters/tests/test_store_meter.py
+++ b/packages/adapters/tests/test_store_meter.py
@@ -62,8 +62,8 @@
     store: MeteredStore, inner: MemoryStore, clock: ManualClock
 ):
     """
-    One mechanism runs wild. The platform's service would slow down for all, and
-    payments would be refused for want of a claim.
+    One mechanism makes calls without limit. Without budgets the platform's service
+    would slow down for all, and payments would be refused for lack of a claim.
     """
     for _ in range(HOLDERS_BURST):
         (await store.read("holders/p")).unwrap()
--- a/packages/platform/tests/adapter/conftest.py
+++ b/packages/platform/tests/adapter/conftest.py
@@ -34,7 +34,7 @@
 
 @dataclass
 class Platform:
-    """Stand-ins of the platform on loopback, and the adapter's clients for them."""
+    """Stand-ins for the platform on loopback, and the adapter's clients for them."""
 
     state: KeyValueState
     weather: Weather
--- a/packages/platform/tests/adapter/test_fleet.py
+++ b/packages/platform/tests/adapter/test_fleet.py
@@ -1,4 +1,4 @@
-"""Workers and machines through the adapter's clients."""
+"""Tests the clients for workers and machines against the platform stand-ins."""
 
 from __future__ import annotations
 
@@ -83,8 +83,8 @@
 
 async def test_order_for_previous_worker_is_refused(platform: Platform):
     """
-    A VM is back under its old address as another worker. An order for the former
-    life must not start anything there: its record names a worker that is gone.
+    A VM returns under its old address as another worker. An order for the previous
+    worker must not start a run there, since its record names a terminated worker.
     """
     address = await find_address(platform)
     former = WorkerAddress(WorkerId("i-gone"), address.address)
@@ -96,8 +96,8 @@
 
 async def test_listing_identifies_the_incarnation(platform: Platform):
     """
-    A worker starts again under its id. Its next listing is empty and counts ends
-    from 1 again; only the time of its start tells that this is another life.
+    A worker restarts under its id. Its next listing is empty and numbers ends from 1
+    again; only the start time shows that this is another incarnation.
     """
     address = await find_address(platform)
     hold = HoldOrder(FENCE, 0, 0)
@@ -111,7 +111,7 @@
 
 
 async def create_listed_end(platform: Platform, address: WorkerAddress) -> int:
-    """Have a run end; return the number of its end as the next hold lists it."""
+    """Start and stop a run; return the number of its end in the next hold answer."""
     await platform.workers.start(address, order(platform, address.id), TIMEOUT)
     await platform.workers.stop(address, StopOrder(TASK, 1, FENCE), TIMEOUT)
     waiting = HoldOrder(FENCE, 0, 0, wait_ms=900)
@@ -134,7 +134,10 @@
 
 
 async def test_acknowledgement_does_not_reach_next_incarnation(platform: Platform):
-    """Guards against a life that forgets its ends by the numbers of the former one."""
+    """
+    Guards against a restarted worker that drops its ends because of an
+    acknowledgement of the previous incarnation's numbers.
+    """
     address = await find_address(platform)
     number = await create_listed_end(platform, address)
     platform.fleet.restart(VMId("m-0"), 0.0)
--- a/packages/platform/tests/adapter/test_jobs_frontend.py
+++ b/packages/platform/tests/adapter/test_jobs_frontend.py
@@ -41,7 +41,7 @@
 
 @dataclass
 class Frontend:
-    """One entry VM's customers' port."""
+    """The customers' port of one entry VM."""
 
     address: str
     session: aiohttp.ClientSession
@@ -196,9 +196,9 @@
     frontend: Frontend, method: str
 ):
     """
-    An entry VM loses the store and leaves the balancer's rotation. Customers on open
-    connections stayed with it, were refused at each try and gave up, although others
-    could serve them: only a new connection goes through the balancer.
+    An entry VM cannot reach the store and leaves the balancer's rotation. Customers on
+    open connections would stay with it and be refused at each attempt, although other
+    entry VMs could serve them: only a new connection goes through the balancer.
     """
     url = f"http://{frontend.address}/lookup/{JOB}"
     headers = {"Host": HOST, "X-Medlarspring-Deadline-Ms": "800"}
--- a/packages/platform/tests/adapter/test_malformed_records.py
+++ b/packages/platform/tests/adapter/test_malformed_records.py
@@ -1,4 +1,4 @@
-"""Records by other writers: they name nothing to use, and stop nobody."""
+"""Malformed records by other writers are rejected and do not disturb other records."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 )
 
 
-# The first draw reads all modules for constants, which takes seconds on a new machine.
+# The first draw scans all modules for constants, which can take seconds.
 reproducible = settings(
     deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow]
 )
@@ -57,7 +57,7 @@
 
 @st.composite
 def mutated(draw: st.DrawFn, record: dict[str, Any]) -> bytes:
-    """Return a good record with some fields dropped or of other content."""
+    """Return a valid record with some fields removed or replaced."""
     changed = dict(record)
     for field in draw(st.lists(st.sampled_from(sorted(record)), max_size=4)):
         if draw(st.booleans()):
--- a/packages/platform/tests/adapter/test_operator_records.py
+++ b/packages/platform/tests/adapter/test_operator_records.py
@@ -1,4 +1,4 @@
-"""The operator's and the workers' records, decoded once."""
+"""Tests decoding of the operator's and the workers' records."""
 
 from __future__ import annotations
 
--- a/packages/platform/tests/adapter/test_settings.py
+++ b/packages/platform/tests/adapter/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes."""
+"""Tests reading of the settings file that the platform writes."""
 
 from __future__ import annotations
 
--- a/packages/platform/tests/adapter/test_store.py
+++ b/packages/platform/tests/adapter/test_store.py
@@ -1,4 +1,4 @@
-"""The platform's store through its client: calls, refusals, lost replies, watches."""
+"""Tests the store's client: calls, refusals, lost replies and watches."""
 
 from __future__ import annotations
 
@@ -83,8 +83,8 @@
 
 async def test_write_with_a_lost_reply_has_an_unknown_outcome(platform: Platform):
     """
-    The store carries a write out and its answer never comes. Taken for a refusal,
-    the customer would be told that a job which runs was not accepted.
+    The store carries out a write and its answer is lost. If this counted as a refusal,
+    the customer would be told that a running job was not accepted.
     """
     platform.weather.lost_replies = 1.0
     lost = await platform.store.commit(create("a/1"))
@@ -117,14 +117,14 @@
 
 async def test_store_recovery_is_detected_without_a_call(platform: Platform):
     """
-    The store turns everybody down for a second. Callers are refused at once until
-    its return is noticed; only the watches go on meanwhile.
+    The store refuses all calls for a second. Callers are refused at once until its
+    recovery is detected; only the watch calls continue in the meantime.
     """
     watch = platform.store.watch("a/", Revision(platform.state.revision + 1))
     next_batch = asyncio.ensure_future(anext(watch))
     await asyncio.sleep(0.05)
     platform.weather.store_mood = StoreMood.BUSY
-    await asyncio.sleep(1.2)  # The watch that was open before has been answered.
+    await asyncio.sleep(1.2)  # The watch call opened before has returned.
     await platform.store.read("a/1")
     await asyncio.sleep(0.5)
     assert platform.store.failing_since is not None
