--- a/packages/adapters/src/medlarspring_adapters/fleet_records.py
+++ b/packages/adapters/src/medlarspring_adapters/fleet_records.py
@@ -1,4 +1,4 @@
-"""Fleet records as JSON values of the store."""
+"""Encodes fleet records as JSON and applies store entries to the fleet tables."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
     return msgspec.json.encode(record)
 
 
-def take_entry(tables: FleetTables, entry: Entry) -> None:
-    """Decode an entry into the tables; other keys are passed over."""
+def apply_entry(tables: FleetTables, entry: Entry) -> None:
+    """Decode an entry into the tables; keys of other kinds are ignored."""
     kind = entry.key.removeprefix(FLEET_PREFIX).partition("/")[0]
     record_type = TYPES_BY_PREFIX.get(f"{FLEET_PREFIX}{kind}/")
     if record_type is not None:
@@ -39,19 +39,19 @@
         tables.put(record, entry.mod_revision)
 
 
-def take_listing(tables: FleetTables, prefix: str, listing: Listing) -> None:
-    """Take all records under a prefix, and forget those that are gone.
+def apply_listing(tables: FleetTables, prefix: str, listing: Listing) -> None:
+    """Replace all records under a prefix with those of a listing.
 
-    A watch may have brought newer records while the listing was on its way;
-    those are not in it and must not be forgotten, for no watch brings them
-    again.
+    A watch may have delivered newer records than the listing has. They must not be
+    removed, since no watch delivers them again; removal is therefore conditional on
+    the listing's revision.
     """
     present = {entry.key for entry in listing.entries}
     for key in list(tables.revisions_by_key):
         if key.startswith(prefix) and key not in present:
             tables.remove(key, listing.revision)
     for entry in listing.entries:
-        take_entry(tables, entry)
+        apply_entry(tables, entry)
 
 
-__all__ = ["TYPES_BY_PREFIX", "encode_record", "take_entry", "take_listing"]
+__all__ = ["TYPES_BY_PREFIX", "encode_record", "apply_entry", "apply_listing"]
--- a/packages/adapters/src/medlarspring_adapters/group_commit.py
+++ b/packages/adapters/src/medlarspring_adapters/group_commit.py
@@ -1,4 +1,4 @@
-"""Carries many transactions to the store in few counted calls."""
+"""Batches transactions so that many are committed in few counted store calls."""
 
 from __future__ import annotations
 
@@ -23,13 +23,16 @@
 
 MAX_PER_CALL = 64
 MAX_CALLS_AT_ONCE = 4
-"""One call that hangs must not hold up all that come after it."""
+"""More than one, so that a call that hangs does not block all later ones."""
 
 Answer = Result[Committed, StoreError]
 
 
 class GroupCommit:
-    """Sends the first transaction at once; those that follow share calls."""
+    """Sends a first transaction at once and batches those that follow.
+
+    ``choose_interval`` returns the shortest time between the starts of two calls.
+    """
 
     def __init__(
         self,
@@ -48,7 +51,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def commit(self, transaction: Transaction) -> Answer:
-        """Commit one transaction, together with others that wait."""
+        """Commit one transaction, batched with other pending ones."""
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._waiting.append((transaction, future))
         self._call_when_due()
@@ -65,7 +68,7 @@
             self._timer = loop.call_later(wait, self._end_wait)
             return
         self._called_at = self._clock.now()
-        call = asyncio.create_task(self._call(self._take_batch()))
+        call = asyncio.create_task(self._call(self._collect_batch()))
         self._calls.add(call)
         call.add_done_callback(self._end_call)
 
@@ -77,20 +80,20 @@
         self._calls.discard(call)
         self._call_when_due()
 
-    def _take_batch(self) -> list[tuple[Transaction, asyncio.Future[Answer]]]:
-        """Take what goes into one call; no key is written twice by it."""
+    def _collect_batch(self) -> list[tuple[Transaction, asyncio.Future[Answer]]]:
+        """Remove and return the next batch, in which no key is written twice."""
         batch: list[tuple[Transaction, asyncio.Future[Answer]]] = []
-        left: deque[tuple[Transaction, asyncio.Future[Answer]]] = deque()
+        deferred: deque[tuple[Transaction, asyncio.Future[Answer]]] = deque()
         keys: set[str] = set()
         while self._waiting and len(batch) < self._max_per_call:
             transaction, future = self._waiting.popleft()
             written = {write.key for write in transaction.writes}
             if keys & written:
-                left.append((transaction, future))
+                deferred.append((transaction, future))
                 continue
             keys |= written
             batch.append((transaction, future))
-        self._waiting.extendleft(reversed(left))
+        self._waiting.extendleft(reversed(deferred))
         return batch
 
     async def _call(
--- a/packages/adapters/src/medlarspring_adapters/store_meter.py
+++ b/packages/adapters/src/medlarspring_adapters/store_meter.py
@@ -1,8 +1,8 @@
-"""Counts and bounds the store calls of this process by mechanism.
+"""Counts the store calls of this process and limits their rate by mechanism.
 
-The platform counts each call, and its service takes some hundred writes and
-two thousand reads a second for everybody. Each mechanism has a budget of its
-own, so that one in trouble cannot take the calls of the others.
+The platform counts each call, and its service handles some hundred writes and two
+thousand reads a second for all clients together. Each mechanism has a budget of its
+own, so that one that makes too many calls cannot use up those of the others.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class Mechanism(Enum):
-    """What a store call is for."""
+    """Purpose of a store call."""
 
     CONFIGURATION = "configuration"
     EDITS = "edits"
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class Bucket:
-    """Calls that one mechanism may make now, refilled over time."""
+    """Token bucket with the calls that one mechanism may still make."""
 
     rate: float
     tokens: float
@@ -101,13 +101,13 @@
 
 @dataclass(slots=True)
 class StoreCalls:
-    """What this process asked of the store, for status and metrics."""
+    """Counts and state of this process's store calls, for status and metrics."""
 
     calls_by_mechanism: dict[Mechanism, int] = field(default_factory=dict)
     over_budget_by_mechanism: dict[Mechanism, int] = field(default_factory=dict)
     answered_at: Seconds | None = None
     failing_since: Seconds | None = None
-    """When the first call failed that no answered call has followed."""
+    """Time of the first failed call since the last successful one."""
 
 
 @runtime_checkable
@@ -120,12 +120,12 @@
 
 
 class MeteredStore:
-    """Passes calls on to a store, counts them and keeps to the budgets."""
+    """Forwards calls to a store, counts them and enforces the budgets."""
 
     def __init__(self, inner: Store, clock: Clock) -> None:
         self._inner = inner
         self._clock = clock
-        self._billed_to: Mechanism | None = None
+        self._fixed_mechanism: Mechanism | None = None
         self.calls = StoreCalls()
         now = clock.now()
         self._buckets_by_mechanism = {
@@ -133,14 +133,14 @@
             for mechanism, rate in CALLS_PER_SECOND.items()
         }
 
-    def bill_to(self, mechanism: Mechanism) -> MeteredStore:
-        """Return the same store with all calls counted for one mechanism."""
+    def with_mechanism(self, mechanism: Mechanism) -> MeteredStore:
+        """Return a view of this store that counts all calls for one mechanism."""
         view = copy.copy(self)
-        view._billed_to = mechanism
+        view._fixed_mechanism = mechanism
         return view
 
     def failing_seconds(self) -> Seconds:
-        """Return for how long the store has not answered; 0 while it does."""
+        """Return the time since the store stopped answering; 0 while it answers."""
         if self.calls.failing_since is None:
             return 0.0
         return max(self._clock.now() - self.calls.failing_since, 0.001)
@@ -152,39 +152,39 @@
 
     async def read(self, key: str) -> Result[Entry | None, StoreError]:
         """Return the key's entry, or None if it is absent."""
-        return await self._pass(_classify(key), self._inner.read, key)
+        return await self._forward(_classify(key), self._inner.read, key)
 
     async def read_prefix(self, prefix: str) -> Result[Listing, StoreError]:
         """Return all entries under a prefix."""
-        return await self._pass(_classify(prefix), self._inner.read_prefix, prefix)
+        return await self._forward(_classify(prefix), self._inner.read_prefix, prefix)
 
     async def commit(self, transaction: Transaction) -> Result[Committed, StoreError]:
         """Apply one transaction."""
         mechanism = _classify_write(transaction)
-        return await self._pass(mechanism, self._inner.commit, transaction)
+        return await self._forward(mechanism, self._inner.commit, transaction)
 
     async def commit_each(
         self, transactions: Sequence[Transaction]
     ) -> Result[list[Committed], StoreError]:
-        """Decide many transactions on their own in one counted call."""
+        """Commit many independent transactions in one counted call."""
         mechanism = _classify_write(transactions[0])
-        return await self._pass(mechanism, self._inner.commit_each, transactions)
+        return await self._forward(mechanism, self._inner.commit_each, transactions)
 
     async def grant_lease(self, ttl: float) -> Result[LeaseId, StoreError]:
         """Create a lease."""
-        return await self._pass(Mechanism.LEASES, self._inner.grant_lease, ttl)
+        return await self._forward(Mechanism.LEASES, self._inner.grant_lease, ttl)
 
     async def keep_lease(self, lease_id: LeaseId) -> Result[float, StoreError]:
         """Renew a lease."""
-        return await self._pass(Mechanism.LEASES, self._inner.keep_lease, lease_id)
+        return await self._forward(Mechanism.LEASES, self._inner.keep_lease, lease_id)
 
     async def revoke_lease(self, lease_id: LeaseId) -> Result[None, StoreError]:
-        """End a lease; never held back, since others wait for its keys."""
+        """End a lease; not limited by the budget, since others wait for its keys."""
         self._count(Mechanism.LEASES)
-        return self._note(await self._inner.revoke_lease(lease_id))
+        return self._record_outcome(await self._inner.revoke_lease(lease_id))
 
     async def watch(self, prefix: str, start: Revision) -> AsyncIterator[WatchBatch]:
-        """Yield changes; the open watch counts as one call, as each renewal."""
+        """Yield changes; opening a watch counts as one call, as does each reopening."""
         mechanism = _classify(prefix)
         if not self._may_call(mechanism):
             return
@@ -192,20 +192,20 @@
         generator = cast("AsyncGenerator[WatchBatch, None]", batches)
         async with contextlib.aclosing(generator):
             async for batch in generator:
-                self._note_answer()
+                self._record_answer()
                 yield batch
 
-    async def _pass(
+    async def _forward(
         self,
         mechanism: Mechanism,
         call: Callable[[Argument], Awaitable[Result[Value, StoreError]]],
         argument: Argument,
     ) -> Result[Value, StoreError]:
-        mechanism = self._billed_to or mechanism
+        mechanism = self._fixed_mechanism or mechanism
         if not self._may_call(mechanism):
             detail = f"{CALLS_PER_SECOND[mechanism]:g} calls/s for {mechanism.value}"
             return Failure(StoreOverBudget(detail))
-        return self._note(await call(argument))
+        return self._record_outcome(await call(argument))
 
     def _may_call(self, mechanism: Mechanism) -> bool:
         if self._buckets_by_mechanism[mechanism].take(self._clock.now()):
@@ -219,15 +219,17 @@
         calls = self.calls.calls_by_mechanism
         calls[mechanism] = calls.get(mechanism, 0) + 1
 
-    def _note(self, answer: Result[Value, StoreError]) -> Result[Value, StoreError]:
+    def _record_outcome(
+        self, answer: Result[Value, StoreError]
+    ) -> Result[Value, StoreError]:
         if isinstance(answer, Failure) and not isinstance(answer.failure(), LeaseGone):
             if self.calls.failing_since is None:
                 self.calls.failing_since = self._clock.now()
             return answer
-        self._note_answer()
+        self._record_answer()
         return answer
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         self.calls.answered_at = self._clock.now()
         self.calls.failing_since = None
 
@@ -237,13 +239,13 @@
 
 
 def _classify_write(transaction: Transaction) -> Mechanism:
-    """Name the mechanism by the first write, or condition if nothing is written."""
+    """Return the mechanism of the first write, else of the first condition."""
     keys = [write.key for write in transaction.writes]
     keys += [expect.key for expect in transaction.expects]
     if not keys:
         return Mechanism.OTHER
     mechanism = _classify(keys[0])
-    # The table is read for distribution and written by editors only.
+    # The table is read for distribution and written only by edits.
     return Mechanism.EDITS if mechanism is Mechanism.CONFIGURATION else mechanism
 
 
--- a/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
@@ -13,8 +13,8 @@
 from medlarspring_adapters.events import Event
 from medlarspring_adapters.upstream_http import (
     STATE_HEADER,
-    Reached,
-    Sending,
+    DeliveryStatus,
+    OutgoingRequest,
     UpstreamClient,
     UpstreamFault,
 )
@@ -150,7 +150,7 @@
         exchange.headers["Request-Timeout"] = f"{remaining:.3f}"
         try:
             sent = await self._client.send(
-                Sending(
+                OutgoingRequest(
                     address=upstream.address,
                     method=caller_request.method,
                     target=caller_request.target,
@@ -239,7 +239,9 @@
         if exchange.request is None:
             answer.close()
             fault = UpstreamFault(
-                Reached.PERHAPS, "its response is too large", timed_out=False
+                DeliveryStatus.POSSIBLY_SENT,
+                "its response is too large",
+                timed_out=False,
             )
             return Failure(self._handle_fault(acquired_slot, fault))
         response, complete = await stream_response(
@@ -280,7 +282,7 @@
             upstream_health.end_inconclusive_probe(acquired_slot.upstream)
         else:
             self._record_upstream_health(acquired_slot, ok=False, latency=0.0)
-        not_run = fault.reached is Reached.NO
+        not_run = fault.reached is DeliveryStatus.NOT_SENT
         kind = RefusalKind.TIMED_OUT if fault.timed_out else RefusalKind.UPSTREAM_FAILED
         outcome = Outcome.NOT_RUN if not_run else Outcome.UNKNOWN
         refusal = Refusal(kind, outcome, fault.message(), retry_after=1.0)
--- a/packages/daemon/src/medlarspring_daemon/jobs/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/controller.py
@@ -95,11 +95,11 @@
         listing = await self._jobs.read_pool(self.pool_id)
         if not is_successful(listing):
             return False
-        self.take_listing(listing.unwrap())
+        self.apply_listing(listing.unwrap())
         self._is_reload_needed = False
         return True
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Apply a listing of all records; known jobs that it lacks are removed."""
         seen = {
             self.apply_record(entry.value, entry.mod_revision)
@@ -110,7 +110,7 @@
             if revisions.get(job_id, Revision(0)) <= listing.revision:
                 forget_job(self.tables, job_id)
 
-    def take_batch(self, batch: WatchBatch) -> None:
+    def apply_batch(self, batch: WatchBatch) -> None:
         """Apply the changes that a watch reported."""
         for entry in batch.changed:
             self.apply_record(entry.value, entry.mod_revision)
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_request_handler.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_request_handler.py
@@ -82,7 +82,7 @@
             decisions=[msgspec.json.encode(each) for each in found]
         )
 
-    def note_wrong_token(self) -> None:
+    def record_wrong_token(self) -> None:
         """Log a call with a wrong token, at most once in 10 s since callers retry."""
         now = self._node.clock.now()
         if now - self._wrong_token_logged_at < WRONG_TOKEN_LOG_SECONDS:
--- a/packages/platform/src/medlarspring_platform/advice.py
+++ b/packages/platform/src/medlarspring_platform/advice.py
@@ -1,4 +1,4 @@
-"""The platform's service of advice on restricted queues."""
+"""Client of the platform's placement adviser for restricted queues."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from msgspec import Struct
 from returns.result import Failure, Result, Success
 
-from medlarspring_adapters.adviser import Advice, AdviserSilent
+from medlarspring_adapters.adviser import Advice, AdviserUnresponsive
 from medlarspring_adapters.http_channel import HttpChannel, NotSent, Unanswered
 from medlarspring_platform import wire
 from medlarspring_tables.scheduling import WorkerId
@@ -17,26 +17,26 @@
     from collections.abc import Sequence
 
 TIMEOUT_SECONDS = 6.0
-"""Calls of one entry VM wait for each other, up to 32 of them."""
+"""The adviser queues the calls of one entry VM, up to 32 of them."""
 HTTP_OK = 200
 
 
 class WireQuestion(Struct):
-    """A step, and the workers that are asked about."""
+    """The step and the workers that advice is requested for."""
 
     step: str
     workers: list[str]
 
 
 class WireAdviceAnswer(Struct, rename="camel"):
-    """Rows of worker and ticket; workers left out may not run the step."""
+    """Pairs of worker and ticket; workers not listed may not run the step."""
 
     allowed: list[tuple[str, str]] = []
     valid_ms: int = 0
 
 
 class PlatformAdviser:
-    """Implements ``Adviser``."""
+    """Implements ``Adviser`` over the platform's HTTP interface."""
 
     def __init__(self, address: str) -> None:
         self._channel = HttpChannel(address)
@@ -47,7 +47,7 @@
 
     async def advise(
         self, step_id: str, worker_ids: Sequence[WorkerId]
-    ) -> Result[Advice, AdviserSilent]:
+    ) -> Result[Advice, AdviserUnresponsive]:
         """Return which of the workers may run the step."""
         question = WireQuestion(step_id, list(worker_ids))
         try:
@@ -55,10 +55,10 @@
                 "POST", wire.ADVISE_PATH, TIMEOUT_SECONDS, msgspec.json.encode(question)
             )
             if reply.status != HTTP_OK:
-                return Failure(AdviserSilent(f"HTTP status {reply.status}"))
+                return Failure(AdviserUnresponsive(f"HTTP status {reply.status}"))
             answer = msgspec.json.decode(reply.body, type=WireAdviceAnswer)
         except (NotSent, Unanswered, msgspec.MsgspecError) as error:
-            return Failure(AdviserSilent(str(error)))
+            return Failure(AdviserUnresponsive(str(error)))
         tickets = {WorkerId(worker): ticket for worker, ticket in answer.allowed}
         return Success(Advice(tickets, answer.valid_ms))
 
--- a/packages/platform/src/medlarspring_platform/front.py
+++ b/packages/platform/src/medlarspring_platform/jobs_frontend.py
@@ -26,12 +26,12 @@
     from medlarspring_daemon.scheduling.service import SchedulingService
     from medlarspring_systems.scheduling.routes import RouteMatch
 
-DEFAULT_PATIENCE_SECONDS = 3.0
-"""Taken for a customer that does not say how long it waits."""
-MAX_PATIENCE_SECONDS = 30.0
+DEFAULT_TIMEOUT_SECONDS = 3.0
+"""Used for requests without a deadline header."""
+MAX_TIMEOUT_SECONDS = 30.0
 JOB_ID = re.compile(r"[0-9a-f]{16}")
 
-_WORDS_BY_STATUS = {
+_STATE_NAMES_BY_STATUS = {
     JobStatus.QUEUED: "queued",
     JobStatus.ACTIVE: "active",
     JobStatus.COMPLETE: "complete",
@@ -47,7 +47,7 @@
 
 
 class WireStep(Struct, rename="camel"):
-    """A step; fields that are 0, false or empty are left out."""
+    """A step; fields that are 0, false or empty may be omitted."""
 
     count: int
     cpu: int = 0
@@ -60,9 +60,9 @@
     same_rack: bool = False
     requires: str = ""
     affinity: str = ""
-    """Rack of the data."""
+    """Rack that holds the step's data."""
     max_per_server: int = 0
-    """On one worker."""
+    """Most tasks of the step that one worker may run at a time."""
     speculative: bool = False
     service_job: bool = False
     """Runs until the job is cancelled."""
@@ -70,14 +70,14 @@
     image: str = ""
     target_ms: int = 0
     fills: bool = False
-    """Uses what other tasks leave; its ``cpu`` is not counted."""
+    """Best-effort: uses leftover CPU; its ``cpu`` is not counted."""
 
 
 class WireJob(Struct, rename="camel"):
     """A job as submitted."""
 
     spec: str
-    """Opaque text for the workers, not what the job consists of."""
+    """Opaque payload for the workers; the job's structure is in ``steps``."""
     steps: list[WireStep]
     times: int = 0
     start_at_ms: int = 0
@@ -85,19 +85,19 @@
 
 
 class WireState(Struct):
-    """What became of a job."""
+    """State of a job."""
 
     state: str
 
 
 class WirePending(Struct):
-    """How many jobs of a queue have not started."""
+    """Number of jobs of a queue that have not started."""
 
     pending: int
 
 
 class WireProblem(Struct):
-    """Why a call was not carried out."""
+    """Error body: code and message of a request that was not carried out."""
 
     error: str
     message: str
@@ -106,16 +106,16 @@
 _job_decoder = msgspec.json.Decoder(WireJob)
 
 
-class JobsFront:
-    """Translates between HTTP and the product's intake of jobs."""
+class JobsFrontend:
+    """Translates between HTTP and the job intake."""
 
     def __init__(self, service: SchedulingService) -> None:
         self._service = service
         self.closing = False
-        """Whether each answer asks the customer to leave this connection."""
+        """Whether each response closes its connection (set during shutdown)."""
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request of a customer."""
+        """Handle one request of a customer."""
         response = await self._answer(request)
         if self.closing:
             response.force_close()
@@ -152,8 +152,8 @@
     async def _count(self, request: web.BaseRequest, match: RouteMatch) -> web.Response:
         if request.method != "GET":
             return _wrong_method("GET")
-        patience = _read_patience(request)
-        counted = await self._service.intake.count_waiting(match.queue.id, patience)
+        timeout = _read_timeout(request)
+        counted = await self._service.intake.count_waiting(match.queue.id, timeout)
         if not is_successful(counted):
             return _refuse(counted.failure())
         return _json(WirePending(counted.unwrap()))
@@ -177,32 +177,30 @@
         fault = check_job(spec)
         if fault is not None:
             return _refuse(fault)
-        patience = _read_patience(request)
-        accepted = await self._service.intake.submit(
-            match.queue, job_id, spec, patience
-        )
+        timeout = _read_timeout(request)
+        accepted = await self._service.intake.submit(match.queue, job_id, spec, timeout)
         if not is_successful(accepted):
             return _refuse(accepted.failure())
-        return _json(WireState(_WORDS_BY_STATUS[JobStatus.QUEUED]))
+        return _json(WireState(_STATE_NAMES_BY_STATUS[JobStatus.QUEUED]))
 
     async def _find_status(
         self, request: web.BaseRequest, job_id: JobId
     ) -> web.Response:
-        patience = _read_patience(request)
-        found = await self._service.intake.find_status(job_id, patience)
+        timeout = _read_timeout(request)
+        found = await self._service.intake.find_status(job_id, timeout)
         if not is_successful(found):
             return _refuse(found.failure())
-        return _json(WireState(_WORDS_BY_STATUS[found.unwrap()]))
+        return _json(WireState(_STATE_NAMES_BY_STATUS[found.unwrap()]))
 
     async def _cancel(self, request: web.BaseRequest, job_id: JobId) -> web.Response:
-        patience = _read_patience(request)
-        cancelled = await self._service.intake.cancel(job_id, patience)
+        timeout = _read_timeout(request)
+        cancelled = await self._service.intake.cancel(job_id, timeout)
         if not is_successful(cancelled):
             return _refuse(cancelled.failure())
-        return _json(WireState(_WORDS_BY_STATUS[JobStatus.CANCELLED]))
+        return _json(WireState(_STATE_NAMES_BY_STATUS[JobStatus.CANCELLED]))
 
     async def handle_readiness(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer the balancer's probe."""
+        """Handle the load balancer's readiness probe."""
         if request.path != wire.READY_PATH:
             return web.Response(status=HTTPStatus.NOT_FOUND)
         ready = self._service.is_ready()
@@ -210,14 +208,14 @@
         return web.Response(status=status)
 
 
-def _read_patience(request: web.BaseRequest) -> float:
-    """Return how long the customer waits, in seconds."""
+def _read_timeout(request: web.BaseRequest) -> float:
+    """Return the request's timeout in seconds, from its deadline header."""
     text = request.headers.get(wire.DEADLINE_HEADER, "")
     try:
         seconds = float(text) / 1_000.0
     except ValueError:
-        return DEFAULT_PATIENCE_SECONDS
-    return min(max(seconds, 0.0), MAX_PATIENCE_SECONDS)
+        return DEFAULT_TIMEOUT_SECONDS
+    return min(max(seconds, 0.0), MAX_TIMEOUT_SECONDS)
 
 
 async def _read_body(request: web.BaseRequest, limit: int) -> bytes | None:
@@ -282,9 +280,10 @@
     response = _problem(_HTTP_BY_ERROR[type(error)], error.code, error.message())
     if isinstance(error, NotReady):
         response.headers["Retry-After"] = str(error.retry_after)
-        # An entry VM that has lost the store leaves the balancer's rotation, but a
-        # connection stays with it. Ended, the customer's next try reaches another one:
-        # 0.02 more of the payoff on five days with outages (pairs with the same seed).
+        # An entry VM that cannot reach the store leaves the balancer's rotation, but
+        # open connections stay with it. Closing them lets the customer's next attempt
+        # reach another entry VM: 0.02 more of the payoff on five days with outages
+        # (paired runs with the same seed).
         response.force_close()
     return response
 
@@ -295,4 +294,4 @@
     )
 
 
-__all__ = ["JobsFront"]
+__all__ = ["JobsFrontend"]
--- a/packages/platform/src/medlarspring_platform/launcher.py
+++ b/packages/platform/src/medlarspring_platform/launcher.py
@@ -1,4 +1,4 @@
-"""Starts medlarspring on the users' platform; ``medlarspring-platformd``."""
+"""Entry point of ``medlarspring-platformd``, the daemon for the users' platform."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 from medlarspring_adapters.clock import SuspendAwareClock
 from medlarspring_adapters.events import Event, create_bounded_log
-from medlarspring_adapters.library_log import take_library_lines
+from medlarspring_adapters.library_log import redirect_library_logs
 from medlarspring_adapters.prometheus_metrics import PrometheusMetrics
 from medlarspring_daemon.scheduling.context import SchedulingNode
 from medlarspring_daemon.scheduling.service import create_scheduling_service
 from medlarspring_platform import wire
 from medlarspring_platform.advice import PlatformAdviser
-from medlarspring_platform.front import JobsFront
+from medlarspring_platform.jobs_frontend import JobsFrontend
 from medlarspring_platform.machines import PlatformMachines
 from medlarspring_platform.operator_records import PlatformCodec
 from medlarspring_platform.settings import read_settings
@@ -39,20 +39,21 @@
 EXIT_SETTINGS = 2
 METRICS_PORT = 9464
 METRICS_PATH = "/metrics"
-"""As stated in ``deploy/system.toml``, which tells the platform where to read."""
+"""As stated in ``deploy/system.toml``, from which the platform learns the address."""
 REPORT_SECONDS = 1.0
-"""How often left out log lines are counted in the log."""
+"""Interval at which the counts of dropped log lines are logged."""
 DRAIN_SECONDS = 2.6
-"""Customers' connections are served so long after the signal to stop: the balancer
-sends new ones until it has missed two probes, one a second."""
+"""Time for which customers' connections are served after the stop signal: the
+balancer sends new ones until two probes have failed, at one probe a second."""
 CLOSE_SECONDS = 1.5
-"""Longest wait for answers in flight after that."""
+"""Longest wait for responses in flight after ``DRAIN_SECONDS``."""
 IDLE_SECONDS = 75.0
-"""Customers' idle connections are kept so long; the balancer spreads by connection."""
+"""Keep-alive time of customers' idle connections; the balancer distributes load by
+connection."""
 
 
 class PlatformDaemon(aiomisc.Service):
-    """One process on one entry VM."""
+    """Service of the daemon process on one entry VM."""
 
     def __init__(self, settings: PlatformSettings) -> None:
         super().__init__()
@@ -65,31 +66,31 @@
         self._runners: list[web.ServerRunner] = []
 
     async def start(self) -> None:
-        """Open the ports and join the others."""
-        take_library_lines(self._log)
+        """Open the ports and join the other entry VMs."""
+        redirect_library_logs(self._log)
         self._node = self._create_node()
         self._service: SchedulingService = create_scheduling_service(self._node)
-        self._front = JobsFront(self._service)
+        self._frontend = JobsFrontend(self._service)
         readiness = await self._serve(
-            self._front.handle_readiness, self._settings.readiness
+            self._frontend.handle_readiness, self._settings.readiness
         )
-        caller = await self._serve(self._front.handle, self._settings.frontend)
+        caller = await self._serve(self._frontend.handle, self._settings.frontend)
         await self._serve_metrics()
         await self._service.start()
-        self._reports = asyncio.create_task(self._report_left_out())
+        self._reports = asyncio.create_task(self._report_dropped_lines())
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         self._log.info(Event.LISTENING, caller=caller, readiness=readiness)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Hand over, serve until the balancer has noticed, then finish."""
+        """Hand over the cells, serve until the balancer has stopped routing, exit."""
         self._log.info(Event.STOPPING)
         self._node.stopping = True
-        self._front.closing = True
+        self._frontend.closing = True
         began_at = self._clock.now()
         await self._service.stop()
-        left = DRAIN_SECONDS - (self._clock.now() - began_at)
-        await asyncio.sleep(max(left, 0.0))
+        remaining = DRAIN_SECONDS - (self._clock.now() - began_at)
+        await asyncio.sleep(max(remaining, 0.0))
         for runner in reversed(self._runners):
             await runner.cleanup()
         await self._close_clients()
@@ -98,7 +99,7 @@
         self._log.close()
 
     async def _serve_metrics(self) -> None:
-        """Open the metrics address; a port in use costs the metrics, no more."""
+        """Open the metrics address; without it the daemon runs without metrics."""
         address = f"{self._settings.inner_host}:{METRICS_PORT}"
         try:
             await self._serve(self._handle_metrics, address)
@@ -112,12 +113,12 @@
             return web.Response(status=HTTPStatus.NOT_FOUND)
         return web.Response(body=self._metrics.render(), content_type="text/plain")
 
-    async def _report_left_out(self) -> None:
+    async def _report_dropped_lines(self) -> None:
         while True:
             await asyncio.sleep(REPORT_SECONDS)
-            left_out = self._log.take_left_out()
-            if left_out:
-                self._log.warning(Event.LINES_LEFT_OUT, lines_by_event=left_out)
+            dropped_by_event = self._log.pop_dropped_counts()
+            if dropped_by_event:
+                self._log.warning(Event.LINES_LEFT_OUT, lines_by_event=dropped_by_event)
 
     def _reload(self) -> None:
         read = read_settings(Path(os.environ[wire.CONFIG_VARIABLE]))
@@ -155,7 +156,7 @@
         )
 
     async def _serve(self, handler, address: str) -> str:  # type: ignore[no-untyped-def]
-        """Open a port and return its address; port 0 lets the kernel choose."""
+        """Open a port and return its address; port 0 selects a free port."""
         host, _, port = address.rpartition(":")
         server = web.Server(handler, access_log=None, keepalive_timeout=IDLE_SECONDS)
         runner = web.ServerRunner(server, shutdown_timeout=CLOSE_SECONDS)
--- a/packages/platform/src/medlarspring_platform/settings.py
+++ b/packages/platform/src/medlarspring_platform/settings.py
@@ -15,7 +15,7 @@
 
 
 class SettingsUnreadable(MedlarspringError):
-    """The settings file lacks something or can't be read."""
+    """The settings file is incomplete or can't be read."""
 
     code = "settings-unreadable"
 
@@ -25,7 +25,7 @@
         self.detail = detail
 
     def message(self) -> str:
-        """Say what is missing and what to do."""
+        """Return what is missing and what to do."""
         return (
             f"The settings file {self.path} can't be used: {self.detail}."
             " Let the platform write it anew, or point MEDLARSPRING_CONFIG at it."
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """What a process learns of itself and of its surroundings."""
+    """Settings of one process: its identity, addresses and limits."""
 
     node: str
     zone: str
@@ -44,7 +44,7 @@
     readiness: str
     inner_host: str
     inner_port: int
-    """First port that is free for calls between entry VMs."""
+    """First port reserved for calls between entry VMs."""
     store_address: str
     vm_control_address: str
     adviser_address: str
@@ -71,7 +71,7 @@
     "maintenance": ("maintenanceS", 1.0),
     "remote_factor": ("remoteFactor", 1.0),
 }
-"""Our field: the platform's name under ``bounds`` and its unit in seconds."""
+"""``FleetLimits`` field: the platform's name under ``bounds``, its unit in seconds."""
 
 
 def read_settings(path: Path) -> Result[PlatformSettings, SettingsUnreadable]:
@@ -90,7 +90,7 @@
     """Read settings from lines of the form ``a.b=value``; unknown ones are ignored."""
     values = _split_lines(text)
     try:
-        return Success(_take_settings(values))
+        return Success(_build_settings(values))
     except KeyError as error:
         detail = f"the line {error.args[0]}=... is missing"
     except ValueError as error:
@@ -107,7 +107,7 @@
     return values
 
 
-def _take_settings(values: dict[str, str]) -> PlatformSettings:
+def _build_settings(values: dict[str, str]) -> PlatformSettings:
     cpu_share = float(values.get("limits.cpuShare", "1"))
     speed = float(values.get("limits.cores", "1"))
     return PlatformSettings(
@@ -122,19 +122,19 @@
         vm_control_address=values.get("cloud.address", ""),
         adviser_address=values.get("hint", ""),
         memory_mb=int(values.get("limits.memoryMb", "300")),
-        # The platform's "cores" is how many times as fast the one core is.
+        # The platform's "cores" is the speed of the single core as a multiple.
         cores=cpu_share * speed,
-        limits=_take_limits(values),
+        limits=_build_limits(values),
     )
 
 
-def _take_limits(values: dict[str, str]) -> FleetLimits:
-    taken: dict[str, float] = {}
+def _build_limits(values: dict[str, str]) -> FleetLimits:
+    limit_values: dict[str, float] = {}
     for field, (name, unit) in _LIMITS_BY_FIELD.items():
         value = values.get(f"bounds.{name}")
         if value:
-            taken[field] = float(value) * unit
-    return FleetLimits(**taken)
+            limit_values[field] = float(value) * unit
+    return FleetLimits(**limit_values)
 
 
 __all__ = [
--- a/packages/platform/src/medlarspring_platform/workers.py
+++ b/packages/platform/src/medlarspring_platform/workers.py
@@ -25,7 +25,7 @@
     StartOrder,
     StopOrder,
     WorkerAddress,
-    WorkerSilent,
+    WorkerUnresponsive,
 )
 from medlarspring_platform import wire
 from medlarspring_tables.scheduling import EndedRow, RunEnd, RunningRow, WorkerId
@@ -34,11 +34,13 @@
     from medlarspring_tables import Seconds
 
 MAX_CONNECTIONS = 12
-"""To one worker; each new one is charged, and starts rarely come in larger bursts."""
+"""Per worker; the platform charges for each new connection, and bursts of starts are
+rarely larger."""
 HOLD_CONNECTIONS = 1
-"""With a second one, an acknowledgement could go to a life that has listed nothing."""
+"""With a second connection, an acknowledgement could reach an incarnation of the
+worker that has not listed its ends yet."""
 
-_ENDS_BY_WORD = {
+_ENDS_BY_NAME = {
     "done": RunEnd.DONE,
     "failed": RunEnd.FAILED,
     "stopped": RunEnd.STOPPED,
@@ -55,7 +57,7 @@
 }
 _REFUSALS_BY_STATUS = {
     400: Refusal.INVALID,
-    421: Refusal.OTHER_LIFE,
+    421: Refusal.OTHER_WORKER,
     429: Refusal.UNHEALTHY,
     503: Refusal.UNHEALTHY,
 }
@@ -64,7 +66,7 @@
 
 
 class WireStart(Struct, rename="camel", omit_defaults=True):
-    """A start; ``untilMs`` bounds the order itself and extends the lease."""
+    """A start; ``untilMs`` is the order's time limit and extends the lease."""
 
     task: str
     run: int
@@ -84,7 +86,7 @@
 
 
 class WirePace(Struct):
-    """A change of pace."""
+    """A change of a run's speed."""
 
     task: str
     run: int
@@ -102,14 +104,14 @@
 
 
 class WireOrderAnswer(Struct, rename="camel"):
-    """What a worker says to an order."""
+    """A worker's answer to an order."""
 
     clock_ms: int = 0
     reason: str = ""
 
 
 class WireHoldAnswer(Struct, rename="camel"):
-    """What runs and what ended; rows are lists, see the constants above."""
+    """Running and ended runs; rows are lists, see ``_to_running``, ``_to_ended``."""
 
     clock_ms: int = 0
     reason: str = ""
@@ -122,16 +124,16 @@
 
 
 class PlatformWorkers:
-    """Implements ``WorkerOrders``."""
+    """Implements ``WorkerOrders`` over the platform's HTTP interface."""
 
     def __init__(self) -> None:
         self._channels_by_id: dict[WorkerId, HttpChannel] = {}
         self._holds_by_id: dict[WorkerId, HttpChannel] = {}
-        """Connections that carry holds alone, one after the other."""
+        """Connections reserved for hold calls, which are made one at a time."""
 
     async def start(
         self, worker: WorkerAddress, order: StartOrder, timeout_seconds: Seconds
-    ) -> Result[OrderAnswer, WorkerSilent]:
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
         """Start a run."""
         body = WireStart(
             task=order.task_id,
@@ -146,21 +148,21 @@
 
     async def stop(
         self, worker: WorkerAddress, order: StopOrder, timeout_seconds: Seconds
-    ) -> Result[OrderAnswer, WorkerSilent]:
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
         """Stop a run."""
         body = WireStop(order.task_id, order.run, order.fence)
         return await self._order(worker, wire.RUN_STOP_PATH, body, timeout_seconds)
 
     async def pace(
         self, worker: WorkerAddress, order: PaceOrder, timeout_seconds: Seconds
-    ) -> Result[OrderAnswer, WorkerSilent]:
-        """Slow a run down, or speed it up again."""
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
+        """Change a run's speed."""
         body = WirePace(order.task_id, order.run, order.percent, order.fence)
         return await self._order(worker, wire.PACE_PATH, body, timeout_seconds)
 
     async def hold(
         self, worker: WorkerAddress, order: HoldOrder, timeout_seconds: Seconds
-    ) -> Result[HoldAnswer, WorkerSilent]:
+    ) -> Result[HoldAnswer, WorkerUnresponsive]:
         """Extend the lease and ask for the state."""
         body = WireHold(
             order.fence, order.acknowledged, order.lease_until_ms, order.wait_ms
@@ -169,12 +171,12 @@
             reply = await self._call_hold(worker, order, body, timeout_seconds)
             content = _to_hold_answer(reply, body.ack_cursor)
         except NotSent as error:
-            return Failure(WorkerSilent(worker.id, str(error), may_follow=False))
+            return Failure(WorkerUnresponsive(worker.id, str(error), may_follow=False))
         except Unanswered as error:
-            return Failure(WorkerSilent(worker.id, str(error), may_follow=True))
+            return Failure(WorkerUnresponsive(worker.id, str(error), may_follow=True))
         except ValueError as error:
             detail = f"unreadable rows ({error})"
-            return Failure(WorkerSilent(worker.id, detail, may_follow=True))
+            return Failure(WorkerUnresponsive(worker.id, detail, may_follow=True))
         return Success(content)
 
     async def _call_hold(
@@ -184,7 +186,7 @@
         body: WireHold,
         timeout_seconds: Seconds,
     ) -> HttpAnswer:
-        """Make the call; without its acknowledgement if that needs a connection."""
+        """Make the call, without the acknowledgement if it needs a new connection."""
         if order.aside:
             body.ack_cursor = 0
             return await self._call(worker, wire.HOLD_PATH, body, timeout_seconds)
@@ -204,7 +206,7 @@
         return await _post(channel, worker, wire.HOLD_PATH, body, timeout_seconds)
 
     def forget(self, worker: WorkerAddress) -> None:
-        """Close the connections to a worker that is gone, in the background."""
+        """Close the connections to a terminated worker in the background."""
         for channels_by_id in (self._channels_by_id, self._holds_by_id):
             channel = channels_by_id.pop(worker.id, None)
             if channel is not None:
@@ -219,14 +221,14 @@
 
     async def _order(
         self, worker: WorkerAddress, path: str, body: Struct, timeout_seconds: Seconds
-    ) -> Result[OrderAnswer, WorkerSilent]:
+    ) -> Result[OrderAnswer, WorkerUnresponsive]:
         try:
             reply = await self._call(worker, path, body, timeout_seconds)
             answer = _decode(reply, WireOrderAnswer)
         except NotSent as error:
-            return Failure(WorkerSilent(worker.id, str(error), may_follow=False))
+            return Failure(WorkerUnresponsive(worker.id, str(error), may_follow=False))
         except Unanswered as error:
-            return Failure(WorkerSilent(worker.id, str(error), may_follow=True))
+            return Failure(WorkerUnresponsive(worker.id, str(error), may_follow=True))
         refusal = _find_refusal(reply.status, answer.reason)
         return Success(OrderAnswer(answer.clock_ms, refusal))
 
@@ -258,8 +260,8 @@
     *,
     reuse_only: bool = False,
 ) -> HttpAnswer:
-    # An address may belong to another worker by now; the header keeps an
-    # order for the old one from being carried out there.
+    # The address may belong to another worker by now; the header prevents that
+    # worker from executing an order meant for the previous one.
     headers = {wire.EXPECTED_INSTANCE_HEADER: worker.id}
     return await channel.call(
         "POST",
@@ -303,7 +305,7 @@
 
 
 def _to_running(row: list[str | int | float]) -> RunningRow:
-    """Decode [task, run, saved, percent] with a fifth entry where it is measured."""
+    """Decode [task, run, saved, percent] with an optional fifth entry, the gauge."""
     task, run, saved, percent = row[:4]
     gauge = row[4] if len(row) > 4 else 0  # noqa: PLR2004
     return RunningRow(
@@ -318,8 +320,8 @@
 def _to_ended(row: tuple[int, str, int, str, str]) -> EndedRow:
     """Decode [N, task, run, how, saved]."""
     number, task, run, how, saved = row
-    # An unknown end is taken for a stop: the task runs again, no attempt is lost.
-    end = _ENDS_BY_WORD.get(how, RunEnd.STOPPED)
+    # An unknown end counts as a stop: the task runs again and no attempt is used up.
+    end = _ENDS_BY_NAME.get(how, RunEnd.STOPPED)
     return EndedRow(number=number, task_id=task, run=run, end=end, checkpoint=saved)
 
 
