--- a/packages/adapters/src/medlarspring_adapters/adviser.py
+++ b/packages/adapters/src/medlarspring_adapters/adviser.py
@@ -29,8 +29,8 @@
     def message(self) -> str:
         """Return what failed and what happens next."""
         return (
-            f"The adviser did not answer ({self.detail}). It is asked again; tasks"
-            " of its queues wait meanwhile."
+            f"The adviser did not answer ({self.detail}). The request is repeated;"
+            " tasks of its queues wait until it answers."
         )
 
 
--- a/packages/adapters/src/medlarspring_adapters/peer_client.py
+++ b/packages/adapters/src/medlarspring_adapters/peer_client.py
@@ -59,7 +59,7 @@
     def message(self) -> str:
         """Return what failed and what to do."""
         return (
-            f"Entry VM {self.entry_vm_id} was not reached ({self.detail})."
+            f"Entry VM {self.entry_vm_id} could not be reached ({self.detail})."
             " Check that it runs and that its peer port is open to this VM."
         )
 
--- a/packages/adapters/src/medlarspring_adapters/store.py
+++ b/packages/adapters/src/medlarspring_adapters/store.py
@@ -36,7 +36,7 @@
     def message(self) -> str:
         """Return what failed and what to do."""
         return (
-            f"The store did not take the call ({self.detail})."
+            f"The store did not accept the call ({self.detail})."
             " Nothing was changed; check [store] endpoints and try again."
         )
 
@@ -49,7 +49,7 @@
     def message(self) -> str:
         """Return what failed and what to do."""
         return (
-            f"The lease has lapsed ({self.detail}). Nothing was changed; repeat the"
+            f"The lease has expired ({self.detail}). Nothing was changed; repeat the"
             " command, which takes a new lease."
         )
 
--- a/packages/adapters/src/medlarspring_adapters/upstream_http.py
+++ b/packages/adapters/src/medlarspring_adapters/upstream_http.py
@@ -200,7 +200,7 @@
         return Failure(
             UpstreamFault(
                 DeliveryStatus.POSSIBLY_SENT,
-                "it answered another request",
+                "the answer belongs to another request",
                 timed_out=False,
             )
         )
@@ -211,7 +211,7 @@
         return Failure(
             UpstreamFault(
                 DeliveryStatus.POSSIBLY_SENT,
-                "its answer states no length",
+                "the answer has no length",
                 timed_out=False,
             )
         )
--- a/packages/adapters/src/medlarspring_adapters/vm_control.py
+++ b/packages/adapters/src/medlarspring_adapters/vm_control.py
@@ -38,7 +38,7 @@
         """Return what failed and what happens next."""
         return (
             f"The platform's VM control gave no answer ({self.detail}). The action"
-            " is asked again with the same revision; check [vm_control] url."
+            " is repeated with the same revision; check [vm_control] url."
         )
 
 
@@ -56,7 +56,7 @@
         """Return what was refused and what happens next."""
         return (
             f"The platform refused an action on VM {self.vm_id}: {self.reason}."
-            " The VM's record is read again; nothing has to be done."
+            " The VM's record is read again; no action is needed."
         )
 
 
--- a/packages/adapters/src/medlarspring_adapters/worker_control.py
+++ b/packages/adapters/src/medlarspring_adapters/worker_control.py
@@ -100,7 +100,7 @@
         """Return what failed and what happens next."""
         return (
             f"Worker {self.address} did not answer ({self.detail})."
-            " The order is repeated; look at the VM if this goes on."
+            " The order is repeated; check the VM if this persists."
         )
 
 
--- a/packages/adapters/src/medlarspring_adapters/worker_orders.py
+++ b/packages/adapters/src/medlarspring_adapters/worker_orders.py
@@ -55,7 +55,7 @@
         """Return what failed and what happens next."""
         return (
             f"Worker {self.worker_id} did not answer ({self.detail})."
-            " It is asked again; look at its VM if this goes on."
+            " The call is repeated; check its VM if this persists."
         )
 
 
@@ -106,7 +106,7 @@
 
     fence: Fence
     acknowledged: int
-    """Ends up to this number are recorded and may be forgotten.
+    """Ends up to this number are recorded, so the worker may drop them.
 
     Sent only over the connection that carried the last answer to a hold: a worker
     that restarts under its id numbers its ends from 1 again, and only the connection
--- a/packages/platform/src/medlarspring_platform/launcher.py
+++ b/packages/platform/src/medlarspring_platform/launcher.py
@@ -39,7 +39,7 @@
 EXIT_SETTINGS = 2
 METRICS_PORT = 9464
 METRICS_PATH = "/metrics"
-"""As stated in ``deploy/system.toml``, from which the platform learns the address."""
+"""As stated in ``deploy/system.toml``, from which the platform reads the address."""
 REPORT_SECONDS = 1.0
 """Interval at which the counts of dropped log lines are logged."""
 DRAIN_SECONDS = 2.6
--- a/packages/platform/src/medlarspring_platform/operator_records.py
+++ b/packages/platform/src/medlarspring_platform/operator_records.py
@@ -211,7 +211,7 @@
             return Failure(RecordUnreadable(key, str(error)))
         worker_id = key.removeprefix(wire.WORKER_PREFIX)
         if not _is_worker_id(worker_id):
-            return Failure(RecordUnreadable(key, "its key names no worker"))
+            return Failure(RecordUnreadable(key, "its key contains no valid worker id"))
         return Success(
             WorkerEntry(
                 id=WorkerId(worker_id),
--- a/packages/platform/src/medlarspring_platform/settings.py
+++ b/packages/platform/src/medlarspring_platform/settings.py
@@ -28,7 +28,7 @@
         """Return what is missing and what to do."""
         return (
             f"The settings file {self.path} can't be used: {self.detail}."
-            " Let the platform write it anew, or point MEDLARSPRING_CONFIG at it."
+            " Let the platform write it again, or point MEDLARSPRING_CONFIG at it."
         )
 
 
--- a/packages/platform/src/medlarspring_platform/store.py
+++ b/packages/platform/src/medlarspring_platform/store.py
@@ -221,7 +221,7 @@
             return Failure(answer.failure())
         reply = answer.unwrap()
         if reply.status == HTTP_NOT_FOUND:
-            return Failure(LeaseGone("the store does not know it"))
+            return Failure(LeaseGone("unknown to the store"))
         decoded = self._decode(reply, WireTxnAnswer, HTTP_CONDITION_FAILED)
         if not is_successful(decoded):
             return Failure(decoded.failure())
