--- a/packages/cli/src/medlarspring_cli/client.py
+++ b/packages/cli/src/medlarspring_cli/client.py
@@ -11,9 +11,9 @@
 
 from medlarspring_cli.errors import (
     CommandError,
-    DaemonRefused,
-    DaemonUnreachable,
-    OutcomeUnknown,
+    DaemonUnreachableError,
+    OutcomeUnknownError,
+    RequestRefusedError,
 )
 
 if TYPE_CHECKING:
@@ -21,17 +21,17 @@
 
 T = TypeVar("T")
 
-CONNECT_SECONDS = 3.0
-ANSWER_SECONDS = 30.0
+CONNECT_TIMEOUT_SECONDS = 3.0
+RESPONSE_TIMEOUT_SECONDS = 30.0
 """Longer than a daemon takes over one edit, so that its verdict is heard."""
-PROBE_SECONDS = 2.0
+PROBE_TIMEOUT_SECONDS = 2.0
 """Time for a sign of life from one of several daemons."""
-_TRY_ANOTHER = frozenset({503, 504})
+_FAILOVER_STATUSES = frozenset({503, 504})
 """The next daemon may be in a zone that reaches the store."""
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class OperatorRequest:
     """One request to the operator port."""
 
     method: str
@@ -53,24 +53,24 @@
     def get(self, path: str, answer_type: type[T], **query: object) -> T:
         """Read a document; parameters that are None or empty are left out."""
         given = {name: str(value) for name, value in query.items() if value}
-        return self._decode(self.send(Call("GET", path, given)), answer_type)
+        return self._decode(self.send(OperatorRequest("GET", path, given)), answer_type)
 
     def post(
         self, path: str, body: object, answer_type: type[T], repeat_with: str = ""
     ) -> T:
         """Send a document; a change says with which option it may be repeated."""
         content = body if isinstance(body, bytes) else msgspec.json.encode(body)
-        call = Call("POST", path, {}, content, repeat_with)
-        return self._decode(self.send(call), answer_type)
+        operator_request = OperatorRequest("POST", path, {}, content, repeat_with)
+        return self._decode(self.send(operator_request), answer_type)
 
-    def send(self, call: Call) -> bytes:
+    def send(self, operator_request: OperatorRequest) -> bytes:
         """Return the answer's body, or raise a ``CommandError``."""
-        return asyncio.run(self._send(call))
+        return asyncio.run(self._send(operator_request))
 
-    async def _send(self, call: Call) -> bytes:
+    async def _send(self, operator_request: OperatorRequest) -> bytes:
         reasons_by_address: dict[str, str] = {}
-        refusal: DaemonRefused | None = None
-        is_unknown = False
+        last_refusal: RequestRefusedError | None = None
+        is_outcome_unknown = False
         async with aiohttp.ClientSession(timeout=_create_timeout()) as session:
             for address in self._addresses:
                 reason = await self._probe(session, address)
@@ -78,21 +78,25 @@
                     reasons_by_address[address] = reason
                     continue
                 try:
-                    body = await self._send_to(session, address, call)
-                    self._prefer(address)
+                    body = await self._send_to(session, address, operator_request)
+                    self._move_to_front(address)
                     return body
                 except aiohttp.ClientConnectorError as error:
                     reasons_by_address[address] = error.strerror or str(error)
                 except (aiohttp.ClientError, TimeoutError) as error:
                     reasons_by_address[address] = _describe(error)
-                    is_unknown = True
-                except DaemonRefused as error:
-                    if error.problem.get("status") not in _TRY_ANOTHER:
+                    is_outcome_unknown = True
+                except RequestRefusedError as error:
+                    if error.problem.get("status") not in _FAILOVER_STATUSES:
                         raise
                     reasons_by_address[address] = error.message()
-                    refusal = error
-                    is_unknown = is_unknown or error.problem.get("status") == 504
-        raise _sum_up(call, reasons_by_address, refusal, is_unknown)
+                    last_refusal = error
+                    is_outcome_unknown = (
+                        is_outcome_unknown or error.problem.get("status") == 504
+                    )
+        raise _create_error(
+            operator_request, reasons_by_address, last_refusal, is_outcome_unknown
+        )
 
     async def _probe(self, session: aiohttp.ClientSession, address: str) -> str:
         """Return why a daemon gives no sign of life; empty if it does."""
@@ -101,7 +105,7 @@
         # while the next daemon could have answered at once.
         if len(self._addresses) == 1:
             return ""
-        timeout = aiohttp.ClientTimeout(total=PROBE_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=PROBE_TIMEOUT_SECONDS)
         try:
             async with session.get(f"http://{address}/v1/ping", timeout=timeout):
                 return ""
@@ -110,20 +114,23 @@
         except (aiohttp.ClientError, TimeoutError) as error:
             return _describe(error)
 
-    def _prefer(self, address: str) -> None:
+    def _move_to_front(self, address: str) -> None:
         """Ask this daemon first from now on."""
         others = (each for each in self._addresses if each != address)
         self._addresses = (address, *others)
 
     async def _send_to(
-        self, session: aiohttp.ClientSession, address: str, call: Call
+        self,
+        session: aiohttp.ClientSession,
+        address: str,
+        operator_request: OperatorRequest,
     ) -> bytes:
         headers = {"Authorization": f"Bearer {self._token}"}
         request = session.request(
-            call.method,
-            f"http://{address}{call.path}",
-            params=call.query,
-            data=call.body or None,
+            operator_request.method,
+            f"http://{address}{operator_request.path}",
+            params=operator_request.query,
+            data=operator_request.body or None,
             headers=headers,
         )
         async with request as response:
@@ -131,28 +138,32 @@
             if response.status < 400:
                 return body
             problem = _read_problem(body, response.status)
-            raise DaemonRefused(problem, address, is_change=bool(call.repeat_with))
+            raise RequestRefusedError(
+                problem, address, is_change=bool(operator_request.repeat_with)
+            )
 
     def _decode(self, body: bytes, answer_type: type[T]) -> T:
         return msgspec.json.decode(body, type=answer_type)
 
 
-def _sum_up(
-    call: Call,
+def _create_error(
+    operator_request: OperatorRequest,
     reasons_by_address: dict[str, str],
-    refusal: DaemonRefused | None,
-    is_unknown: bool,
+    last_refusal: RequestRefusedError | None,
+    is_outcome_unknown: bool,
 ) -> CommandError:
     # One daemon may have accepted the edit and died before its answer. That a
     # later one couldn't reach the store proves nothing about the first, so the
     # operator must not be told that nothing was changed.
-    if call.repeat_with and is_unknown:
-        return OutcomeUnknown(reasons_by_address, call.repeat_with)
-    return refusal or DaemonUnreachable(reasons_by_address)
+    if operator_request.repeat_with and is_outcome_unknown:
+        return OutcomeUnknownError(reasons_by_address, operator_request.repeat_with)
+    return last_refusal or DaemonUnreachableError(reasons_by_address)
 
 
 def _create_timeout() -> aiohttp.ClientTimeout:
-    return aiohttp.ClientTimeout(total=ANSWER_SECONDS, sock_connect=CONNECT_SECONDS)
+    return aiohttp.ClientTimeout(
+        total=RESPONSE_TIMEOUT_SECONDS, sock_connect=CONNECT_TIMEOUT_SECONDS
+    )
 
 
 def _describe(error: Exception) -> str:
@@ -175,4 +186,4 @@
     return {**problem, "status": status}
 
 
-__all__ = ["Call", "OperatorClient"]
+__all__ = ["OperatorRequest", "OperatorClient"]
--- a/packages/cli/src/medlarspring_cli/commands/audit.py
+++ b/packages/cli/src/medlarspring_cli/commands/audit.py
@@ -12,15 +12,15 @@
 
 from medlarspring_adapters.operator_api import AuditAnswer
 from medlarspring_cli.commands.operator_command import OperatorCommand
-from medlarspring_cli.errors import UsageFault
+from medlarspring_cli.errors import UsageError
 from medlarspring_cli.render import format_record
 
 if TYPE_CHECKING:
     from medlarspring_cli.client import OperatorClient
     from medlarspring_tables.audit import AuditRecord
 
-FOLLOW_SECONDS = 2.0
-REMEMBERED_EDITS = 2_000
+FOLLOW_INTERVAL_SECONDS = 2.0
+MAX_REMEMBERED_EDITS = 2_000
 
 
 class AuditCommand(OperatorCommand):
@@ -43,7 +43,7 @@
         option("follow", "f", "Go on printing new changes as they are accepted"),
     ]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the records; with --follow, until interrupted."""
         since = _read_time(self.option("since"))
         client = self.create_client()
@@ -61,14 +61,14 @@
         return 0
 
     def _follow(self, client: OperatorClient, since: float) -> None:
-        seen: deque[str] = deque(maxlen=REMEMBERED_EDITS)
+        seen: deque[str] = deque(maxlen=MAX_REMEMBERED_EDITS)
         try:
             while True:
                 for record in self._search(client, since).records:
                     if record.edit_id not in seen:
                         seen.append(record.edit_id)
                         self._print_record(record)
-                time.sleep(FOLLOW_SECONDS)
+                time.sleep(FOLLOW_INTERVAL_SECONDS)
         except KeyboardInterrupt:
             return
 
@@ -98,7 +98,7 @@
     try:
         at = datetime.fromisoformat(text)
     except ValueError:
-        raise UsageFault(
+        raise UsageError(
             f"--since {text!r} is not a time, for example 2026-12-02T14:30."
         ) from None
     return (at if at.tzinfo else at.replace(tzinfo=UTC)).timestamp()
--- a/packages/cli/src/medlarspring_cli/commands/edit_command.py
+++ b/packages/cli/src/medlarspring_cli/commands/edit_command.py
@@ -13,7 +13,7 @@
     OPERATOR_OPTION,
     OperatorCommand,
 )
-from medlarspring_cli.errors import UsageFault
+from medlarspring_cli.errors import UsageError
 from medlarspring_cli.render import format_change
 from medlarspring_systems.table_edit import RowAction, RowEdit, TableEdit
 from medlarspring_systems.table_rows import FIELD_TYPES_BY_KIND, split_rows
@@ -74,12 +74,12 @@
         for text in self.argument("fields"):
             name, separator, value = text.partition("=")
             if not separator or not name:
-                raise UsageFault(f"{text!r} is not NAME=VALUE, for example weight=2.")
+                raise UsageError(f"{text!r} is not NAME=VALUE, for example weight=2.")
             if name not in FIELD_TYPES_BY_KIND[kind]:
                 known = ", ".join(FIELD_TYPES_BY_KIND[kind])
-                raise UsageFault(f"A {kind.value} has no {name!r}; it has {known}.")
+                raise UsageError(f"A {kind.value} has no {name!r}; it has {known}.")
             if name in fields:
-                raise UsageFault(f"{name!r} is given twice; keep one.")
+                raise UsageError(f"{name!r} is given twice; keep one.")
             fields[name] = value
         if path := self.option("credential-file"):
             fields["credential_sha256"] = self._hash_credential(kind, path)
@@ -92,7 +92,7 @@
         given = self.option("revision")
         if given is not None:
             if not given.isdecimal():
-                raise UsageFault(f"--revision {given!r} is not a whole number.")
+                raise UsageError(f"--revision {given!r} is not a whole number.")
             return Revision(int(given))
         shown = client.get("/v1/table", TableAnswer)
         row = split_rows(shown.table)[kind].get(row_id)
@@ -148,10 +148,10 @@
 
     def _hash_credential(self, kind: RowKind, path: str) -> str:
         if kind is not RowKind.PARTNER:
-            raise UsageFault("--credential-file is for rows of kind partner only.")
+            raise UsageError("--credential-file is for rows of kind partner only.")
         credential = self.read_text(path, "Credential file").strip()
         if not credential:
-            raise UsageFault(f"Credential file {path} is empty; write the credential.")
+            raise UsageError(f"Credential file {path} is empty; write the credential.")
         return hashlib.sha256(credential.encode()).hexdigest()
 
 
@@ -160,7 +160,7 @@
     try:
         return RowKind(name)
     except ValueError:
-        raise UsageFault(f"Kind {name!r} is none of {KINDS}.") from None
+        raise UsageError(f"Kind {name!r} is none of {KINDS}.") from None
 
 
 __all__ = [
--- a/packages/cli/src/medlarspring_cli/commands/explain.py
+++ b/packages/cli/src/medlarspring_cli/commands/explain.py
@@ -9,7 +9,7 @@
 from medlarspring_adapters.decisions import Subject
 from medlarspring_adapters.operator_api import ExplainAnswer
 from medlarspring_cli.commands.operator_command import OperatorCommand
-from medlarspring_cli.errors import UsageFault
+from medlarspring_cli.errors import UsageError
 from medlarspring_cli.render import format_time
 
 SUBJECTS = ", ".join(subject.value for subject in Subject)
@@ -27,11 +27,11 @@
         argument("id", "Its id, for example the <comment>Request-Id</comment>"),
     ]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the decisions that the entry VMs remember."""
         subject = self.argument("subject")
         if subject not in {known.value for known in Subject}:
-            raise UsageFault(f"Subject {subject!r} is none of {SUBJECTS}.")
+            raise UsageError(f"Subject {subject!r} is none of {SUBJECTS}.")
         path = f"/v1/explain/{subject}/{quote(self.argument('id'), safe='')}"
         found = self.create_client().get(path, ExplainAnswer)
         if self.wants_json:
--- a/packages/cli/src/medlarspring_cli/commands/job_cancel.py
+++ b/packages/cli/src/medlarspring_cli/commands/job_cancel.py
@@ -9,7 +9,7 @@
     OPERATOR_OPTION,
     OperatorCommand,
 )
-from medlarspring_cli.errors import UsageFault
+from medlarspring_cli.errors import UsageError
 from medlarspring_cli.exit_codes import ExitCode
 from medlarspring_tables import JobId, PartnerId, PoolId
 
@@ -31,12 +31,12 @@
         OPERATOR_OPTION,
     ]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Send the cancellation and print how far it came."""
         ids, partner = self.argument("ids"), self.option("partner")
         kind = self.option("kind")
         if not (ids or partner or kind or self.option("all")):
-            raise UsageFault(
+            raise UsageError(
                 "Nothing is chosen; name job ids, --partner or --kind, or --all."
             )
         request = CancelRequest(
--- a/packages/cli/src/medlarspring_cli/commands/job_list.py
+++ b/packages/cli/src/medlarspring_cli/commands/job_list.py
@@ -30,7 +30,7 @@
         option("state", None, f"Only jobs in this state: {STATES}", flag=False),
     ]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the jobs and how many there are by state."""
         path = f"/v1/jobs/{quote(self.argument('pool'), safe='')}"
         partner, state = self.option("partner"), self.option("state")
@@ -39,14 +39,14 @@
         if self.wants_json:
             self.print_json(found)
             return 0
-        self.print_text(render_table(HEADERS, map(_list_job, found.jobs)))
+        self.print_text(render_table(HEADERS, map(_create_job_row, found.jobs)))
         counts = found.counts_by_state.items()
         total = ", ".join(f"{state} {count}" for state, count in counts)
         self.print_text(f"jobs of the pool: {total or 'none'}")
         return 0
 
 
-def _list_job(view: JobView) -> list[object]:
+def _create_job_row(view: JobView) -> list[object]:
     job = view.job
     return [
         job.id,
--- a/packages/cli/src/medlarspring_cli/commands/job_show.py
+++ b/packages/cli/src/medlarspring_cli/commands/job_show.py
@@ -27,7 +27,7 @@
         argument("job", "Id of the job"),
     ]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the job's record."""
         names = (self.argument("pool"), self.argument("job"))
         pool, job = (quote(name, safe="") for name in names)
--- a/packages/cli/src/medlarspring_cli/commands/job_submit.py
+++ b/packages/cli/src/medlarspring_cli/commands/job_submit.py
@@ -11,7 +11,7 @@
     OPERATOR_OPTION,
     OperatorCommand,
 )
-from medlarspring_cli.errors import UsageFault
+from medlarspring_cli.errors import UsageError
 from medlarspring_cli.exit_codes import ExitCode
 from medlarspring_cli.job_files import read_jobs
 from medlarspring_tables import JobId, JobUrgency, PartnerId, PoolId, Size
@@ -47,7 +47,7 @@
         OPERATOR_OPTION,
     ]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Send the jobs and print what became of each."""
         path = self.option("file")
         jobs = self._read_file(path) if path else (self._read_job(),)
@@ -66,14 +66,14 @@
     def _read_job(self) -> JobRequest:
         pool, partner = self.argument("pool"), self.argument("partner")
         if not pool or not partner:
-            raise UsageFault("Name the pool and the partner, or give --file FILE.")
+            raise UsageError("Name the pool and the partner, or give --file FILE.")
         size = Size(
             self._read_number("cpus"),
             self._read_number("memory-gb"),
             int(self._read_number("accelerators")),
         )
         if self.option("urgency") not in {urgency.value for urgency in JobUrgency}:
-            raise UsageFault(f"--urgency takes one of {URGENCIES}.")
+            raise UsageError(f"--urgency takes one of {URGENCIES}.")
         return JobRequest(
             id=JobId(self.option("id") or str(uuid.uuid4())),
             pool_id=PoolId(pool),
@@ -92,14 +92,14 @@
             return float(text)
         except (TypeError, ValueError):
             found = "nothing" if text is None else repr(text)
-            raise UsageFault(f"--{name}: found {found}, wanted a number.") from None
+            raise UsageError(f"--{name}: found {found}, wanted a number.") from None
 
     def _read_file(self, path: str) -> tuple[JobRequest, ...]:
         jobs, faults = read_jobs(self.read_text(path, "Job file"))
         if faults:
-            raise UsageFault("\n".join(f"{path}: {fault}" for fault in faults))
+            raise UsageError("\n".join(f"{path}: {fault}" for fault in faults))
         if not jobs:
-            raise UsageFault(f"{path} holds no job.")
+            raise UsageError(f"{path} holds no job.")
         return tuple(jobs)
 
     def _print_answer(self, answer: SubmitAnswer) -> None:
--- a/packages/cli/src/medlarspring_cli/commands/move_list.py
+++ b/packages/cli/src/medlarspring_cli/commands/move_list.py
@@ -13,7 +13,7 @@
     name = "move list"
     description = "List moves of VMs between pools, newest first"
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the moves on record."""
         found = self.create_client().get("/v1/moves", MovesAnswer)
         return self.print_answer(found, list_moves(found.moves))
--- a/packages/cli/src/medlarspring_cli/commands/move_start.py
+++ b/packages/cli/src/medlarspring_cli/commands/move_start.py
@@ -11,7 +11,7 @@
     OPERATOR_OPTION,
     OperatorCommand,
 )
-from medlarspring_cli.errors import UsageFault
+from medlarspring_cli.errors import UsageError
 from medlarspring_cli.fleet_views import list_moves
 from medlarspring_tables import PoolId, VMId
 
@@ -32,13 +32,13 @@
         OPERATOR_OPTION,
     ]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Send the moves and print them."""
         count, vms = self.option("count"), self.option("vm")
         if bool(count) == bool(vms):
-            raise UsageFault("Choose the VMs by --count, or name them by --vm.")
+            raise UsageError("Choose the VMs by --count, or name them by --vm.")
         if count and not (count.isdecimal() and int(count) > 0):
-            raise UsageFault(f"--count {count!r} is not a whole number above 0.")
+            raise UsageError(f"--count {count!r} is not a whole number above 0.")
         request = StartMoves(
             id=self.option("id") or f"move-{uuid.uuid4().hex[:12]}",
             operator=self.find_operator(),
--- a/packages/cli/src/medlarspring_cli/commands/operator_command.py
+++ b/packages/cli/src/medlarspring_cli/commands/operator_command.py
@@ -13,7 +13,7 @@
 from cleo.io.outputs.output import Type
 
 from medlarspring_cli.client import OperatorClient
-from medlarspring_cli.errors import CommandError, UsageFault
+from medlarspring_cli.errors import CommandError, UsageError
 from medlarspring_cli.exit_codes import ExitCode
 
 if TYPE_CHECKING:
@@ -63,12 +63,12 @@
     def handle(self) -> int:
         """Run the command; expected failures become an exit status."""
         try:
-            return self.act()
+            return self.run_command()
         except CommandError as error:
             self.print_error(error)
             return error.exit_code
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Do what the command is for."""
         raise NotImplementedError
 
@@ -87,7 +87,7 @@
             if address.strip()
         ]
         if not addresses:
-            raise UsageFault(
+            raise UsageError(
                 "No daemon is named. Give --address IP:PORT of an operator port, or"
                 f" set {ADDRESS_VARIABLE}."
             )
@@ -126,15 +126,17 @@
             text = f"error: {error.message()}"
         self.io.error_output.write_line(text, type=Type.RAW)
 
-    def read_text(self, path: str, what: str) -> str:
+    def read_text(self, path: str, description: str) -> str:
         """Return a file's text, or say why it can't be read."""
         try:
             return Path(path).read_text(encoding="utf-8")
         except OSError as error:
-            reason = f"{what} {path} can't be read: {error.strerror}."
-            raise UsageFault(f"{reason} Name an existing file.") from None
+            reason = f"{description} {path} can't be read: {error.strerror}."
+            raise UsageError(f"{reason} Name an existing file.") from None
         except UnicodeDecodeError:
-            raise UsageFault(f"{what} {path} is not UTF-8; save it so.") from None
+            raise UsageError(
+                f"{description} {path} is not UTF-8; save it so."
+            ) from None
 
     def find_operator(self) -> str:
         """Return the operator's name for the audit trail."""
@@ -144,7 +146,7 @@
         try:
             return getpass.getuser()
         except (KeyError, OSError):
-            raise UsageFault(
+            raise UsageError(
                 "Your name is not known. Give --operator NAME for the audit trail, or"
                 f" set {OPERATOR_VARIABLE}."
             ) from None
@@ -152,13 +154,13 @@
     def _read_token(self) -> str:
         path = self.option("token-file") or os.environ.get(TOKEN_VARIABLE)
         if not path:
-            raise UsageFault(
+            raise UsageError(
                 "No token is given. Give --token-file FILE with the operators' token,"
                 f" or set {TOKEN_VARIABLE}."
             )
         token = self.read_text(path, "Token file").strip()
         if not token or not token.isascii() or not token.isprintable():
-            raise UsageFault(
+            raise UsageError(
                 f"Token file {path} holds no token; it takes one line of printable"
                 " characters, the same as [operator] token_file of the daemon."
             )
@@ -168,7 +170,7 @@
 def _check_address(address: str) -> None:
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65_536:
-        raise UsageFault(
+        raise UsageError(
             f"Address {address!r} is not IP:PORT, for example 10.0.0.7:8081."
         )
 
--- a/packages/cli/src/medlarspring_cli/commands/pool_list.py
+++ b/packages/cli/src/medlarspring_cli/commands/pool_list.py
@@ -13,7 +13,7 @@
     name = "pool list"
     description = "List pools against their availability budgets"
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the pools."""
         found = self.create_client().get("/v1/pools", PoolsAnswer)
         return self.print_answer(found, list_pools(found.pools))
--- a/packages/cli/src/medlarspring_cli/commands/spare_show.py
+++ b/packages/cli/src/medlarspring_cli/commands/spare_show.py
@@ -24,7 +24,7 @@
         )
     ]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the spare."""
         domain = self.option("domain")
         found = self.create_client().get("/v1/spare", SpareAnswer, domain=domain)
--- a/packages/cli/src/medlarspring_cli/commands/status.py
+++ b/packages/cli/src/medlarspring_cli/commands/status.py
@@ -20,7 +20,7 @@
     name = "status"
     description = "Show what is cut off, stale or degraded, and since when"
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the state of the first daemon that answers."""
         status = self.create_client().get("/v1/status", StatusAnswer)
         if self.wants_json:
@@ -36,12 +36,12 @@
     yield ""
     ordered = sorted(status.findings, key=lambda finding: finding.health is Health.OK)
     yield render_table(
-        ["area", "state", "since", "detail"], map(_list_finding, ordered)
+        ["area", "state", "since", "detail"], map(_create_finding_row, ordered)
     )
     yield ""
     yield render_table(
         ["entry VM", "zone", "state", "heard", "table", "operator port"],
-        map(_list_peer, status.peers),
+        map(_create_peer_row, status.peers),
     )
     yield ""
     yield f"control work held for pools: {', '.join(status.held_pools) or 'none'}"
@@ -49,12 +49,12 @@
     yield f"store calls since the start: {calls or 'none'}"
 
 
-def _list_finding(finding: Finding) -> list[object]:
+def _create_finding_row(finding: Finding) -> list[object]:
     since = None if finding.since is None else format_time(finding.since)
     return [finding.area, finding.health.value, since, finding.detail]
 
 
-def _list_peer(peer: PeerStatus) -> list[object]:
+def _create_peer_row(peer: PeerStatus) -> list[object]:
     heard = None
     if peer.heard_seconds_ago is not None:
         heard = f"{peer.heard_seconds_ago:.1f} s ago"
--- a/packages/cli/src/medlarspring_cli/commands/table_add.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_add.py
@@ -21,7 +21,7 @@
     arguments = [KIND_ARGUMENT, ID_ARGUMENT, FIELDS_ARGUMENT]
     own_options = [CREDENTIAL_OPTION, *EDIT_OPTIONS]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Send the new row."""
         fields = self.read_fields(self.read_kind())
         return self.send_row(self.create_client(), RowAction.ADD, fields)
--- a/packages/cli/src/medlarspring_cli/commands/table_export.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_export.py
@@ -8,7 +8,7 @@
 
 from medlarspring_adapters.operator_api import TableAnswer
 from medlarspring_cli.commands.operator_command import OperatorCommand
-from medlarspring_cli.errors import UsageFault
+from medlarspring_cli.errors import UsageError
 from medlarspring_systems.table_csv import write_sheet
 
 
@@ -21,7 +21,7 @@
         option("output", "o", "File to write; standard output by default", flag=False)
     ]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the sheet or write it to a file."""
         shown = self.create_client().get("/v1/table", TableAnswer)
         if shown.warning:
@@ -29,15 +29,15 @@
         if self.wants_json:
             self.print_json(shown.table)
             return 0
-        sheet = write_sheet(shown.table)
+        csv_text = write_sheet(shown.table)
         path = self.option("output")
         if path is None:
-            self.print_text(sheet.rstrip("\n"))
+            self.print_text(csv_text.rstrip("\n"))
             return 0
         try:
-            Path(path).write_text(sheet, encoding="utf-8")
+            Path(path).write_text(csv_text, encoding="utf-8")
         except OSError as error:
-            raise UsageFault(f"{path} can't be written: {error.strerror}.") from None
+            raise UsageError(f"{path} can't be written: {error.strerror}.") from None
         self.print_text(f"{path}: table revision {shown.table.revision}")
         return 0
 
--- a/packages/cli/src/medlarspring_cli/commands/table_history.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_history.py
@@ -23,7 +23,7 @@
         option("limit", "l", "Newest records to show", flag=False, default="50")
     ]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the audit records of the rows."""
         name, row_id = self.argument("kind") or "", self.argument("id") or ""
         kind = read_kind(name).value if name else ""
--- a/packages/cli/src/medlarspring_cli/commands/table_import.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_import.py
@@ -6,11 +6,11 @@
 
 from medlarspring_adapters.operator_api import PlanAnswer
 from medlarspring_cli.commands.edit_command import EDIT_OPTIONS, EditCommand
-from medlarspring_cli.errors import UsageFault
+from medlarspring_cli.errors import UsageError
 from medlarspring_cli.exit_codes import ExitCode
 from medlarspring_cli.render import format_change
 
-MAX_REPLY = 100
+MAX_REPLY_LENGTH = 100
 """Characters of a reply that are read."""
 
 
@@ -24,11 +24,11 @@
     ]
     own_options = [option("yes", "y", "Accept the difference unasked"), *EDIT_OPTIONS]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Show the difference, ask, and send it as one edit."""
-        sheet = self.read_text(self.argument("file"), "Sheet")
+        csv_text = self.read_text(self.argument("file"), "Sheet")
         client = self.create_client()
-        plan = client.post("/v1/table/import-plan", sheet.encode(), PlanAnswer)
+        plan = client.post("/v1/table/import-plan", csv_text.encode(), PlanAnswer)
         if not plan.rows:
             self._print_unchanged(plan)
             return ExitCode.OK
@@ -38,19 +38,19 @@
             self.print_text(
                 f"{len(plan.changes)} rows differ from table revision {plan.revision}."
             )
-        if not self._is_accepted():
+        if not self._confirm():
             self.print_text("Nothing was changed.")
             return ExitCode.REFUSED
         return self.send_edit(client, plan.rows)
 
-    def _is_accepted(self) -> bool:
+    def _confirm(self) -> bool:
         if self.option("yes"):
             return True
         if self.wants_json or not self.io.is_interactive():
-            raise UsageFault("Nobody can be asked here; accept with --yes.")
+            raise UsageError("Nobody can be asked here; accept with --yes.")
         # Cleo's own question asks again for ever when the input has ended.
         self.io.write("Accept all of them? (yes/no) [no] ")
-        return self.io.read_line(MAX_REPLY).strip().lower() in ("y", "yes")
+        return self.io.read_line(MAX_REPLY_LENGTH).strip().lower() in ("y", "yes")
 
     def _print_unchanged(self, plan: PlanAnswer) -> None:
         if self.wants_json:
--- a/packages/cli/src/medlarspring_cli/commands/table_remove.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_remove.py
@@ -17,7 +17,7 @@
     description = "Remove one row from the table"
     own_options = [REVISION_OPTION, *EDIT_OPTIONS]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Send the removal of the row as it is now, or as the operator read it."""
         kind = self.read_kind()
         client = self.create_client()
--- a/packages/cli/src/medlarspring_cli/commands/table_republish.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_republish.py
@@ -15,18 +15,18 @@
     arguments = []
     own_options = EDIT_OPTIONS
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Ask the daemon to write the table that it has in force."""
-        wish = Republish(
+        request = Republish(
             id=self.create_edit_id(),
             operator=self.find_operator(),
             note=self.option("note") or "",
         )
         client = self.create_client()
         accepted = client.post(
-            "/v1/table/republish", wish, EditAnswer, f"--edit-id {wish.id}"
+            "/v1/table/republish", request, EditAnswer, f"--edit-id {request.id}"
         )
-        return self.print_accepted(wish.id, accepted)
+        return self.print_accepted(request.id, accepted)
 
 
 __all__ = ["TableRepublishCommand"]
--- a/packages/cli/src/medlarspring_cli/commands/table_set.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_set.py
@@ -11,7 +11,7 @@
     REVISION_OPTION,
     EditCommand,
 )
-from medlarspring_cli.errors import UsageFault
+from medlarspring_cli.errors import UsageError
 from medlarspring_systems.table_edit import RowAction
 
 
@@ -23,12 +23,12 @@
     arguments = [KIND_ARGUMENT, ID_ARGUMENT, FIELDS_ARGUMENT]
     own_options = [REVISION_OPTION, CREDENTIAL_OPTION, *EDIT_OPTIONS]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Send the edit for the row as it is now, or as the operator read it."""
         kind = self.read_kind()
         fields = self.read_fields(kind)
         if not fields:
-            raise UsageFault("No field is given; add NAME=VALUE, for example weight=2.")
+            raise UsageError("No field is given; add NAME=VALUE, for example weight=2.")
         client = self.create_client()
         revision = self.find_revision(client, kind, self.argument("id"))
         return self.send_row(client, RowAction.SET, fields, revision)
--- a/packages/cli/src/medlarspring_cli/commands/table_show.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_show.py
@@ -9,7 +9,7 @@
 from medlarspring_adapters.operator_api import TableAnswer
 from medlarspring_cli.commands.edit_command import KINDS, read_kind
 from medlarspring_cli.commands.operator_command import OperatorCommand
-from medlarspring_cli.errors import RowUnknown
+from medlarspring_cli.errors import RowNotFoundError
 from medlarspring_cli.render import render_table
 from medlarspring_systems.table_rows import (
     FIELD_TYPES_BY_KIND,
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from medlarspring_tables import ConfigRow
 
-SHORT_HASH = 12
+SHORT_HASH_LENGTH = 12
 """Digits of a credential's hash that people are shown."""
 
 
@@ -35,7 +35,7 @@
         argument("id", "Id of the row", optional=True),
     ]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the rows that were asked for."""
         name = self.argument("kind")
         kinds = list(RowKind) if name is None else [read_kind(name)]
@@ -67,22 +67,22 @@
         if wanted is None:
             return rows
         if wanted not in rows:
-            raise RowUnknown(kind.value, wanted, sorted(rows))
+            raise RowNotFoundError(kind.value, wanted, sorted(rows))
         return {wanted: rows[wanted]}
 
     def _print_rows(self, kind: RowKind, rows: dict[str, ConfigRow]) -> None:
         headers = [kind.value, *FIELD_TYPES_BY_KIND[kind], "revision"]
         cells = (
-            [row_id, *(_read_cell(rows[row_id], name) for name in headers[1:])]
+            [row_id, *(_get_cell(rows[row_id], name) for name in headers[1:])]
             for row_id in sorted(rows)
         )
         self.print_text(render_table(headers, cells))
         self.print_text("")
 
 
-def _read_cell(row: ConfigRow, name: str) -> object:
+def _get_cell(row: ConfigRow, name: str) -> object:
     value = getattr(row, name)
-    return value[:SHORT_HASH] if name == "credential_sha256" else value
+    return value[:SHORT_HASH_LENGTH] if name == "credential_sha256" else value
 
 
 __all__ = ["TableShowCommand"]
--- a/packages/cli/src/medlarspring_cli/commands/vm_list.py
+++ b/packages/cli/src/medlarspring_cli/commands/vm_list.py
@@ -22,7 +22,7 @@
         option("state", None, f"Only VMs in this state: {STATES}", flag=False),
     ]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the VMs."""
         client = self.create_client()
         pool, state = self.option("pool"), self.option("state")
--- a/packages/cli/src/medlarspring_cli/commands/vm_show.py
+++ b/packages/cli/src/medlarspring_cli/commands/vm_show.py
@@ -18,7 +18,7 @@
     description = "Show one VM: its pool, its state, why, and its last maintenance"
     arguments = [argument("vm", "Id of the VM")]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the VM's record."""
         path = f"/v1/vms/{quote(self.argument('vm'), safe='')}"
         found = self.create_client().get(path, VMView)
--- a/packages/cli/src/medlarspring_cli/commands/wave_change.py
+++ b/packages/cli/src/medlarspring_cli/commands/wave_change.py
@@ -25,7 +25,7 @@
         OPERATOR_OPTION,
     ]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Send the change and print how the wave stands."""
         path = f"/v1/waves/{quote(self.argument('wave'), safe='')}/{self.action}"
         request = ChangeWave(
--- a/packages/cli/src/medlarspring_cli/commands/wave_list.py
+++ b/packages/cli/src/medlarspring_cli/commands/wave_list.py
@@ -13,7 +13,7 @@
     name = "wave list"
     description = "List maintenance waves, newest first"
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the waves on record."""
         found = self.create_client().get("/v1/waves", WavesAnswer)
         return self.print_answer(found, list_waves(found.waves))
--- a/packages/cli/src/medlarspring_cli/commands/wave_show.py
+++ b/packages/cli/src/medlarspring_cli/commands/wave_show.py
@@ -18,7 +18,7 @@
     description = "Show how far a wave is, what holds it up, and who didn't return"
     arguments = [argument("wave", "Id of the wave")]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the wave."""
         path = f"/v1/waves/{quote(self.argument('wave'), safe='')}"
         wave = self.create_client().get(path, WaveView)
--- a/packages/cli/src/medlarspring_cli/commands/wave_start.py
+++ b/packages/cli/src/medlarspring_cli/commands/wave_start.py
@@ -11,7 +11,7 @@
     OPERATOR_OPTION,
     OperatorCommand,
 )
-from medlarspring_cli.errors import UsageFault
+from medlarspring_cli.errors import UsageError
 from medlarspring_cli.fleet_views import describe_wave
 from medlarspring_tables import PoolId, VMId, WaveId
 
@@ -29,12 +29,12 @@
         OPERATOR_OPTION,
     ]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Send the wave and print how it stands."""
         pools, vms = self.option("pool"), self.option("vm")
         chosen = [bool(pools), bool(vms), bool(self.option("all"))]
         if sum(chosen) != 1:
-            raise UsageFault("Choose the VMs by --pool, by --vm, or by --all.")
+            raise UsageError("Choose the VMs by --pool, by --vm, or by --all.")
         request = StartWave(
             id=WaveId(self.option("id") or f"wave-{uuid.uuid4().hex[:12]}"),
             operator=self.find_operator(),
--- a/packages/cli/src/medlarspring_cli/errors.py
+++ b/packages/cli/src/medlarspring_cli/errors.py
@@ -19,7 +19,7 @@
         return {"code": self.code, "detail": self.message()}
 
 
-class UsageFault(CommandError):
+class UsageError(CommandError):
     """The command line is not usable; nothing was sent."""
 
     code = "usage"
@@ -34,7 +34,7 @@
         return self.reason
 
 
-class RowUnknown(CommandError):
+class RowNotFoundError(CommandError):
     """The table has no such row."""
 
     code = "row-missing"
@@ -51,7 +51,7 @@
         return f"There is no {self.kind} {self.row_id}; there is {known}."
 
 
-class DaemonUnreachable(CommandError):
+class DaemonUnreachableError(CommandError):
     """No daemon could be connected to."""
 
     code = "unreachable"
@@ -74,7 +74,7 @@
         )
 
 
-class OutcomeUnknown(CommandError):
+class OutcomeUnknownError(CommandError):
     """The request was sent and its answer is missing."""
 
     code = "outcome-unknown"
@@ -102,7 +102,7 @@
         return {**super().document(), "repeat_with": self.repeat_with}
 
 
-class DaemonRefused(CommandError):
+class RequestRefusedError(CommandError):
     """The daemon answered with a problem."""
 
     def __init__(
@@ -127,9 +127,9 @@
 
 __all__ = [
     "CommandError",
-    "DaemonRefused",
-    "DaemonUnreachable",
-    "OutcomeUnknown",
-    "RowUnknown",
-    "UsageFault",
+    "RequestRefusedError",
+    "DaemonUnreachableError",
+    "OutcomeUnknownError",
+    "RowNotFoundError",
+    "UsageError",
 ]
--- a/packages/cli/src/medlarspring_cli/exit_codes.py
+++ b/packages/cli/src/medlarspring_cli/exit_codes.py
@@ -24,14 +24,14 @@
     """The change may have been accepted; repeat it with the same edit id."""
 
 
-_BY_CODE = {
+_EXIT_CODES_BY_PROBLEM_CODE = {
     "edit-empty": ExitCode.OK,
     "row-conflict": ExitCode.CONFLICT,
     "edit-raced": ExitCode.CONFLICT,
     "bad-request": ExitCode.USAGE,
     "sheet-unreadable": ExitCode.USAGE,
 }
-_BY_STATUS = {
+_EXIT_CODES_BY_HTTP_STATUS = {
     400: ExitCode.USAGE,
     401: ExitCode.NOT_AUTHORISED,
     408: ExitCode.UNKNOWN,
@@ -43,7 +43,9 @@
 
 def find_exit_code(code: str, status: int) -> ExitCode:
     """Return the exit status for a problem that the daemon answered."""
-    return _BY_CODE.get(code, _BY_STATUS.get(status, ExitCode.REFUSED))
+    return _EXIT_CODES_BY_PROBLEM_CODE.get(
+        code, _EXIT_CODES_BY_HTTP_STATUS.get(status, ExitCode.REFUSED)
+    )
 
 
 __all__ = ["ExitCode", "find_exit_code"]
--- a/packages/cli/src/medlarspring_cli/fleet_views.py
+++ b/packages/cli/src/medlarspring_cli/fleet_views.py
@@ -53,7 +53,7 @@
                 view.record.rack_id,
                 view.record.zone_id,
                 view.record.state.value,
-                _format_moment(view.record.since),
+                _format_optional_time(view.record.since),
                 view.health,
                 view.condition,
                 _format_cause(view),
@@ -74,13 +74,13 @@
             "rack": record.rack_id,
             "zone": record.zone_id,
             "state": record.state.value,
-            "since": _format_moment(record.since),
+            "since": _format_optional_time(record.since),
             "cause": _format_cause(view),
             "health": view.health,
             "platform": view.condition,
             "last wave": record.wave_id,
             "outcome": record.outcome.value if record.outcome else None,
-            "maintained": _format_moment(record.maintained_at),
+            "maintained": _format_optional_time(record.maintained_at),
         }
     )
 
@@ -94,9 +94,9 @@
                 wave.id,
                 wave.state,
                 wave.vms,
-                _format_moment(wave.started_at),
+                _format_optional_time(wave.started_at),
                 wave.created_by,
-                _format_moment(wave.expected_end),
+                _format_optional_time(wave.expected_end),
                 _format_counts(wave.counts_by_step),
                 wave.reason,
             ]
@@ -113,12 +113,12 @@
             "wave": wave.id,
             "state": wave.state,
             "reason": wave.reason,
-            "started": _format_moment(wave.started_at),
+            "started": _format_optional_time(wave.started_at),
             "by": wave.created_by,
             "VMs": wave.vms,
             "steps": _format_counts(wave.counts_by_step),
-            "expected end": _format_moment(wave.expected_end),
-            "resumes": _format_moment(wave.resumes_at),
+            "expected end": _format_optional_time(wave.expected_end),
+            "resumes": _format_optional_time(wave.resumes_at),
             "not returned": ", ".join(wave.not_returned),
             "held up by": "; ".join(blocks),
         }
@@ -136,7 +136,7 @@
                 move.to_pool_id,
                 move.vm_id,
                 move.state.value,
-                _format_moment(move.created_at),
+                _format_optional_time(move.created_at),
                 move.created_by,
                 move.reason,
             ]
@@ -173,7 +173,7 @@
     return ", ".join(f"{name} {count}" for name, count in counts.items())
 
 
-def _format_moment(at: float | None) -> str | None:
+def _format_optional_time(at: float | None) -> str | None:
     return format_time(at) if at else None
 
 
--- a/packages/cli/src/medlarspring_cli/job_files.py
+++ b/packages/cli/src/medlarspring_cli/job_files.py
@@ -16,7 +16,7 @@
     """Return the jobs, and what is wrong with the file, one fault a line."""
     if text.lstrip("\ufeff \n").startswith("{"):
         return _read_documents(text)
-    return _read_sheet(text)
+    return _read_csv(text)
 
 
 def _read_documents(text: str) -> tuple[list[JobRequest], list[str]]:
@@ -32,7 +32,7 @@
     return jobs, faults
 
 
-def _read_sheet(text: str) -> tuple[list[JobRequest], list[str]]:
+def _read_csv(text: str) -> tuple[list[JobRequest], list[str]]:
     reader = csv.DictReader(io.StringIO(text.removeprefix("\ufeff")))
     jobs: list[JobRequest] = []
     faults: list[str] = []
--- a/packages/cli/src/medlarspring_cli/render.py
+++ b/packages/cli/src/medlarspring_cli/render.py
@@ -57,7 +57,7 @@
         return f"add    {name}: {_format_fields(change.after or {})}"
     if change.after is None:
         return f"remove {name}: {_format_fields(change.before)}"
-    return f"set    {name}: {', '.join(_differences(change.before, change.after))}"
+    return f"set    {name}: {', '.join(_list_differences(change.before, change.after))}"
 
 
 def format_record(record: AuditRecord, kind: str = "", row_id: str = "") -> list[str]:
@@ -77,7 +77,7 @@
     return [head, *note, *(f"    {format_change(each)}" for each in changes), *rest]
 
 
-def _differences(
+def _list_differences(
     before: Mapping[str, FieldValue], after: Mapping[str, FieldValue]
 ) -> list[str]:
     return [
--- a/packages/cli/tests/conftest.py
+++ b/packages/cli/tests/conftest.py
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class Desk:
+class OperatorCLI:
     """A daemon's operator port, and the command line in front of it."""
 
     node: Node
@@ -47,13 +47,13 @@
 
 
 def create_settings(token_file: Path) -> Settings:
-    closed = {"listen": "127.0.0.1:0", "token_file": str(token_file)}
+    authenticated_listener = {"listen": "127.0.0.1:0", "token_file": str(token_file)}
     return Settings.model_validate(
         {
             "entry_vm": {"id": "entry-1", "zone": "zone-a", "region": "coast"},
             "caller": {"listen": "127.0.0.1:0"},
-            "operator": closed,
-            "peer": closed,
+            "operator": authenticated_listener,
+            "peer": authenticated_listener,
             "store": {"endpoints": ["127.0.0.1:1"]},
             "vm_list": {"url": "http://127.0.0.1:1/vms"},
         }
@@ -61,7 +61,7 @@
 
 
 @pytest.fixture
-def desk(tmp_path, capsys, monkeypatch):
+def operator_cli(tmp_path, capsys, monkeypatch):
     for name in ("ADDRESS", "TOKEN_FILE", "OPERATOR"):
         monkeypatch.delenv(f"MEDLARSPRING_{name}", raising=False)
     monkeypatch.setenv("MEDLARSPRING_OPERATOR", "asha")
@@ -82,7 +82,7 @@
         return asyncio.run_coroutine_threadsafe(coroutine, loop).result(10)
 
     run(service.start())
-    yield Desk(node, store, node.addresses["operator"], token_file, capsys)
+    yield OperatorCLI(node, store, node.addresses["operator"], token_file, capsys)
     run(service.stop())
     loop.call_soon_threadsafe(loop.stop)
     thread.join()
--- a/packages/cli/tests/test_commands.py
+++ b/packages/cli/tests/test_commands.py
@@ -17,7 +17,7 @@
 from medlarspring_cli.commands import COMMANDS, audit
 from medlarspring_tables import ConfigTable
 
-SHEET = """\
+TABLE_CSV = """\
 kind,id,weight,limit_percent,pool_id,wanted_vms,min_available
 pool,consent-vms,,,,8,6
 service,consent,,,consent-vms,,
@@ -27,43 +27,43 @@
 
 
 @pytest.fixture
-def sheet(tmp_path):
+def csv_file(tmp_path):
     path = tmp_path / "table.csv"
-    path.write_text(SHEET)
+    path.write_text(TABLE_CSV)
     return path
 
 
 @pytest.fixture
-def filled(desk, sheet):
-    assert desk.run("table", "import", str(sheet), "--yes")[0] == 0
-    return desk
+def cli_with_table(operator_cli, csv_file):
+    assert operator_cli.run("table", "import", str(csv_file), "--yes")[0] == 0
+    return operator_cli
 
 
-def test_import_shows_its_difference_and_is_one_edit(desk, sheet):
-    status, output, _ = desk.run("table", "import", str(sheet), "--yes")
+def test_import_shows_its_difference_and_is_one_edit(operator_cli, csv_file):
+    status, output, _ = operator_cli.run("table", "import", str(csv_file), "--yes")
     assert status == 0
     assert "add    partner ardhi: weight=2" in output
     assert "accepted: table revision 1" in output
-    status, output, _ = desk.run("table", "import", str(sheet), "--yes")
+    status, output, _ = operator_cli.run("table", "import", str(csv_file), "--yes")
     assert (status, "already as the sheet" in output) == (0, True)
 
 
-def test_import_asks_before_it_changes_anything(desk, sheet):
-    status, output, errors = desk.run("table", "import", str(sheet), "-n")
+def test_import_asks_before_it_changes_anything(operator_cli, csv_file):
+    status, output, errors = operator_cli.run("table", "import", str(csv_file), "-n")
     assert status == 2
     assert "--yes" in errors
     assert "add    partner ardhi" in output
-    assert desk.run("table", "show")[1].endswith("table revision 0\n")
+    assert operator_cli.run("table", "show")[1].endswith("table revision 0\n")
 
 
 @pytest.mark.parametrize(("reply", "status"), [("yes\n", 0), ("no\n", 1), ("\n", 1)])
-def test_import_does_what_the_operator_replies(desk, sheet, monkeypatch, reply, status):
+def test_import_follows_the_reply(operator_cli, csv_file, monkeypatch, reply, status):
     class Terminal(io.StringIO):
         def isatty(self) -> bool:
             return True
 
     monkeypatch.setattr("sys.stdin", Terminal(reply))
-    found, output, errors = desk.run("table", "import", str(sheet))
+    found, output, errors = operator_cli.run("table", "import", str(csv_file))
     assert found == status
     assert "4 rows differ from table revision 0." in output
     assert ("accepted: table revision 1" in output) is (status == 0)
@@ -71,64 +71,66 @@
 
 @pytest.mark.parametrize(("is_terminal", "status"), [(False, 2), (True, 1)])
 def test_import_without_a_reply_changes_nothing(
-    desk, sheet, monkeypatch, is_terminal, status
+    operator_cli, csv_file, monkeypatch, is_terminal, status
 ):
     """
     The input is empty: a script has no terminal, or the operator ends it. Asked
     again and again, the command would never end.
     """
 
-    class Ended(io.StringIO):
+    class EmptyInput(io.StringIO):
         def isatty(self) -> bool:
             return is_terminal
 
-    monkeypatch.setattr("sys.stdin", Ended(""))
-    assert desk.run("table", "import", str(sheet))[0] == status
-    assert desk.run("table", "show")[1].endswith("table revision 0\n")
+    monkeypatch.setattr("sys.stdin", EmptyInput(""))
+    assert operator_cli.run("table", "import", str(csv_file))[0] == status
+    assert operator_cli.run("table", "show")[1].endswith("table revision 0\n")
 
 
-def test_row_is_shown_changed_and_its_history_told(filled):
-    status, output, _ = filled.run("table", "set", "partner", "ardhi", "weight=3")
+def test_row_is_changed_and_its_history_shown(cli_with_table):
+    status, output, _ = cli_with_table.run(
+        "table", "set", "partner", "ardhi", "weight=3"
+    )
     assert status == 0
     assert "set    partner ardhi: weight 2 -> 3" in output
-    _, output, _ = filled.run("table", "show", "partner", "ardhi")
+    _, output, _ = cli_with_table.run("table", "show", "partner", "ardhi")
     assert output.splitlines()[1].split()[:3] == ["ardhi", "3", "40"]
-    _, output, _ = filled.run("table", "history", "partner", "ardhi")
+    _, output, _ = cli_with_table.run("table", "history", "partner", "ardhi")
     assert output.count("revision") == 2
     assert "by asha from 127.0.0.1 by entry-1" in output
-    _, output, _ = filled.run("audit", "--operator", "juma")
+    _, output, _ = cli_with_table.run("audit", "--operator", "juma")
     assert output == "No change is on record.\n"
 
 
-def test_export_is_what_import_takes(filled, tmp_path):
+def test_exported_table_can_be_imported(cli_with_table, tmp_path):
     path = tmp_path / "out.csv"
-    assert filled.run("table", "export", "--output", str(path))[0] == 0
-    status, output, _ = filled.run("table", "import", str(path), "--yes")
+    assert cli_with_table.run("table", "export", "--output", str(path))[0] == 0
+    status, output, _ = cli_with_table.run("table", "import", str(path), "--yes")
     assert (status, "already as the sheet" in output) == (0, True)
 
 
-def test_row_is_added_and_removed(filled):
-    assert filled.run("table", "add", "partner", "chombo", "weight=1")[0] == 0
-    assert filled.run("table", "remove", "partner", "chombo")[0] == 0
-    assert filled.run("table", "show", "partner", "chombo")[0] == 1
+def test_row_is_added_and_removed(cli_with_table):
+    assert cli_with_table.run("table", "add", "partner", "chombo", "weight=1")[0] == 0
+    assert cli_with_table.run("table", "remove", "partner", "chombo")[0] == 0
+    assert cli_with_table.run("table", "show", "partner", "chombo")[0] == 1
 
 
-def test_credential_is_sent_as_its_hash(filled, tmp_path):
+def test_credential_is_sent_as_its_hash(cli_with_table, tmp_path):
     path = tmp_path / "credential"
     path.write_text("s3cret\n")
     command = ("table", "set", "partner", "ardhi", "--credential-file", str(path))
-    assert filled.run(*command)[0] == 0
-    _, output, _ = filled.run("table", "show", "partner", "ardhi", "--json")
+    assert cli_with_table.run(*command)[0] == 0
+    _, output, _ = cli_with_table.run("table", "show", "partner", "ardhi", "--json")
     row = json.loads(output)["rows"]["partner"][0]
     assert row["credential_sha256"].startswith("1ec1c26b50d5d3c5")
 
 
-def test_repeated_edit_is_recognised_by_its_id(filled):
+def test_repeated_edit_is_recognised_by_its_id(cli_with_table):
     command = ("table", "set", "partner", "ardhi", "weight=3", "--edit-id", "e-1")
-    assert filled.run(*command)[0] == 0
-    status, output, _ = filled.run(*command)
+    assert cli_with_table.run(*command)[0] == 0
+    status, output, _ = cli_with_table.run(*command)
     assert (status, "had been accepted before" in output) == (0, True)
-    _, output, _ = filled.run("explain", "edit", "e-1")
+    _, output, _ = cli_with_table.run("explain", "edit", "e-1")
     assert output.count("accepted") == 3
 
 
@@ -166,10 +168,10 @@
         (("audit", "--limit", "many"), 2, "whole number"),
     ],
 )
-def test_refused_command_says_why_and_ends_with_its_status(
-    filled, arguments, status, part
+def test_refused_command_prints_reason_and_exit_status(
+    cli_with_table, arguments, status, part
 ):
-    found, _, errors = filled.run(*arguments)
+    found, _, errors = cli_with_table.run(*arguments)
     assert part in errors
     assert found == status
 
@@ -204,9 +206,9 @@
     "wave start": "wave start --all",
 }
 """A command line for each command that needs a daemon."""
-OF_OTHER_PARTS = ("job", "move", "pool", "spare", "vm", "wave")
+UNSERVED_GROUPS = ("job", "move", "pool", "spare", "vm", "wave")
 """Commands whose routes belong to parts that this test's daemon doesn't have."""
-WITHOUT_STORE = {"explain", "status"}
+STORE_INDEPENDENT = {"explain", "status"}
 
 
 def test_every_command_has_an_example_here():
@@ -214,43 +216,45 @@
 
 
 @pytest.mark.parametrize("name", EXAMPLES)
-def test_help_tells_what_the_command_is_for(desk, name):
-    status, output, _ = desk.run(*name.split(), "--help")
+def test_help_is_printed_for_each_command(operator_cli, name):
+    status, output, _ = operator_cli.run(*name.split(), "--help")
     assert status == 0
     assert "MEDLARSPRING_ADDRESS" in output
 
 
 @pytest.mark.parametrize("name", EXAMPLES)
-def test_command_without_daemon_or_token_says_so(desk, sheet, name, tmp_path):
-    line = EXAMPLES[name].replace("SHEET", str(sheet)).split()
-    status, _, errors = desk.run(*line, address="127.0.0.1:1")
+def test_command_reports_missing_daemon_or_token(
+    operator_cli, csv_file, name, tmp_path
+):
+    line = EXAMPLES[name].replace("SHEET", str(csv_file)).split()
+    status, _, errors = operator_cli.run(*line, address="127.0.0.1:1")
     assert (status, "Check that medlarspringd runs there" in errors) == (4, True)
-    status, _, errors = desk.run(*line, address="localhost")
+    status, _, errors = operator_cli.run(*line, address="localhost")
     assert (status, "is not IP:PORT" in errors) == (2, True)
     wrong = tmp_path / "wrong.token"
     wrong.write_text("guess")
-    status, _, errors = desk.run(*line, token_file=str(wrong))
+    status, _, errors = operator_cli.run(*line, token_file=str(wrong))
     assert (status, "--token-file" in errors) == (5, True)
-    status, _, errors = desk.run(*line, token_file="/nowhere")
+    status, _, errors = operator_cli.run(*line, token_file="/nowhere")
     assert (status, "can't be read" in errors) == (2, True)
-    status, _, errors = desk.run(*line, "--colour")
+    status, _, errors = operator_cli.run(*line, "--colour")
     assert (status, "colour" in errors) == (2, True)
 
 
 @pytest.mark.parametrize(
-    "name", [name for name in EXAMPLES if not name.startswith(OF_OTHER_PARTS)]
+    "name", [name for name in EXAMPLES if not name.startswith(UNSERVED_GROUPS)]
 )
-def test_command_while_the_store_is_down_says_that_nothing_changed(desk, sheet, name):
-    desk.store.faults.down = True
-    line = EXAMPLES[name].replace("SHEET", str(sheet)).split()
-    status, _, errors = desk.run(*line)
-    if name in WITHOUT_STORE:
+def test_command_reports_no_change_while_store_is_down(operator_cli, csv_file, name):
+    operator_cli.store.faults.down = True
+    line = EXAMPLES[name].replace("SHEET", str(csv_file)).split()
+    status, _, errors = operator_cli.run(*line)
+    if name in STORE_INDEPENDENT:
         assert status == 0
         return
     assert (status, "Nothing was changed" in errors) == (6, True)
 
 
-def test_answer_of_something_else_than_a_daemon_is_named(desk):
+def test_response_of_another_server_is_reported(operator_cli):
     """
     The operator gives the caller port's address instead of the operator port's.
     Its answer is no answer of this interface; the message says so.
@@ -259,14 +263,14 @@
         ("127.0.0.1", 0), http.server.BaseHTTPRequestHandler
     ) as server:
         threading.Thread(target=server.handle_request).start()
-        status, _, errors = desk.run(
+        status, _, errors = operator_cli.run(
             "status", address=f"127.0.0.1:{server.server_port}"
         )
     assert "not that of an operator port" in errors
     assert status == 1
 
 
-def test_commands_that_messages_and_pages_name_do_exist():
+def test_commands_named_in_messages_and_pages_exist():
     """
     A refusal names the command that helps. A command that was renamed, or never
     written, would send the operator on a false trail at the worst time.
@@ -282,7 +286,7 @@
     assert named - known == set()
 
 
-def test_option_before_the_command_is_told_where_it_belongs(capsys):
+def test_option_before_the_command_is_refused_with_a_hint(capsys):
     assert main(["--address", "127.0.0.1:1", "table", "show"]) == 2
     assert "Write options after the command." in capsys.readouterr().err
 
@@ -293,59 +297,64 @@
     assert "republish" in capsys.readouterr().out
 
 
-def test_table_in_force_is_shown_while_the_store_is_down(filled):
-    table = json.loads(filled.run("table", "export", "--json")[1])
-    filled.store.faults.down = True
-    assert filled.run("table", "show")[0] == 6
-    filled.node.config = msgspec.convert(table, ConfigTable)
-    status, output, errors = filled.run("table", "show")
+def test_table_in_force_is_shown_while_the_store_is_down(cli_with_table):
+    table = json.loads(cli_with_table.run("table", "export", "--json")[1])
+    cli_with_table.store.faults.down = True
+    assert cli_with_table.run("table", "show")[0] == 6
+    cli_with_table.node.config = msgspec.convert(table, ConfigTable)
+    status, output, errors = cli_with_table.run("table", "show")
     assert (status, output.endswith("table revision 1\n")) == (0, True)
     assert "warning: This is the table in force at entry-1." in errors
 
 
-def test_edit_is_taken_by_the_next_daemon_when_the_first_is_gone(filled):
-    address = f"127.0.0.1:1,{filled.address}"
+def test_edit_is_sent_to_next_daemon_when_first_is_unreachable(cli_with_table):
+    address = f"127.0.0.1:1,{cli_with_table.address}"
     command = ("table", "set", "partner", "ardhi", "weight=3")
-    assert filled.run(*command, address=address)[0] == 0
+    assert cli_with_table.run(*command, address=address)[0] == 0
 
 
-def test_follow_prints_each_change_once_until_interrupted(filled, monkeypatch):
-    turns = iter(range(3))
+def test_follow_prints_each_change_once_until_interrupted(cli_with_table, monkeypatch):
+    sleep_counts = iter(range(3))
 
     def change_or_interrupt(seconds):
-        turn = next(turns)
-        if turn == 2:
+        sleep_count = next(sleep_counts)
+        if sleep_count == 2:
             raise KeyboardInterrupt
-        if turn == 0:
+        if sleep_count == 0:
             main(["table", "add", "partner", "chombo", "weight=1", *shared])
 
-    shared = ["--address", filled.address, "--token-file", str(filled.token_file)]
+    shared = [
+        "--address",
+        cli_with_table.address,
+        "--token-file",
+        str(cli_with_table.token_file),
+    ]
     monkeypatch.setattr(audit.time, "sleep", change_or_interrupt)
-    status, output, _ = filled.run("audit", "--follow", "--kind", "partner")
+    status, output, _ = cli_with_table.run("audit", "--follow", "--kind", "partner")
     assert status == 0
     assert output.count("add    partner ardhi") == 1
-    trail = output.split("accepted: table revision 2")[1]
-    assert trail.count("add    partner chombo") == 1
+    later_output = output.split("accepted: table revision 2")[1]
+    assert later_output.count("add    partner chombo") == 1
 
 
-def test_paused_daemon_is_passed_over(filled, monkeypatch):
+def test_paused_daemon_is_skipped(cli_with_table, monkeypatch):
     """
     The first daemon is paused: its kernel takes the connection, and nobody
     answers. The command asks the next one after a short wait, and its second
     call doesn't wait again; nothing was sent, so nothing is unknown.
     """
-    monkeypatch.setattr(client, "PROBE_SECONDS", 0.2)
+    monkeypatch.setattr(client, "PROBE_TIMEOUT_SECONDS", 0.2)
     with socket.create_server(("127.0.0.1", 0)) as paused:
-        address = f"127.0.0.1:{paused.getsockname()[1]},{filled.address}"
+        address = f"127.0.0.1:{paused.getsockname()[1]},{cli_with_table.address}"
         began = time.monotonic()
         command = ("table", "set", "partner", "ardhi", "weight=3")
-        assert filled.run(*command, address=address)[0] == 0
-    assert time.monotonic() - began < client.ANSWER_SECONDS / 2
+        assert cli_with_table.run(*command, address=address)[0] == 0
+    assert time.monotonic() - began < client.RESPONSE_TIMEOUT_SECONDS / 2
 
 
-def test_errors_are_json_when_asked_for(filled):
+def test_errors_are_json_when_asked_for(cli_with_table):
     command = ("table", "set", "partner", "ardhi", "weight=0", "--json")
-    status, output, errors = filled.run(*command)
+    status, output, errors = cli_with_table.run(*command)
     document = json.loads(errors)
     assert (status, output) == (1, "")
     assert document["code"] == "rows-refused"
--- a/packages/cli/tests/test_job_files.py
+++ b/packages/cli/tests/test_job_files.py
@@ -5,7 +5,7 @@
 from medlarspring_cli.job_files import read_jobs
 from medlarspring_tables import JobUrgency, Size
 
-SHEET = """\
+JOBS_CSV = """\
 id,pool_id,partner_id,cpus,memory_gb,declared_seconds,urgency,can_checkpoint
 job-1,consent,ardhi,2,4.5,60,urgent,true
 job-2,consent,ardhi,1,1,60,,
@@ -16,8 +16,8 @@
 )
 
 
-def test_sheet_of_jobs_is_read():
-    (first, second), faults = read_jobs(SHEET)
+def test_csv_file_of_jobs_is_read():
+    (first, second), faults = read_jobs(JOBS_CSV)
     assert faults == []
     assert first.declared == Size(2.0, 4.5, 0)
     assert (first.urgency, first.can_checkpoint) == (JobUrgency.URGENT, True)
@@ -32,13 +32,13 @@
 @pytest.mark.parametrize(
     ("text", "part"),
     [
-        (SHEET.replace("4.5", "much"), "line 2: Expected `float`"),
-        (SHEET.replace("urgent", "now"), "line 2: Invalid enum value 'now'"),
-        (SHEET.replace("id,pool", "name,pool"), "contains unknown field `name`"),
-        (SHEET.replace("true", "true,1"), "line 2: more cells than columns"),
+        (JOBS_CSV.replace("4.5", "much"), "line 2: Expected `float`"),
+        (JOBS_CSV.replace("urgent", "now"), "line 2: Invalid enum value 'now'"),
+        (JOBS_CSV.replace("id,pool", "name,pool"), "contains unknown field `name`"),
+        (JOBS_CSV.replace("true", "true,1"), "line 2: more cells than columns"),
         (f"{DOCUMENT}\n{{}}", "line 2: Object missing required field"),
         ('{"id"', "line 1: Input data was truncated"),
     ],
 )
-def test_faults_are_told_with_their_line(text, part):
+def test_faults_name_their_line(text, part):
     assert part in read_jobs(text)[1][0]
