--- a/packages/cli/src/medlarspring_cli/__init__.py
+++ b/packages/cli/src/medlarspring_cli/__init__.py
@@ -1,3 +1,3 @@
-"""The command line of the operators."""
+"""Command-line client for operators of medlarspring."""
 
 from __future__ import annotations
--- a/packages/cli/src/medlarspring_cli/application.py
+++ b/packages/cli/src/medlarspring_cli/application.py
@@ -1,4 +1,4 @@
-"""Entry point of ``medlarspring``."""
+"""Entry point of the ``medlarspring`` command."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def create_application() -> Application:
-    """Return the command line with all its commands."""
+    """Return the application with all commands registered."""
     application = Application("medlarspring", version("medlarspring-cli"))
     for command in COMMANDS:
         application.add(command())
@@ -30,7 +30,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run one command; returns its exit status."""
+    """Run one command and return its exit status."""
     given = list(sys.argv if arguments is None else ["medlarspring", *arguments])
     command_line = ArgvInput(given)
     command_line.set_stream(sys.stdin)
--- a/packages/cli/src/medlarspring_cli/client.py
+++ b/packages/cli/src/medlarspring_cli/client.py
@@ -1,4 +1,4 @@
-"""Calls the operator port of the first daemon that answers."""
+"""HTTP client for the operator port, with failover between several daemons."""
 
 from __future__ import annotations
 
@@ -23,11 +23,14 @@
 
 CONNECT_TIMEOUT_SECONDS = 3.0
 RESPONSE_TIMEOUT_SECONDS = 30.0
-"""Longer than a daemon takes over one edit, so that its verdict is heard."""
+"""Longer than a daemon takes to process one edit, so that its result is received."""
 PROBE_TIMEOUT_SECONDS = 2.0
-"""Time for a sign of life from one of several daemons."""
+"""Timeout of the ping that precedes a request if several addresses are given."""
 _FAILOVER_STATUSES = frozenset({503, 504})
-"""The next daemon may be in a zone that reaches the store."""
+"""Statuses after which the next address is tried.
+
+The next daemon may be in a zone that can reach the store.
+"""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,32 +42,37 @@
     query: Mapping[str, str]
     body: bytes = b""
     repeat_with: str = ""
-    """Set for changes: the option that makes a repetition safe. The change carries
-    an id, so that it may also be sent to several daemons in turn."""
+    """For a change, the option that makes a retry safe; otherwise empty.
+
+    A change carries an id, so it may also be sent to several daemons in turn.
+    """
 
 
 class OperatorClient:
-    """Tries the given addresses in turn."""
+    """Sends requests to the given addresses in turn until one daemon responds."""
 
     def __init__(self, addresses: Sequence[str], token: str) -> None:
         self._addresses = tuple(addresses)
         self._token = token
 
     def get(self, path: str, answer_type: type[T], **query: object) -> T:
-        """Read a document; parameters that are None or empty are left out."""
+        """Fetch and decode a document; parameters with false values are omitted."""
         given = {name: str(value) for name, value in query.items() if value}
         return self._decode(self.send(OperatorRequest("GET", path, given)), answer_type)
 
     def post(
         self, path: str, body: object, answer_type: type[T], repeat_with: str = ""
     ) -> T:
-        """Send a document; a change says with which option it may be repeated."""
+        """Send a document and decode the response.
+
+        For a change, ``repeat_with`` names the option that makes a retry safe.
+        """
         content = body if isinstance(body, bytes) else msgspec.json.encode(body)
         operator_request = OperatorRequest("POST", path, {}, content, repeat_with)
         return self._decode(self.send(operator_request), answer_type)
 
     def send(self, operator_request: OperatorRequest) -> bytes:
-        """Return the answer's body, or raise a ``CommandError``."""
+        """Return the body of the response, or raise a ``CommandError``."""
         return asyncio.run(self._send(operator_request))
 
     async def _send(self, operator_request: OperatorRequest) -> bytes:
@@ -99,10 +107,10 @@
         )
 
     async def _probe(self, session: aiohttp.ClientSession, address: str) -> str:
-        """Return why a daemon gives no sign of life; empty if it does."""
-        # A paused daemon's kernel still takes connections. The operator would wait
-        # the whole time of an answer for it, once for each call of the command,
-        # while the next daemon could have answered at once.
+        """Return why a daemon does not respond to a ping, or an empty string."""
+        # The kernel still accepts connections for a paused daemon. Without the ping,
+        # each request of the command would wait for the full response timeout while
+        # the next daemon could have responded at once.
         if len(self._addresses) == 1:
             return ""
         timeout = aiohttp.ClientTimeout(total=PROBE_TIMEOUT_SECONDS)
@@ -115,7 +123,7 @@
             return _describe(error)
 
     def _move_to_front(self, address: str) -> None:
-        """Ask this daemon first from now on."""
+        """Try this address first for later requests."""
         others = (each for each in self._addresses if each != address)
         self._addresses = (address, *others)
 
@@ -152,9 +160,9 @@
     last_refusal: RequestRefusedError | None,
     is_outcome_unknown: bool,
 ) -> CommandError:
-    # One daemon may have accepted the edit and died before its answer. That a
-    # later one couldn't reach the store proves nothing about the first, so the
-    # operator must not be told that nothing was changed.
+    # A daemon may have accepted the edit and died before it responded. A later
+    # daemon that could not reach the store does not rule this out, so the message
+    # must not say that nothing was changed.
     if operator_request.repeat_with and is_outcome_unknown:
         return OutcomeUnknownError(reasons_by_address, operator_request.repeat_with)
     return last_refusal or DaemonUnreachableError(reasons_by_address)
--- a/packages/cli/src/medlarspring_cli/commands/__init__.py
+++ b/packages/cli/src/medlarspring_cli/commands/__init__.py
@@ -1,4 +1,4 @@
-"""The commands of ``medlarspring``, one a module."""
+"""The commands of ``medlarspring``, one module for each."""
 
 from __future__ import annotations
 
--- a/packages/cli/src/medlarspring_cli/commands/audit.py
+++ b/packages/cli/src/medlarspring_cli/commands/audit.py
@@ -1,4 +1,4 @@
-"""``medlarspring audit``."""
+"""The ``medlarspring audit`` command."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class AuditCommand(OperatorCommand):
-    """Show who changed what, when and from where."""
+    """Show the audit trail of accepted changes."""
 
     name = "audit"
     description = "Show accepted changes: who, when, what, before and after, from where"
@@ -40,11 +40,11 @@
             flag=False,
         ),
         option("limit", "l", "Newest records to show", flag=False, default="50"),
-        option("follow", "f", "Go on printing new changes as they are accepted"),
+        option("follow", "f", "Keep printing new changes as they are accepted"),
     ]
 
     def run_command(self) -> int:
-        """Print the records; with --follow, until interrupted."""
+        """Print the records; with ``--follow``, keep polling until interrupted."""
         since = _read_time(self.option("since"))
         client = self.create_client()
         if self.option("follow"):
--- a/packages/cli/src/medlarspring_cli/commands/edit_command.py
+++ b/packages/cli/src/medlarspring_cli/commands/edit_command.py
@@ -1,4 +1,4 @@
-"""What the commands share that edit one row."""
+"""Base class and options shared by the commands that edit the table."""
 
 from __future__ import annotations
 
@@ -36,18 +36,18 @@
 )
 EDIT_OPTIONS: list[Option] = [
     OPERATOR_OPTION,
-    option("note", None, "Why, for the audit trail", flag=False),
+    option("note", None, "Reason, for the audit trail", flag=False),
     option(
         "edit-id",
         None,
-        "Id of an edit to repeat after its answer was lost",
+        "Id of an edit to retry after its response was lost",
         flag=False,
     ),
 ]
 REVISION_OPTION = option(
     "revision",
     None,
-    "Row revision that you decided on; refused if the row has changed since",
+    "Row revision that the edit is based on; refused if the row has changed since",
     flag=False,
 )
 CREDENTIAL_OPTION = option(
@@ -59,17 +59,17 @@
 
 
 class EditCommand(OperatorCommand):
-    """Base of the commands that edit one row."""
+    """Base class of the commands that edit the table."""
 
     arguments: ClassVar[list[Argument]] = [KIND_ARGUMENT, ID_ARGUMENT]
     own_options: ClassVar[list[Option]] = EDIT_OPTIONS
 
     def read_kind(self) -> RowKind:
-        """Return the kind of row that was named."""
+        """Return the kind of row given as argument."""
         return read_kind(self.argument("kind"))
 
     def read_fields(self, kind: RowKind) -> dict[str, FieldValue]:
-        """Return the fields that were given; the daemon checks the values."""
+        """Return the fields given as arguments; the daemon validates the values."""
         fields: dict[str, FieldValue] = {}
         for text in self.argument("fields"):
             name, separator, value = text.partition("=")
@@ -88,7 +88,10 @@
     def find_revision(
         self, client: OperatorClient, kind: RowKind, row_id: str
     ) -> Revision:
-        """Return the row revision that the edit is made for."""
+        """Return the row revision on which the edit is based.
+
+        Without ``--revision``, this is the current revision, or 0 for a missing row.
+        """
         given = self.option("revision")
         if given is not None:
             if not given.isdecimal():
@@ -105,7 +108,7 @@
         fields: dict[str, FieldValue],
         row_revision: Revision = NEW_ROW,
     ) -> int:
-        """Send the edit of one row and print what became of it."""
+        """Send the edit of one row and print the result."""
         row = RowEdit(
             kind=self.read_kind(),
             id=self.argument("id"),
@@ -116,7 +119,7 @@
         return self.send_edit(client, (row,))
 
     def send_edit(self, client: OperatorClient, rows: tuple[RowEdit, ...]) -> int:
-        """Send an edit and print what became of it."""
+        """Send an edit and print the result."""
         edit = TableEdit(
             id=self.create_edit_id(),
             operator=self.find_operator(),
@@ -129,11 +132,11 @@
         return self.print_accepted(edit.id, accepted)
 
     def create_edit_id(self) -> EditId:
-        """Return the id of an edit to repeat, or a new one."""
+        """Return the id of the edit to retry, or a new id."""
         return EditId(self.option("edit-id") or str(uuid.uuid4()))
 
     def print_accepted(self, edit_id: EditId, accepted: EditAnswer) -> int:
-        """Print what became of an edit."""
+        """Print the changes and the table revision of an accepted edit."""
         if self.wants_json:
             self.print_json(accepted)
             return 0
@@ -156,7 +159,7 @@
 
 
 def read_kind(name: str) -> RowKind:
-    """Return the kind of row with this name."""
+    """Return the kind of row with this name, or raise a ``UsageError``."""
     try:
         return RowKind(name)
     except ValueError:
--- a/packages/cli/src/medlarspring_cli/commands/explain.py
+++ b/packages/cli/src/medlarspring_cli/commands/explain.py
@@ -1,4 +1,4 @@
-"""``medlarspring explain``."""
+"""The ``medlarspring explain`` command."""
 
 from __future__ import annotations
 
@@ -16,19 +16,21 @@
 
 
 class ExplainCommand(OperatorCommand):
-    """Show what was decided about something, by which rule, from which facts."""
+    """Show the decisions about a subject, each with its rule and its facts."""
 
     name = "explain"
     description = (
         "Show what was decided about a request, job, VM, wave or edit, and why"
     )
     arguments = [
-        argument("subject", f"What it is: {SUBJECTS}"),
-        argument("id", "Its id, for example the <comment>Request-Id</comment>"),
+        argument("subject", f"Kind of subject: {SUBJECTS}"),
+        argument(
+            "id", "Id of the subject, for example the <comment>Request-Id</comment>"
+        ),
     ]
 
     def run_command(self) -> int:
-        """Print the decisions that the entry VMs remember."""
+        """Print the decisions that the entry VMs still hold in memory."""
         subject = self.argument("subject")
         if subject not in {known.value for known in Subject}:
             raise UsageError(f"Subject {subject!r} is none of {SUBJECTS}.")
--- a/packages/cli/src/medlarspring_cli/commands/job_cancel.py
+++ b/packages/cli/src/medlarspring_cli/commands/job_cancel.py
@@ -1,4 +1,4 @@
-"""``medlarspring job cancel``."""
+"""The ``medlarspring job cancel`` command."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
         option("partner", None, "Cancel the jobs of this partner", flag=False),
         option("kind", None, "Cancel the jobs of this kind", flag=False),
         option("all", None, "Cancel all jobs of the pool"),
-        option("reason", None, "Why, for those who look at the job", flag=False),
+        option("reason", None, "Reason, shown with the job", flag=False),
         OPERATOR_OPTION,
     ]
 
     def run_command(self) -> int:
-        """Send the cancellation and print how far it came."""
+        """Send the cancellation and print how many jobs it affected."""
         ids, partner = self.argument("ids"), self.option("partner")
         kind = self.option("kind")
         if not (ids or partner or kind or self.option("all")):
--- a/packages/cli/src/medlarspring_cli/commands/job_list.py
+++ b/packages/cli/src/medlarspring_cli/commands/job_list.py
@@ -1,4 +1,4 @@
-"""``medlarspring job list``."""
+"""The ``medlarspring job list`` command."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     ]
 
     def run_command(self) -> int:
-        """Print the jobs and how many there are by state."""
+        """Print the jobs and their number by state."""
         path = f"/v1/jobs/{quote(self.argument('pool'), safe='')}"
         partner, state = self.option("partner"), self.option("state")
         client = self.create_client()
--- a/packages/cli/src/medlarspring_cli/commands/job_show.py
+++ b/packages/cli/src/medlarspring_cli/commands/job_show.py
@@ -1,4 +1,4 @@
-"""``medlarspring job show``."""
+"""The ``medlarspring job show`` command."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     ]
 
     def run_command(self) -> int:
-        """Print the job's record."""
+        """Fetch the job and print its record."""
         names = (self.argument("pool"), self.argument("job"))
         pool, job = (quote(name, safe="") for name in names)
         view = self.create_client().get(f"/v1/jobs/{pool}/{job}", JobView)
--- a/packages/cli/src/medlarspring_cli/commands/job_submit.py
+++ b/packages/cli/src/medlarspring_cli/commands/job_submit.py
@@ -1,4 +1,4 @@
-"""``medlarspring job submit``."""
+"""The ``medlarspring job submit`` command."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class JobSubmitCommand(OperatorCommand):
-    """Submit one job, or a file of them."""
+    """Submit one job, or a file of jobs."""
 
     name = "job submit"
     description = "Submit one job of a partner to a pool, or a file of jobs"
@@ -35,20 +35,20 @@
         option("memory-gb", None, "Declared memory", flag=False),
         option("accelerators", None, "Declared accelerators", flag=False, default="0"),
         option("seconds", None, "Declared run time", flag=False),
-        option("kind", None, "Kind, for what is learned of sizes", flag=False),
+        option("kind", None, "Kind of job; sizes are estimated per kind", flag=False),
         option("urgency", None, f"One of {URGENCIES}", flag=False, default="normal"),
         option("can-checkpoint", None, "The job can be stopped and resumed"),
         option(
             "can-throttle", None, "The job can run with less (recorded, not used yet)"
         ),
         option(
-            "file", None, "CSV file of jobs, or one JSON document a line", flag=False
+            "file", None, "CSV file of jobs, or one JSON document per line", flag=False
         ),
         OPERATOR_OPTION,
     ]
 
     def run_command(self) -> int:
-        """Send the jobs and print what became of each."""
+        """Send the jobs and print the result of each."""
         path = self.option("file")
         jobs = self._read_file(path) if path else (self._read_job(),)
         request = SubmitRequest(jobs=jobs, operator=self.find_operator())
--- a/packages/cli/src/medlarspring_cli/commands/move_list.py
+++ b/packages/cli/src/medlarspring_cli/commands/move_list.py
@@ -1,4 +1,4 @@
-"""``medlarspring move list``."""
+"""The ``medlarspring move list`` command."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     description = "List moves of VMs between pools, newest first"
 
     def run_command(self) -> int:
-        """Print the moves on record."""
+        """Print the recorded moves."""
         found = self.create_client().get("/v1/moves", MovesAnswer)
         return self.print_answer(found, list_moves(found.moves))
 
--- a/packages/cli/src/medlarspring_cli/commands/move_start.py
+++ b/packages/cli/src/medlarspring_cli/commands/move_start.py
@@ -1,4 +1,4 @@
-"""``medlarspring move start``."""
+"""The ``medlarspring move start`` command."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     name = "move start"
     description = "Move VMs from one pool to another, within both budgets"
     arguments = [
-        argument("from", "Pool that gives"),
-        argument("to", "Pool that takes"),
+        argument("from", "Source pool"),
+        argument("to", "Target pool"),
     ]
     own_options = [
-        option("count", None, "How many VMs; the giving pool chooses", flag=False),
-        option("vm", None, "This VM", flag=False, multiple=True),
+        option("count", None, "Number of VMs, chosen from the source pool", flag=False),
+        option("vm", None, "VM to move", flag=False, multiple=True),
         option("id", None, "Id of the command; a new one by default", flag=False),
         OPERATOR_OPTION,
     ]
--- a/packages/cli/src/medlarspring_cli/commands/operator_command.py
+++ b/packages/cli/src/medlarspring_cli/commands/operator_command.py
@@ -1,4 +1,4 @@
-"""What all commands share: the options, the client, and how they fail."""
+"""Base class of all commands: shared options, client, output and errors."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 
 class OperatorCommand(Command):
-    """Base of the commands that ask a daemon."""
+    """Base class of the commands that send requests to a daemon."""
 
     own_options: ClassVar[list[Option]] = []
-    """Options of the command itself; those of all commands are added."""
+    """Options of this command; ``shared_options`` are appended to them."""
 
     shared_options: ClassVar[list[Option]] = [
         option(
@@ -61,7 +61,7 @@
         cls.options = [*cls.own_options, *cls.shared_options]
 
     def handle(self) -> int:
-        """Run the command; expected failures become an exit status."""
+        """Run the command; a ``CommandError`` is printed and sets the exit status."""
         try:
             return self.run_command()
         except CommandError as error:
@@ -69,16 +69,16 @@
             return error.exit_code
 
     def run_command(self) -> int:
-        """Do what the command is for."""
+        """Run the command and return its exit status; implemented by each command."""
         raise NotImplementedError
 
     @property
     def wants_json(self) -> bool:
-        """Whether a program reads the output."""
+        """Whether JSON output was requested."""
         return bool(self.option("json"))
 
     def create_client(self) -> OperatorClient:
-        """Return the client of the addresses and the token that were given."""
+        """Return a client for the given addresses and token."""
         given = self.option("address") or [os.environ.get(ADDRESS_VARIABLE, "")]
         addresses = [
             address.strip()
@@ -96,15 +96,15 @@
         return OperatorClient(addresses, self._read_token())
 
     def print_text(self, text: str) -> None:
-        """Print lines as they are."""
+        """Print text without interpreting style tags."""
         self.io.write_line(text, type=Type.RAW)
 
     def print_json(self, document: object) -> None:
-        """Print a document for programs."""
+        """Print a document as indented JSON."""
         self.print_text(msgspec.json.format(msgspec.json.encode(document)).decode())
 
     def print_answer(self, document: object, text: str) -> int:
-        """Print an answer for programs or for people."""
+        """Print the document as JSON if requested, otherwise the text."""
         if self.wants_json:
             self.print_json(document)
         else:
@@ -112,11 +112,11 @@
         return ExitCode.OK
 
     def print_warning(self, text: str) -> None:
-        """Print what the reader has to know about the answer."""
+        """Print a warning about the response on standard error."""
         self.io.error_output.write_line(f"warning: {text}", type=Type.RAW)
 
     def print_error(self, error: CommandError) -> None:
-        """Print a failure on standard error."""
+        """Print an error on standard error."""
         if self.wants_json:
             document = {**error.document(), "exit_code": int(error.exit_code)}
             text = msgspec.json.format(msgspec.json.encode(document)).decode()
@@ -127,7 +127,7 @@
         self.io.error_output.write_line(text, type=Type.RAW)
 
     def read_text(self, path: str, description: str) -> str:
-        """Return a file's text, or say why it can't be read."""
+        """Return the text of a file, or raise a ``UsageError`` with the reason."""
         try:
             return Path(path).read_text(encoding="utf-8")
         except OSError as error:
@@ -139,7 +139,10 @@
             ) from None
 
     def find_operator(self) -> str:
-        """Return the operator's name for the audit trail."""
+        """Return the operator's name for the audit trail.
+
+        It comes from the option, the environment or the login, in this order.
+        """
         given = self.option("operator") or os.environ.get(OPERATOR_VARIABLE)
         if given:
             return str(given)
--- a/packages/cli/src/medlarspring_cli/commands/pool_list.py
+++ b/packages/cli/src/medlarspring_cli/commands/pool_list.py
@@ -1,4 +1,4 @@
-"""``medlarspring pool list``."""
+"""The ``medlarspring pool list`` command."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class PoolListCommand(OperatorCommand):
-    """List the pools against their availability budgets."""
+    """List the pools with their availability budgets."""
 
     name = "pool list"
-    description = "List pools against their availability budgets"
+    description = "List pools with their availability budgets"
 
     def run_command(self) -> int:
         """Print the pools."""
--- a/packages/cli/src/medlarspring_cli/commands/spare_show.py
+++ b/packages/cli/src/medlarspring_cli/commands/spare_show.py
@@ -1,4 +1,4 @@
-"""``medlarspring spare show``."""
+"""The ``medlarspring spare show`` command."""
 
 from __future__ import annotations
 
@@ -10,22 +10,24 @@
 
 
 class SpareShowCommand(OperatorCommand):
-    """Show the spare that is held and needed."""
+    """Show the spare capacity that is held and needed."""
 
     name = "spare show"
-    description = "Show the spare capacity that is held, and what a failure would need"
+    description = (
+        "Show the spare capacity that is held, and how much a failure would need"
+    )
     own_options = [
         option(
             "domain",
             None,
-            "Failure to be ready for: rack or zone",
+            "Failure domain to cover: rack or zone",
             flag=False,
             default="rack",
         )
     ]
 
     def run_command(self) -> int:
-        """Print the spare."""
+        """Print the spare capacity."""
         domain = self.option("domain")
         found = self.create_client().get("/v1/spare", SpareAnswer, domain=domain)
         return self.print_answer(found, describe_spare(found))
--- a/packages/cli/src/medlarspring_cli/commands/status.py
+++ b/packages/cli/src/medlarspring_cli/commands/status.py
@@ -1,4 +1,4 @@
-"""``medlarspring status``."""
+"""The ``medlarspring status`` command."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class StatusCommand(OperatorCommand):
-    """Show what is cut off, stale or degraded."""
+    """Show what is partitioned, stale or degraded."""
 
     name = "status"
-    description = "Show what is cut off, stale or degraded, and since when"
+    description = "Show what is partitioned, stale or degraded, and since when"
 
     def run_command(self) -> int:
-        """Print the state of the first daemon that answers."""
+        """Print the status of the first daemon that responds."""
         status = self.create_client().get("/v1/status", StatusAnswer)
         if self.wants_json:
             self.print_json(status)
--- a/packages/cli/src/medlarspring_cli/commands/table_add.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_add.py
@@ -1,4 +1,4 @@
-"""``medlarspring table add``."""
+"""The ``medlarspring table add`` command."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TableAddCommand(EditCommand):
-    """Add a row; fields that aren't given take their default."""
+    """Add a row; omitted fields get their default values."""
 
     name = "table add"
     description = "Add one row to the table"
--- a/packages/cli/src/medlarspring_cli/commands/table_export.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_export.py
@@ -1,4 +1,4 @@
-"""``medlarspring table export``."""
+"""The ``medlarspring table export`` command."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     ]
 
     def run_command(self) -> int:
-        """Print the sheet or write it to a file."""
+        """Print the table as CSV or write it to a file."""
         shown = self.create_client().get("/v1/table", TableAnswer)
         if shown.warning:
             self.print_warning(shown.warning)
--- a/packages/cli/src/medlarspring_cli/commands/table_history.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_history.py
@@ -1,4 +1,4 @@
-"""``medlarspring table history``."""
+"""The ``medlarspring table history`` command."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TableHistoryCommand(OperatorCommand):
-    """Show who changed a row, or rows of a kind, and how."""
+    """Show the audit records of the table, of one kind of row, or of one row."""
 
     name = "table history"
     description = "Show who changed the table, the rows of one kind, or one row"
@@ -24,7 +24,7 @@
     ]
 
     def run_command(self) -> int:
-        """Print the audit records of the rows."""
+        """Print the audit records of the selected rows."""
         name, row_id = self.argument("kind") or "", self.argument("id") or ""
         kind = read_kind(name).value if name else ""
         found = self.create_client().get(
--- a/packages/cli/src/medlarspring_cli/commands/table_import.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_import.py
@@ -1,4 +1,4 @@
-"""``medlarspring table import``."""
+"""The ``medlarspring table import`` command."""
 
 from __future__ import annotations
 
@@ -11,21 +11,24 @@
 from medlarspring_cli.render import format_change
 
 MAX_REPLY_LENGTH = 100
-"""Characters of a reply that are read."""
+"""Number of characters that are read of a reply."""
 
 
 class TableImportCommand(EditCommand):
-    """Replace the whole table by a sheet, after showing the difference."""
+    """Replace the whole table by a CSV file, after showing the difference."""
 
     name = "table import"
     description = "Replace the whole table by a CSV file, after showing the difference"
     arguments = [
         argument("file", "CSV file, as <comment>table export</comment> writes")
     ]
-    own_options = [option("yes", "y", "Accept the difference unasked"), *EDIT_OPTIONS]
+    own_options = [
+        option("yes", "y", "Accept the difference without confirmation"),
+        *EDIT_OPTIONS,
+    ]
 
     def run_command(self) -> int:
-        """Show the difference, ask, and send it as one edit."""
+        """Show the difference, ask for confirmation and send it as one edit."""
         csv_text = self.read_text(self.argument("file"), "Sheet")
         client = self.create_client()
         plan = client.post("/v1/table/import-plan", csv_text.encode(), PlanAnswer)
@@ -48,7 +51,7 @@
             return True
         if self.wants_json or not self.io.is_interactive():
             raise UsageError("Nobody can be asked here; accept with --yes.")
-        # Cleo's own question asks again for ever when the input has ended.
+        # Cleo's question helper asks again without end once the input has ended.
         self.io.write("Accept all of them? (yes/no) [no] ")
         return self.io.read_line(MAX_REPLY_LENGTH).strip().lower() in ("y", "yes")
 
--- a/packages/cli/src/medlarspring_cli/commands/table_remove.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_remove.py
@@ -1,4 +1,4 @@
-"""``medlarspring table remove``."""
+"""The ``medlarspring table remove`` command."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     own_options = [REVISION_OPTION, *EDIT_OPTIONS]
 
     def run_command(self) -> int:
-        """Send the removal of the row as it is now, or as the operator read it."""
+        """Send the removal, based on the current or the given row revision."""
         kind = self.read_kind()
         client = self.create_client()
         revision = self.find_revision(client, kind, self.argument("id"))
--- a/packages/cli/src/medlarspring_cli/commands/table_republish.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_republish.py
@@ -1,4 +1,4 @@
-"""``medlarspring table republish``."""
+"""The ``medlarspring table republish`` command."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class TableRepublishCommand(EditCommand):
-    """Put the table in force back into a store that lost it."""
+    """Write the table in force to a store that lost it."""
 
     name = "table republish"
-    description = "Put the table in force back into a store restored from a backup"
+    description = "Write the table in force to a store restored from a backup"
     arguments = []
     own_options = EDIT_OPTIONS
 
     def run_command(self) -> int:
-        """Ask the daemon to write the table that it has in force."""
+        """Request that the daemon writes its table in force to the store."""
         request = Republish(
             id=self.create_edit_id(),
             operator=self.find_operator(),
--- a/packages/cli/src/medlarspring_cli/commands/table_set.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_set.py
@@ -1,4 +1,4 @@
-"""``medlarspring table set``."""
+"""The ``medlarspring table set`` command."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class TableSetCommand(EditCommand):
-    """Change fields of a row; the others stay as they are."""
+    """Change fields of a row; other fields keep their values."""
 
     name = "table set"
     description = "Change fields of one row of the table"
@@ -24,7 +24,7 @@
     own_options = [REVISION_OPTION, CREDENTIAL_OPTION, *EDIT_OPTIONS]
 
     def run_command(self) -> int:
-        """Send the edit for the row as it is now, or as the operator read it."""
+        """Send the edit, based on the current or the given row revision."""
         kind = self.read_kind()
         fields = self.read_fields(kind)
         if not fields:
--- a/packages/cli/src/medlarspring_cli/commands/table_show.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_show.py
@@ -1,4 +1,4 @@
-"""``medlarspring table show``."""
+"""The ``medlarspring table show`` command."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     from medlarspring_tables import ConfigRow
 
 SHORT_HASH_LENGTH = 12
-"""Digits of a credential's hash that people are shown."""
+"""Number of digits of a credential hash in text output."""
 
 
 class TableShowCommand(OperatorCommand):
-    """Show the table, the rows of a kind, or one row."""
+    """Show the table, the rows of one kind, or one row."""
 
     name = "table show"
     description = "Show the table, the rows of one kind, or one row"
@@ -36,7 +36,7 @@
     ]
 
     def run_command(self) -> int:
-        """Print the rows that were asked for."""
+        """Print the selected rows and the table revision."""
         name = self.argument("kind")
         kinds = list(RowKind) if name is None else [read_kind(name)]
         shown = self.create_client().get("/v1/table", TableAnswer)
--- a/packages/cli/src/medlarspring_cli/commands/vm_list.py
+++ b/packages/cli/src/medlarspring_cli/commands/vm_list.py
@@ -1,4 +1,4 @@
-"""``medlarspring vm list``."""
+"""The ``medlarspring vm list`` command."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class VMListCommand(OperatorCommand):
-    """List the VMs on record."""
+    """List the recorded VMs."""
 
     name = "vm list"
     description = "List VMs with their pool, state and health"
--- a/packages/cli/src/medlarspring_cli/commands/vm_show.py
+++ b/packages/cli/src/medlarspring_cli/commands/vm_show.py
@@ -1,4 +1,4 @@
-"""``medlarspring vm show``."""
+"""The ``medlarspring vm show`` command."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Show one VM."""
 
     name = "vm show"
-    description = "Show one VM: its pool, its state, why, and its last maintenance"
+    description = "Show one VM: its pool, its state and cause, and its last maintenance"
     arguments = [argument("vm", "Id of the VM")]
 
     def run_command(self) -> int:
--- a/packages/cli/src/medlarspring_cli/commands/wave_change.py
+++ b/packages/cli/src/medlarspring_cli/commands/wave_change.py
@@ -1,4 +1,4 @@
-"""``medlarspring wave pause``, ``resume`` and ``abort``."""
+"""The ``medlarspring wave pause``, ``resume`` and ``abort`` commands."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class WaveChangeCommand(OperatorCommand):
-    """Base of the commands that change a wave; a repetition changes nothing."""
+    """Base class of the commands that change a wave; the changes are idempotent."""
 
     action: ClassVar[str]
     arguments = [argument("wave", "Id of the wave")]
     own_options = [
-        option("reason", None, "Why, for those who look at the wave", flag=False),
+        option("reason", None, "Reason, shown with the wave", flag=False),
         OPERATOR_OPTION,
     ]
 
     def run_command(self) -> int:
-        """Send the change and print how the wave stands."""
+        """Send the change and print the state of the wave."""
         path = f"/v1/waves/{quote(self.argument('wave'), safe='')}/{self.action}"
         request = ChangeWave(
             operator=self.find_operator(), reason=self.option("reason") or ""
@@ -37,26 +37,26 @@
 
 
 class WavePauseCommand(WaveChangeCommand):
-    """Let no further VM begin; those under way are finished."""
+    """Pause a wave: no further VM starts, VMs in progress finish."""
 
     name = "wave pause"
-    description = "Let no further VM of a wave begin; those under way are finished"
+    description = "Pause a wave: no further VM starts, VMs in progress finish"
     action = "pause"
 
 
 class WaveResumeCommand(WaveChangeCommand):
-    """Go on with a paused wave."""
+    """Resume a paused wave."""
 
     name = "wave resume"
-    description = "Go on with a paused wave"
+    description = "Resume a paused wave"
     action = "resume"
 
 
 class WaveAbortCommand(WaveChangeCommand):
-    """End a wave for good."""
+    """Abort a wave permanently."""
 
     name = "wave abort"
-    description = "End a wave for good; VMs not yet rebooted are put back"
+    description = "Abort a wave permanently; VMs not yet rebooted are restored"
     action = "abort"
 
 
--- a/packages/cli/src/medlarspring_cli/commands/wave_list.py
+++ b/packages/cli/src/medlarspring_cli/commands/wave_list.py
@@ -1,4 +1,4 @@
-"""``medlarspring wave list``."""
+"""The ``medlarspring wave list`` command."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     description = "List maintenance waves, newest first"
 
     def run_command(self) -> int:
-        """Print the waves on record."""
+        """Print the recorded waves."""
         found = self.create_client().get("/v1/waves", WavesAnswer)
         return self.print_answer(found, list_waves(found.waves))
 
--- a/packages/cli/src/medlarspring_cli/commands/wave_show.py
+++ b/packages/cli/src/medlarspring_cli/commands/wave_show.py
@@ -1,4 +1,4 @@
-"""``medlarspring wave show``."""
+"""The ``medlarspring wave show`` command."""
 
 from __future__ import annotations
 
@@ -12,10 +12,12 @@
 
 
 class WaveShowCommand(OperatorCommand):
-    """Show how far a wave is and what holds it up."""
+    """Show the progress of a wave and what blocks it."""
 
     name = "wave show"
-    description = "Show how far a wave is, what holds it up, and who didn't return"
+    description = (
+        "Show the progress of a wave, what blocks it, and which VMs did not return"
+    )
     arguments = [argument("wave", "Id of the wave")]
 
     def run_command(self) -> int:
--- a/packages/cli/src/medlarspring_cli/commands/wave_start.py
+++ b/packages/cli/src/medlarspring_cli/commands/wave_start.py
@@ -1,4 +1,4 @@
-"""``medlarspring wave start``."""
+"""The ``medlarspring wave start`` command."""
 
 from __future__ import annotations
 
@@ -20,17 +20,19 @@
     """Start a maintenance wave."""
 
     name = "wave start"
-    description = "Drain and reboot VMs, as wide as the availability budgets allow"
+    description = (
+        "Drain and reboot VMs, as many at a time as the availability budgets allow"
+    )
     own_options = [
-        option("pool", None, "VMs of this pool", flag=False, multiple=True),
-        option("vm", None, "This VM", flag=False, multiple=True),
-        option("all", None, "All VMs of the fleet"),
+        option("pool", None, "Reboot the VMs of this pool", flag=False, multiple=True),
+        option("vm", None, "VM to reboot", flag=False, multiple=True),
+        option("all", None, "Reboot all VMs of the fleet"),
         option("id", None, "Id of the wave; a new one by default", flag=False),
         OPERATOR_OPTION,
     ]
 
     def run_command(self) -> int:
-        """Send the wave and print how it stands."""
+        """Send the wave and print its state."""
         pools, vms = self.option("pool"), self.option("vm")
         chosen = [bool(pools), bool(vms), bool(self.option("all"))]
         if sum(chosen) != 1:
--- a/packages/cli/src/medlarspring_cli/errors.py
+++ b/packages/cli/src/medlarspring_cli/errors.py
@@ -1,4 +1,4 @@
-"""Failures of a command, each with its exit status."""
+"""Errors that end a command, each with its exit status."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class CommandError(MedlarspringError):
-    """The command did not do what was asked."""
+    """Base class of the errors that end a command."""
 
     code = "command"
     exit_code = ExitCode.REFUSED
 
     def document(self) -> dict[str, Any]:
-        """Return the failure for programs."""
+        """Return the error as a document for JSON output."""
         return {"code": self.code, "detail": self.message()}
 
 
 class UsageError(CommandError):
-    """The command line is not usable; nothing was sent."""
+    """The arguments or settings are invalid; nothing was sent."""
 
     code = "usage"
     exit_code = ExitCode.USAGE
@@ -35,7 +35,7 @@
 
 
 class RowNotFoundError(CommandError):
-    """The table has no such row."""
+    """The table has no row of this kind and id."""
 
     code = "row-missing"
 
@@ -46,13 +46,13 @@
         self.known_ids = known_ids
 
     def message(self) -> str:
-        """Name the rows that there are."""
+        """Return a message that lists the ids of the existing rows."""
         known = ", ".join(self.known_ids) or "none yet"
         return f"There is no {self.kind} {self.row_id}; there is {known}."
 
 
 class DaemonUnreachableError(CommandError):
-    """No daemon could be connected to."""
+    """None of the daemons could be reached."""
 
     code = "unreachable"
     exit_code = ExitCode.UNREACHABLE
@@ -62,7 +62,7 @@
         self.reasons_by_address = reasons_by_address
 
     def message(self) -> str:
-        """List what was tried."""
+        """Return a message that lists each address with the reason of its failure."""
         tried = "\n".join(
             f"  {address}: {reason}"
             for address, reason in self.reasons_by_address.items()
@@ -75,7 +75,7 @@
 
 
 class OutcomeUnknownError(CommandError):
-    """The request was sent and its answer is missing."""
+    """A change was sent, but its outcome is not known."""
 
     code = "outcome-unknown"
     exit_code = ExitCode.UNKNOWN
@@ -86,7 +86,7 @@
         self.repeat_with = repeat_with
 
     def message(self) -> str:
-        """Name the option that makes a repetition safe."""
+        """Return a message that names the option that makes a retry safe."""
         tried = "\n".join(
             f"  {address}: {reason}"
             for address, reason in self.reasons_by_address.items()
@@ -98,12 +98,12 @@
         )
 
     def document(self) -> dict[str, Any]:
-        """Return the failure for programs, with the option to repeat it."""
+        """Return the error for JSON output, with the option that makes a retry safe."""
         return {**super().document(), "repeat_with": self.repeat_with}
 
 
 class RequestRefusedError(CommandError):
-    """The daemon answered with a problem."""
+    """The daemon responded with a problem document."""
 
     def __init__(
         self, problem: dict[str, Any], address: str, is_change: bool = True
@@ -117,7 +117,7 @@
             self.exit_code = ExitCode.REFUSED
 
     def message(self) -> str:
-        """Return what the daemon says."""
+        """Return the detail of the problem document."""
         return str(self.problem.get("detail", "refused without a reason"))
 
     def document(self) -> dict[str, Any]:
--- a/packages/cli/src/medlarspring_cli/exit_codes.py
+++ b/packages/cli/src/medlarspring_cli/exit_codes.py
@@ -6,22 +6,22 @@
 
 
 class ExitCode(IntEnum):
-    """What became of a command."""
+    """Exit status of a command."""
 
     OK = 0
     REFUSED = 1
-    """Understood and refused; nothing was changed."""
+    """The daemon refused the request; nothing was changed."""
     USAGE = 2
-    """Wrong arguments or settings; nothing was sent."""
+    """Invalid arguments or settings; nothing was sent."""
     CONFLICT = 3
-    """Somebody else's change came first; nothing was changed."""
+    """Another change was accepted first; nothing was changed."""
     UNREACHABLE = 4
-    """No daemon answered; nothing was changed."""
+    """No daemon responded; nothing was changed."""
     NOT_AUTHORISED = 5
     STORE_UNAVAILABLE = 6
-    """The store is down, slow or old; nothing was changed."""
+    """The store is unavailable, slow or outdated; nothing was changed."""
     UNKNOWN = 7
-    """The change may have been accepted; repeat it with the same edit id."""
+    """The change may have been accepted; retry it with the same edit id."""
 
 
 _EXIT_CODES_BY_PROBLEM_CODE = {
@@ -42,7 +42,7 @@
 
 
 def find_exit_code(code: str, status: int) -> ExitCode:
-    """Return the exit status for a problem that the daemon answered."""
+    """Return the exit status for a problem document's code and HTTP status."""
     return _EXIT_CODES_BY_PROBLEM_CODE.get(
         code, _EXIT_CODES_BY_HTTP_STATUS.get(status, ExitCode.REFUSED)
     )
--- a/packages/cli/src/medlarspring_cli/fleet_views.py
+++ b/packages/cli/src/medlarspring_cli/fleet_views.py
@@ -1,4 +1,4 @@
-"""Text for people about pools, VMs, waves, moves and spare."""
+"""Text output for pools, VMs, waves, moves and spare capacity."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 
 def list_pools(pools: Iterable[PoolView]) -> str:
-    """Return the pools as a table; ``room`` is what may still be disrupted."""
+    """Return the pools as a table.
+
+    ``room`` is the number of VMs that may still be disrupted.
+    """
     headers = ["pool", "wanted", "budget", "available", "disrupted", "failed"]
     return render_table(
         [*headers, "unseen", "out", "room"],
@@ -64,7 +67,7 @@
 
 
 def describe_vm(view: VMView) -> str:
-    """Return one VM as lines."""
+    """Return one VM as lines of labels and values."""
     record = view.record
     return _format_lines(
         {
@@ -106,7 +109,7 @@
 
 
 def describe_wave(wave: WaveView) -> str:
-    """Return one wave as lines."""
+    """Return one wave as lines of labels and values."""
     blocks = (f"{pool}: {block}" for pool, block in wave.blocks_by_pool.items())
     return _format_lines(
         {
@@ -146,7 +149,7 @@
 
 
 def describe_spare(spare: SpareAnswer) -> str:
-    """Return the spare as lines."""
+    """Return the spare capacity as lines of labels and values."""
     return _format_lines(
         {
             "held": f"{spare.held} VMs",
--- a/packages/cli/src/medlarspring_cli/job_files.py
+++ b/packages/cli/src/medlarspring_cli/job_files.py
@@ -1,4 +1,4 @@
-"""Reads files of jobs: CSV with a header line, or one JSON document a line."""
+"""Reads files of jobs: CSV with a header line, or one JSON document per line."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def read_jobs(text: str) -> tuple[list[JobRequest], list[str]]:
-    """Return the jobs, and what is wrong with the file, one fault a line."""
+    """Return the jobs and the faults of the file, one message per faulty line."""
     if text.lstrip("\ufeff \n").startswith("{"):
         return _read_documents(text)
     return _read_csv(text)
--- a/packages/cli/src/medlarspring_cli/render.py
+++ b/packages/cli/src/medlarspring_cli/render.py
@@ -1,4 +1,4 @@
-"""Turns answers into tables and lines for people."""
+"""Formats responses as tables and lines of text."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from medlarspring_tables.audit import AuditRecord, FieldValue, RowChange
 
 PIPE_WIDTH = 1_000
-"""Columns when no person watches; wide, so that no cell is cut."""
+"""Table width if the output is not a terminal; wide enough to wrap no cell."""
 ABSENT = "-"
 
 
@@ -37,7 +37,7 @@
 
 
 def format_value(value: object) -> str:
-    """Return a value as a person reads it."""
+    """Return a value as text; None and empty strings as a dash."""
     if value is None or value == "":
         return ABSENT
     if isinstance(value, float):
@@ -46,12 +46,12 @@
 
 
 def format_time(at: float) -> str:
-    """Return wall time in UTC."""
+    """Return seconds since the epoch as date and time in UTC."""
     return datetime.fromtimestamp(at, UTC).strftime("%Y-%m-%d %H:%M:%SZ")
 
 
 def format_change(change: RowChange) -> str:
-    """Return one line that says what became of a row."""
+    """Return one line that describes how a row changed."""
     name = f"{change.kind} {change.id}"
     if change.before is None:
         return f"add    {name}: {_format_fields(change.after or {})}"
@@ -61,7 +61,11 @@
 
 
 def format_record(record: AuditRecord, kind: str = "", row_id: str = "") -> list[str]:
-    """Return the lines of one audit record; only the changes that are named."""
+    """Return the lines of one audit record.
+
+    Only changes of the given kind and row id are listed; an empty filter selects
+    all. The number of other changes is given on the last line.
+    """
     changes = [
         change
         for change in record.changes
