--- a/packages/cli/tests/conftest.py
+++ b/packages/cli/tests/conftest.py
@@ -27,7 +27,7 @@
 
 @dataclass
 class OperatorCLI:
-    """A daemon's operator port, and the command line in front of it."""
+    """Runs commands against the operator port of a daemon in this process."""
 
     node: Node
     store: MemoryStore
@@ -36,7 +36,7 @@
     capture: pytest.CaptureFixture[str]
 
     def run(self, *arguments: str, **overrides: str) -> tuple[int, str, str]:
-        """Run one command; return exit status, output and errors."""
+        """Run one command and return its exit status, output and error output."""
         address = overrides.get("address", self.address)
         token_file = overrides.get("token_file", str(self.token_file))
         shared = ["--address", address, "--token-file", token_file]
--- a/packages/cli/tests/test_commands.py
+++ b/packages/cli/tests/test_commands.py
@@ -74,8 +74,8 @@
     operator_cli, csv_file, monkeypatch, is_terminal, status
 ):
     """
-    The input is empty: a script has no terminal, or the operator ends it. Asked
-    again and again, the command would never end.
+    The input is empty, since a script has no terminal or the operator ended it. A
+    command that repeated its question would never end.
     """
 
     class EmptyInput(io.StringIO):
@@ -191,7 +191,7 @@
     "table add": "table add partner chombo weight=1",
     "table export": "table export",
     "table history": "table history",
-    "table import": "table import SHEET --yes",
+    "table import": "table import TABLE_CSV --yes",
     "table remove": "table remove partner ardhi",
     "table republish": "table republish",
     "table set": "table set partner ardhi weight=3 --revision 1",
@@ -205,9 +205,9 @@
     "wave show": "wave show wave-1",
     "wave start": "wave start --all",
 }
-"""A command line for each command that needs a daemon."""
+"""An example command line for each command that needs a daemon."""
 UNSERVED_GROUPS = ("job", "move", "pool", "spare", "vm", "wave")
-"""Commands whose routes belong to parts that this test's daemon doesn't have."""
+"""Groups of commands whose routes the daemon of these tests does not serve."""
 STORE_INDEPENDENT = {"explain", "status"}
 
 
@@ -226,7 +226,7 @@
 def test_command_reports_missing_daemon_or_token(
     operator_cli, csv_file, name, tmp_path
 ):
-    line = EXAMPLES[name].replace("SHEET", str(csv_file)).split()
+    line = EXAMPLES[name].replace("TABLE_CSV", str(csv_file)).split()
     status, _, errors = operator_cli.run(*line, address="127.0.0.1:1")
     assert (status, "Check that medlarspringd runs there" in errors) == (4, True)
     status, _, errors = operator_cli.run(*line, address="localhost")
@@ -246,7 +246,7 @@
 )
 def test_command_reports_no_change_while_store_is_down(operator_cli, csv_file, name):
     operator_cli.store.faults.down = True
-    line = EXAMPLES[name].replace("SHEET", str(csv_file)).split()
+    line = EXAMPLES[name].replace("TABLE_CSV", str(csv_file)).split()
     status, _, errors = operator_cli.run(*line)
     if name in STORE_INDEPENDENT:
         assert status == 0
@@ -256,8 +256,8 @@
 
 def test_response_of_another_server_is_reported(operator_cli):
     """
-    The operator gives the caller port's address instead of the operator port's.
-    Its answer is no answer of this interface; the message says so.
+    The address is that of another HTTP server, for example of the caller port. The
+    message says that the response does not come from an operator port.
     """
     with http.server.HTTPServer(
         ("127.0.0.1", 0), http.server.BaseHTTPRequestHandler
@@ -272,8 +272,8 @@
 
 def test_commands_named_in_messages_and_pages_exist():
     """
-    A refusal names the command that helps. A command that was renamed, or never
-    written, would send the operator on a false trail at the worst time.
+    Error messages and pages tell the operator which command to run. A command that
+    was renamed or never existed would mislead the operator during an incident.
     """
     known = {command.name for command in COMMANDS} | {"completions", "list", "help"}
     groups = {name.split()[0] for name in known if " " in name}
@@ -339,9 +339,10 @@
 
 def test_paused_daemon_is_skipped(cli_with_table, monkeypatch):
     """
-    The first daemon is paused: its kernel takes the connection, and nobody
-    answers. The command asks the next one after a short wait, and its second
-    call doesn't wait again; nothing was sent, so nothing is unknown.
+    The first daemon is paused: its kernel accepts the connection, but no response
+    follows. The command tries the next daemon after the ping times out, and its
+    second request does not wait again. No change was sent to the paused daemon, so
+    the outcome is known.
     """
     monkeypatch.setattr(client, "PROBE_TIMEOUT_SECONDS", 0.2)
     with socket.create_server(("127.0.0.1", 0)) as paused:
