--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,12 +22,12 @@
 FAULTS = "|".join(map(re.escape, DISTURBANCES))
 SCENARIO_NUMBERS = itertools.count(1)
 SHOWN_LINES = 80
-"""Lines of each process that the report of a failed scenario shows."""
+"""Number of output lines of each process in the report of a failed scenario."""
 RUNNING_CLUSTERS: list[Cluster] = []
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Keep a module's scenarios on one worker: they share its cluster."""
+    """Run the scenarios of a module in one pytest worker, as they share a cluster."""
     for item in items:
         if HERE in item.path.parents:
             item.add_marker(pytest.mark.xdist_group(item.path.stem))
@@ -37,7 +37,10 @@
 def pytest_runtest_makereport(
     item: pytest.Item, call: pytest.CallInfo[None]
 ) -> Iterator[None]:
-    """Show what the processes wrote before a scenario failed; it may not fail again."""
+    """Add the last output of each process to the report of a failed scenario.
+
+    A failure may not be reproducible, so the output is kept with the report.
+    """
     report = yield
     if not report.failed:
         return report
@@ -50,7 +53,7 @@
 
 @pytest.fixture(scope="module")
 def cluster_options() -> ClusterOptions:
-    """Overridden by modules that need another cluster."""
+    """Return the default options; modules that need another cluster override them."""
     return ClusterOptions(upstream_processes=1, lag_seconds=1.0)
 
 
@@ -91,7 +94,7 @@
     cluster.wait_for_balancer(len(cluster.zones_by_id))
 
 
-@given("every VM is on record")
+@given("every VM is recorded")
 def vms_on_record(story: Story) -> None:
     story.cluster.wait_for_records()
 
@@ -114,23 +117,23 @@
     story.begin(fault)
 
 
-@when("all is well again")
+@when("the faults end")
 def end_faults_now(story: Story) -> None:
     story.end_faults()
 
 
-@when(parsers.parse("all is well again at {percent:d} %"))
+@when(parsers.parse("the faults end at {percent:d} %"))
 def end_faults(story: Story, percent: int) -> None:
     story.wait_until_sent(percent)
     story.end_faults()
 
 
-@then("every call comes to its end")
+@then("every call ends")
 def finish(story: Story) -> None:
     story.finish()
 
 
-@then("no promise is broken")
+@then("every guarantee holds")
 def no_guarantee_violated(story: Story) -> None:
     story.check_promises()
 
@@ -145,7 +148,7 @@
     assert not story.find_unanswered_repeatable()
 
 
-@then("only requests that a fault met end unknown")
+@then("only requests affected by a fault end unknown")
 def unknown_explained(story: Story) -> None:
     assert not story.find_unexplained_unknown()
 
--- a/tests/features/at_most_once.feature
+++ b/tests/features/at_most_once.feature
@@ -1,17 +1,17 @@
 Feature: A payment runs at most once
-  A caller sends a payment with an Idempotency-Key to one entry VM. It hears
-  nothing, or hears that nobody knows, and sends it again with the same key
-  through another entry VM. Whatever went wrong in between, upstream VMs run the
-  key once at most, and a refusal as "not run" stays true.
+  A caller sends a payment with an Idempotency-Key to one entry VM. It gets no
+  response, or an unknown outcome, and retries with the same key through another
+  entry VM. Whatever fault occurs in between, upstream VMs run the key at most
+  once, and a request that is refused as "not run" never runs.
 
   Scenario Outline: <trouble> before the payment is claimed
     Given a running fleet
     When <trouble>
     And a payment is sent to daemon 1, and repeated through daemon 2
-    And all is well again
-    Then every call comes to its end
+    And the faults end
+    Then every call ends
     And the payment ran once
-    And no promise is broken
+    And every guarantee holds
 
     Examples:
       | trouble                           |
@@ -25,10 +25,10 @@
     When a long payment is sent to daemon 1, and repeated through daemon 2
     And it runs
     And <trouble>
-    And all is well again after the first attempt
-    Then every call comes to its end
+    And the faults end after the first attempt
+    Then every call ends
     And the payment ran once
-    And no promise is broken
+    And every guarantee holds
 
     Examples:
       | trouble                 |
@@ -41,9 +41,9 @@
     Given a running fleet
     When <trouble>
     And a payment is sent to daemon 1, and repeated through daemon 2
-    Then every call comes to its end
+    Then every call ends
     And the payment ran once
-    And no promise is broken
+    And every guarantee holds
 
     Examples:
       | trouble                        |
@@ -53,15 +53,15 @@
   Scenario: the same key comes through two entry VMs at once
     Given a running fleet
     When 20 payments are sent to daemons 1 and 2 at the same moment
-    Then every call comes to its end
+    Then every call ends
     And each payment ran once
-    And no promise is broken
+    And every guarantee holds
 
   Scenario: a key comes again with another body
     Given a running fleet
     When a payment is sent to daemon 1, and repeated through daemon 2
     And the same key is sent with another body to daemon 3
-    Then every call comes to its end
+    Then every call ends
     And the other body is refused with status 422
     And the payment ran once
 
@@ -69,11 +69,11 @@
     Given a running fleet
     When the store goes down
     And a payment is sent once to daemon 1
-    Then every call comes to its end
-    And nobody can tell the caller whether the payment ran
+    Then every call ends
+    And the caller is told that the outcome is unknown
     And the payment ran 0 times
-    When all is well again
+    When the faults end
     And the payment is sent again through daemon 2
-    Then every call comes to its end
+    Then every call ends
     And the payment ran once
-    And no promise is broken
+    And every guarantee holds
--- a/tests/features/jobs.feature
+++ b/tests/features/jobs.feature
@@ -1,8 +1,8 @@
 Feature: A job runs to its end, on one worker at a time
-  An operator submits jobs to a pool through any entry VM. The entry VM that
-  holds the pool dies, freezes or loses the store while they run. Its successor
-  goes on from the records: every job ends, and no two workers ever ran one job
-  at the same time.
+  An operator submits jobs to a pool through any entry VM. While they run, the
+  entry VM that holds the pool is killed or paused, or the store is down. The next
+  holder continues from the records: every job ends, and no two workers run the
+  same job at the same time.
 
   Scenario Outline: <trouble> while jobs run
     Given a running fleet
--- a/tests/features/paired_faults.feature
+++ b/tests/features/paired_faults.feature
@@ -1,19 +1,19 @@
-Feature: Two faults at once lose, double, cut or mix no request
-  While partners send reads, surveys and payments, one thing fails, and before it
-  is well again a second one fails too. Callers repeat what they may repeat. What
-  they are told stays true: each answer is whole and their own, payments run once,
-  and what was refused as not run was not run.
+Feature: No two concurrent faults lose, duplicate, truncate or mix up a request
+  While partners send reads, surveys and payments, one fault starts, and a second
+  one starts before the first ends. Callers retry the requests that may be retried.
+  Each response is complete and belongs to its caller, payments run once, and
+  requests that were refused as not run did not run.
 
   Scenario Outline: <first>, then <second>
     Given a running fleet
     When the partners send 240 mixed requests over 4 seconds
     And at 20 % <first>
     And at 40 % <second>
-    And all is well again at 75 %
-    Then every call comes to its end
-    And no promise is broken
+    And the faults end at 75 %
+    Then every call ends
+    And every guarantee holds
     And every repeatable request is answered
-    And only requests that a fault met end unknown
+    And only requests affected by a fault end unknown
     And at most <refused> % are refused as not run
 
     Examples:
--- a/tests/features/single_faults.feature
+++ b/tests/features/single_faults.feature
@@ -1,18 +1,18 @@
-Feature: No fault of store or daemons loses, doubles, cuts or mixes a request
-  Partners send reads, surveys and payments through the balancer. In the middle
-  one thing fails for a while. Callers repeat what they may repeat. Every call
-  ends, each answer is whole and the caller's own, a payment runs once, and what
-  was refused as not run was not run.
+Feature: No fault of store or daemons loses, duplicates or truncates a request
+  Partners send reads, surveys and payments through the balancer, and one fault
+  lasts for a part of that time. Callers retry the requests that may be retried.
+  Every call ends, each response is complete and belongs to its caller, a payment
+  runs once, and requests that were refused as not run did not run.
 
   Scenario Outline: <fault>
     Given a running fleet
     When the partners send 240 mixed requests over 4 seconds
     And at 30 % <fault>
-    And all is well again at 70 %
-    Then every call comes to its end
-    And no promise is broken
+    And the faults end at 70 %
+    Then every call ends
+    And every guarantee holds
     And every repeatable request is answered
-    And only requests that a fault met end unknown
+    And only requests affected by a fault end unknown
     And at most <refused> % are refused as not run
 
     Examples: the store
--- a/tests/test_accepted_configuration.py
+++ b/tests/test_accepted_configuration.py
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def edit() -> dict[str, int]:
-    """Table revision of the newest accepted edit."""
+    """Holds the table revision of the latest accepted edit."""
     return {}
 
 
@@ -31,7 +31,7 @@
     edit["revision"] = int(accepted[1])
 
 
-@when("the daemon starts again")
+@when("the daemon is restarted")
 def start_again(story: Story) -> None:
     id_ = story.cluster.daemon_id(1)
     story.cluster.start_daemon(id_)
@@ -58,7 +58,7 @@
     return int(json.loads(text)["rows"]["partner"][0]["revision"])
 
 
-@then("one of them is accepted and the other is told of the conflict")
+@then("one of them is accepted and the other reports the conflict")
 def one_accepted(outputs: list[tuple[int, str]]) -> None:
     statuses = sorted(status for status, _ in outputs)
     assert statuses[0] == 0, outputs
@@ -81,7 +81,7 @@
         )
 
 
-@then("it stands once in the audit trail")
+@then("the audit trail records it once")
 def audited_once(story: Story, edit: dict[str, int]) -> None:
     story.end_faults()
     text = story.cluster.run_cli("table", "history", "partner", "west", "--json")
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -36,7 +36,7 @@
     story.wait_until_running(story.create_wish("payment", "p"))
 
 
-@when("all is well again after the first attempt")
+@when("the faults end after the first attempt")
 def end_faults_after_first(story: Story) -> None:
     story.wait_for_attempts(1)
     story.end_faults()
@@ -73,7 +73,7 @@
     story.call(caller_request, 2)
 
 
-@then("nobody can tell the caller whether the payment ran")
+@then("the caller is told that the outcome is unknown")
 def refused_without_promise(story: Story) -> None:
     assert is_undecided(story.calls[-1].attempts[-1])
 
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -66,9 +66,10 @@
 
 def test_killed_and_paused_holders_are_replaced(start: StartFleet):
     """
-    Waves and jobs of a pool stand still while nobody holds it. One holder is
-    killed, another is paused past its lease: others hold the pools within 10 s,
-    and the paused one finds on waking that its lease is gone before it acts.
+    Waves and jobs of a pool make no progress while no daemon holds it. One holder is
+    killed and another is paused until its lease expires. Other daemons must hold the
+    pools within 10 s, and the paused one must detect its expired lease on resuming
+    before it acts.
     """
     fleet = start(FleetPlan(daemons=4, zones=2))
     killed, pools = find_busiest(fleet)
@@ -97,9 +98,10 @@
     start: StartFleet,
 ):
     """
-    A zone loses the store: edits still come in force there, over a peer of
-    another zone. It loses that zone too: it goes on with the table it has and
-    stays ready. Healed, it has the newest table, and no table ever reverted.
+    A zone cannot reach the store: edits still come into force there through a peer
+    in another zone. When it cannot reach that zone either, it keeps its last table
+    and stays ready. After the partition it has the newest table, and no daemon ever
+    reverts to an older one.
     """
     fleet = start(FleetPlan(daemons=4, zones=2, via_links=True))
     wait_for(lambda: all(is_ready(fleet, each) for each in fleet.ids), "all ready")
@@ -129,9 +131,9 @@
 
 def test_start_during_an_outage_with_and_without_peers(start: StartFleet):
     """
-    The store is down for long and VMs are replaced meanwhile. One that finds a
-    peer learns the table from it and serves; one that finds nobody is not ready
-    and refuses rather than guess. When the store is back it serves too.
+    VMs are replaced during a long outage of the store. A daemon that finds a peer
+    fetches the table from it and serves. A daemon without peers is not ready and
+    refuses requests, since it knows no table, until the store is back.
     """
     fleet = start(FleetPlan(daemons=2, zones=1))
     without_peers, replaced = fleet.ids
@@ -156,8 +158,8 @@
 
 def test_shutdown_closes_all_connections(start: StartFleet):
     """
-    SIGTERM ends the daemon with status 0; a connection left open would be
-    reported on its way out and be held by the store's side until a timeout.
+    SIGTERM makes the daemon exit with status 0. A connection left open would be
+    reported at exit, and the store would keep it until a timeout.
     """
     fleet = start(FleetPlan(daemons=2, zones=1))
     process = fleet.daemons_by_id[fleet.ids[0]]
--- a/tests/test_daemon_start.py
+++ b/tests/test_daemon_start.py
@@ -29,9 +29,9 @@
 @pytest.mark.parametrize("taken", ["CALLER", "OPERATOR", "PEER"])
 def test_port_in_use_ends_the_daemon_with_one_line(tmp_path, occupied):
     """
-    Another process already listens on one of the three ports. The daemon ends
-    with status 3 and one line that names the port and the remedy, not with a
-    trace that a supervisor would show cut off.
+    Another process already listens on one of the three ports. The daemon exits
+    with status 3 and prints one line with the port and the remedy. A supervisor
+    would truncate a traceback.
     """
     for name in ("operator", "peer"):
         (tmp_path / f"{name}.token").write_text(f"{name}-only")
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -18,14 +18,14 @@
 
 @given("a running fleet")
 def running_fleet(cluster: Cluster) -> None:
-    """Start again what earlier scenarios ended."""
+    """Restart the daemons that earlier scenarios terminated."""
     for id_ in cluster.zones_by_id:
         if cluster.processes.by_name[id_].status is not None:
             cluster.restart_daemon(id_)
     cluster.wait_for_balancer(len(cluster.zones_by_id))
 
 
-@when(parsers.parse("at {percent:d} % daemon {number:d} is told to end"))
+@when(parsers.parse("at {percent:d} % daemon {number:d} is terminated"))
 def end_at(story: Story, percent: int, number: int) -> None:
     story.wait_until_sent(percent)
     story.cluster.daemon_process(number).terminate()
@@ -43,7 +43,7 @@
     story.wait_until_running(caller_request)
 
 
-@when(parsers.parse("daemon {number:d} is told to end"))
+@when(parsers.parse("daemon {number:d} is terminated"))
 def end_now(story: Story, number: int) -> None:
     story.cluster.daemon_process(number).terminate()
 
@@ -54,12 +54,12 @@
     wait_for(lambda: not story.cluster.is_ready(id_), f"{id_} not ready", 2.0)
 
 
-@then(parsers.parse("daemon {number:d} ended by itself with status 0"))
+@then(parsers.parse("daemon {number:d} exits with status 0"))
 def ended(story: Story, number: int) -> None:
     assert story.cluster.daemon_process(number).wait(SHUTDOWN_SECONDS) == 0
 
 
-@then("no attempt met a broken connection")
+@then("no connection of an attempt is broken")
 def no_broken_connection(story: Story) -> None:
     broken = [
         attempt.request_id
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -23,7 +23,7 @@
 
 @dataclass
 class JobClient:
-    """The operator port of whichever daemon answers."""
+    """Calls the operator port of the first daemon that responds."""
 
     cluster: Cluster
     prefix: str
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Holds README and OPERATORS.md to the code, and runs what they show."""
+"""Compares README and OPERATORS.md with the code and parses their commands."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("line", list_commands())
 def test_shown_command_has_arguments_that_the_command_takes(line, monkeypatch):
-    """Each command that the pages show is parsed as a shell would pass it."""
+    """Each command shown in the pages is split like in a shell and parsed."""
     application = create_application()
     parsed_names = []
     for command in COMMANDS:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short seeded soaks of the real processes; ``measure``-sized ones are by hand."""
+"""Short seeded soak tests of the real processes; longer ones are run by hand."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 SEEDS = (101, 102)
 
 REGRESSION_SCHEDULES = (
-    # The store fell silent while a new controller read its records, and leases
-    # stood still: it kept the cell afterwards and did nothing for it.
+    # The store stopped responding while a new controller read its records, and no
+    # lease expired. The controller kept the cell afterwards but did no work for it.
     (
         (0.3, "reset links"),
         (0.6, "freeze a node"),
         (1.0, "stop a node"),
         (3.9, "store paused"),
     ),
-    # Tasks crashed one worker after the other, across takeovers.
+    # Tasks crash one worker after another, across takeovers.
     (
         (0.5, "task crashes its workers"),
         (1.0, "kill a node"),
@@ -26,7 +26,10 @@
         (2.5, "stop a node"),
     ),
 )
-"""Faults, in seconds of traffic, of soaks that once broke a promise."""
+"""Schedules of soak tests that once violated a guarantee.
+
+Each fault is given with its time in seconds since the traffic started.
+"""
 
 
 @pytest.mark.timeout(180)
