--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -74,7 +74,7 @@
 
 
 @then("the caller is told that the outcome is unknown")
-def refused_without_promise(story: Story) -> None:
+def reported_unknown(story: Story) -> None:
     assert is_undecided(story.calls[-1].attempts[-1])
 
 
--- a/tests/test_maintenance_waves.py
+++ b/tests/test_maintenance_waves.py
@@ -31,7 +31,7 @@
 
 
 @when(parsers.parse("at {percent:d} % nothing happens"))
-def nothing(story: Story, percent: int) -> None:
+def let_traffic_run(story: Story, percent: int) -> None:
     story.wait_until_sent(percent)
 
 
