--- a/packages/cli/src/medlarspring_cli/commands/table_import.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_import.py
@@ -29,7 +29,7 @@
 
     def run_command(self) -> int:
         """Show the difference, ask for confirmation and send it as one edit."""
-        csv_text = self.read_text(self.argument("file"), "Sheet")
+        csv_text = self.read_text(self.argument("file"), "CSV file")
         client = self.create_client()
         plan = client.post("/v1/table/import-plan", csv_text.encode(), PlanAnswer)
         if not plan.rows:
