--- a/packages/cli/src/medlarspring_cli/commands/edit_command.py
+++ b/packages/cli/src/medlarspring_cli/commands/edit_command.py
@@ -1,4 +1,4 @@
-"""What the commands share that edit one row."""
+"""Base class and options shared by the commands that edit the table."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     OPERATOR_OPTION,
     OperatorCommand,
 )
-from medlarspring_cli.errors import UsageFault
+from medlarspring_cli.errors import UsageError
 from medlarspring_cli.render import format_change
 from medlarspring_systems.table_edit import RowAction, RowEdit, TableEdit
 from medlarspring_systems.table_rows import FIELD_TYPES_BY_KIND, split_rows
@@ -36,18 +36,18 @@
 )
 EDIT_OPTIONS: list[Option] = [
     OPERATOR_OPTION,
-    option("note", None, "Why, for the audit trail", flag=False),
+    option("note", None, "Reason, for the audit trail", flag=False),
     option(
         "edit-id",
         None,
-        "Id of an edit to repeat after its answer was lost",
+        "Id of an edit to retry after its response was lost",
         flag=False,
     ),
 ]
 REVISION_OPTION = option(
     "revision",
     None,
-    "Row revision that you decided on; refused if the row has changed since",
+    "Row revision that the edit is based on; refused if the row has changed since",
     flag=False,
 )
 CREDENTIAL_OPTION = option(
@@ -59,27 +59,27 @@
 
 
 class EditCommand(OperatorCommand):
-    """Base of the commands that edit one row."""
+    """Base class of the commands that edit the table."""
 
     arguments: ClassVar[list[Argument]] = [KIND_ARGUMENT, ID_ARGUMENT]
     own_options: ClassVar[list[Option]] = EDIT_OPTIONS
 
     def read_kind(self) -> RowKind:
-        """Return the kind of row that was named."""
+        """Return the kind of row given as argument."""
         return read_kind(self.argument("kind"))
 
     def read_fields(self, kind: RowKind) -> dict[str, FieldValue]:
-        """Return the fields that were given; the daemon checks the values."""
+        """Return the fields given as arguments; the daemon validates the values."""
         fields: dict[str, FieldValue] = {}
         for text in self.argument("fields"):
             name, separator, value = text.partition("=")
             if not separator or not name:
-                raise UsageFault(f"{text!r} is not NAME=VALUE, for example weight=2.")
+                raise UsageError(f"{text!r} is not NAME=VALUE, for example weight=2.")
             if name not in FIELD_TYPES_BY_KIND[kind]:
                 known = ", ".join(FIELD_TYPES_BY_KIND[kind])
-                raise UsageFault(f"A {kind.value} has no {name!r}; it has {known}.")
+                raise UsageError(f"A {kind.value} has no {name!r}; it has {known}.")
             if name in fields:
-                raise UsageFault(f"{name!r} is given twice; keep one.")
+                raise UsageError(f"{name!r} is given twice; keep one.")
             fields[name] = value
         if path := self.option("credential-file"):
             fields["credential_sha256"] = self._hash_credential(kind, path)
@@ -88,11 +88,14 @@
     def find_revision(
         self, client: OperatorClient, kind: RowKind, row_id: str
     ) -> Revision:
-        """Return the row revision that the edit is made for."""
+        """Return the row revision on which the edit is based.
+
+        Without ``--revision``, this is the current revision, or 0 for a missing row.
+        """
         given = self.option("revision")
         if given is not None:
             if not given.isdecimal():
-                raise UsageFault(f"--revision {given!r} is not a whole number.")
+                raise UsageError(f"--revision {given!r} is not a whole number.")
             return Revision(int(given))
         shown = client.get("/v1/table", TableAnswer)
         row = split_rows(shown.table)[kind].get(row_id)
@@ -105,7 +108,7 @@
         fields: dict[str, FieldValue],
         row_revision: Revision = NEW_ROW,
     ) -> int:
-        """Send the edit of one row and print what became of it."""
+        """Send the edit of one row and print the result."""
         row = RowEdit(
             kind=self.read_kind(),
             id=self.argument("id"),
@@ -116,7 +119,7 @@
         return self.send_edit(client, (row,))
 
     def send_edit(self, client: OperatorClient, rows: tuple[RowEdit, ...]) -> int:
-        """Send an edit and print what became of it."""
+        """Send an edit and print the result."""
         edit = TableEdit(
             id=self.create_edit_id(),
             operator=self.find_operator(),
@@ -129,11 +132,11 @@
         return self.print_accepted(edit.id, accepted)
 
     def create_edit_id(self) -> EditId:
-        """Return the id of an edit to repeat, or a new one."""
+        """Return the id of the edit to retry, or a new id."""
         return EditId(self.option("edit-id") or str(uuid.uuid4()))
 
     def print_accepted(self, edit_id: EditId, accepted: EditAnswer) -> int:
-        """Print what became of an edit."""
+        """Print the changes and the table revision of an accepted edit."""
         if self.wants_json:
             self.print_json(accepted)
             return 0
@@ -148,19 +151,19 @@
 
     def _hash_credential(self, kind: RowKind, path: str) -> str:
         if kind is not RowKind.PARTNER:
-            raise UsageFault("--credential-file is for rows of kind partner only.")
+            raise UsageError("--credential-file is for rows of kind partner only.")
         credential = self.read_text(path, "Credential file").strip()
         if not credential:
-            raise UsageFault(f"Credential file {path} is empty; write the credential.")
+            raise UsageError(f"Credential file {path} is empty; write the credential.")
         return hashlib.sha256(credential.encode()).hexdigest()
 
 
 def read_kind(name: str) -> RowKind:
-    """Return the kind of row with this name."""
+    """Return the kind of row with this name, or raise a ``UsageError``."""
     try:
         return RowKind(name)
     except ValueError:
-        raise UsageFault(f"Kind {name!r} is none of {KINDS}.") from None
+        raise UsageError(f"Kind {name!r} is none of {KINDS}.") from None
 
 
 __all__ = [
--- a/packages/cli/src/medlarspring_cli/commands/explain.py
+++ b/packages/cli/src/medlarspring_cli/commands/explain.py
@@ -1,4 +1,4 @@
-"""``medlarspring explain``."""
+"""The ``medlarspring explain`` command."""
 
 from __future__ import annotations
 
@@ -9,29 +9,31 @@
 from medlarspring_adapters.decisions import Subject
 from medlarspring_adapters.operator_api import ExplainAnswer
 from medlarspring_cli.commands.operator_command import OperatorCommand
-from medlarspring_cli.errors import UsageFault
+from medlarspring_cli.errors import UsageError
 from medlarspring_cli.render import format_time
 
 SUBJECTS = ", ".join(subject.value for subject in Subject)
 
 
 class ExplainCommand(OperatorCommand):
-    """Show what was decided about something, by which rule, from which facts."""
+    """Show the decisions about a subject, each with its rule and its facts."""
 
     name = "explain"
     description = (
         "Show what was decided about a request, job, VM, wave or edit, and why"
     )
     arguments = [
-        argument("subject", f"What it is: {SUBJECTS}"),
-        argument("id", "Its id, for example the <comment>Request-Id</comment>"),
+        argument("subject", f"Kind of subject: {SUBJECTS}"),
+        argument(
+            "id", "Id of the subject, for example the <comment>Request-Id</comment>"
+        ),
     ]
 
-    def act(self) -> int:
-        """Print the decisions that the entry VMs remember."""
+    def run_command(self) -> int:
+        """Print the decisions that the entry VMs still hold in memory."""
         subject = self.argument("subject")
         if subject not in {known.value for known in Subject}:
-            raise UsageFault(f"Subject {subject!r} is none of {SUBJECTS}.")
+            raise UsageError(f"Subject {subject!r} is none of {SUBJECTS}.")
         path = f"/v1/explain/{subject}/{quote(self.argument('id'), safe='')}"
         found = self.create_client().get(path, ExplainAnswer)
         if self.wants_json:
--- a/packages/cli/src/medlarspring_cli/commands/job_submit.py
+++ b/packages/cli/src/medlarspring_cli/commands/job_submit.py
@@ -1,4 +1,4 @@
-"""``medlarspring job submit``."""
+"""The ``medlarspring job submit`` command."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     OPERATOR_OPTION,
     OperatorCommand,
 )
-from medlarspring_cli.errors import UsageFault
+from medlarspring_cli.errors import UsageError
 from medlarspring_cli.exit_codes import ExitCode
 from medlarspring_cli.job_files import read_jobs
 from medlarspring_tables import JobId, JobUrgency, PartnerId, PoolId, Size
@@ -21,7 +21,7 @@
 
 
 class JobSubmitCommand(OperatorCommand):
-    """Submit one job, or a file of them."""
+    """Submit one job, or a file of jobs."""
 
     name = "job submit"
     description = "Submit one job of a partner to a pool, or a file of jobs"
@@ -35,20 +35,20 @@
         option("memory-gb", None, "Declared memory", flag=False),
         option("accelerators", None, "Declared accelerators", flag=False, default="0"),
         option("seconds", None, "Declared run time", flag=False),
-        option("kind", None, "Kind, for what is learned of sizes", flag=False),
+        option("kind", None, "Kind of job; sizes are estimated per kind", flag=False),
         option("urgency", None, f"One of {URGENCIES}", flag=False, default="normal"),
         option("can-checkpoint", None, "The job can be stopped and resumed"),
         option(
             "can-throttle", None, "The job can run with less (recorded, not used yet)"
         ),
         option(
-            "file", None, "CSV file of jobs, or one JSON document a line", flag=False
+            "file", None, "CSV file of jobs, or one JSON document per line", flag=False
         ),
         OPERATOR_OPTION,
     ]
 
-    def act(self) -> int:
-        """Send the jobs and print what became of each."""
+    def run_command(self) -> int:
+        """Send the jobs and print the result of each."""
         path = self.option("file")
         jobs = self._read_file(path) if path else (self._read_job(),)
         request = SubmitRequest(jobs=jobs, operator=self.find_operator())
@@ -66,14 +66,14 @@
     def _read_job(self) -> JobRequest:
         pool, partner = self.argument("pool"), self.argument("partner")
         if not pool or not partner:
-            raise UsageFault("Name the pool and the partner, or give --file FILE.")
+            raise UsageError("Name the pool and the partner, or give --file FILE.")
         size = Size(
             self._read_number("cpus"),
             self._read_number("memory-gb"),
             int(self._read_number("accelerators")),
         )
         if self.option("urgency") not in {urgency.value for urgency in JobUrgency}:
-            raise UsageFault(f"--urgency takes one of {URGENCIES}.")
+            raise UsageError(f"--urgency takes one of {URGENCIES}.")
         return JobRequest(
             id=JobId(self.option("id") or str(uuid.uuid4())),
             pool_id=PoolId(pool),
@@ -92,14 +92,14 @@
             return float(text)
         except (TypeError, ValueError):
             found = "nothing" if text is None else repr(text)
-            raise UsageFault(f"--{name}: found {found}, wanted a number.") from None
+            raise UsageError(f"--{name}: found {found}, wanted a number.") from None
 
     def _read_file(self, path: str) -> tuple[JobRequest, ...]:
         jobs, faults = read_jobs(self.read_text(path, "Job file"))
         if faults:
-            raise UsageFault("\n".join(f"{path}: {fault}" for fault in faults))
+            raise UsageError("\n".join(f"{path}: {fault}" for fault in faults))
         if not jobs:
-            raise UsageFault(f"{path} holds no job.")
+            raise UsageError(f"{path} holds no job.")
         return tuple(jobs)
 
     def _print_answer(self, answer: SubmitAnswer) -> None:
--- a/packages/cli/src/medlarspring_cli/commands/move_list.py
+++ b/packages/cli/src/medlarspring_cli/commands/move_list.py
@@ -1,4 +1,4 @@
-"""``medlarspring move list``."""
+"""The ``medlarspring move list`` command."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     name = "move list"
     description = "List moves of VMs between pools, newest first"
 
-    def act(self) -> int:
-        """Print the moves on record."""
+    def run_command(self) -> int:
+        """Print the recorded moves."""
         found = self.create_client().get("/v1/moves", MovesAnswer)
         return self.print_answer(found, list_moves(found.moves))
 
--- a/packages/cli/src/medlarspring_cli/commands/operator_command.py
+++ b/packages/cli/src/medlarspring_cli/commands/operator_command.py
@@ -1,4 +1,4 @@
-"""What all commands share: the options, the client, and how they fail."""
+"""Base class of all commands: shared options, client, output and errors."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from cleo.io.outputs.output import Type
 
 from medlarspring_cli.client import OperatorClient
-from medlarspring_cli.errors import CommandError, UsageFault
+from medlarspring_cli.errors import CommandError, UsageError
 from medlarspring_cli.exit_codes import ExitCode
 
 if TYPE_CHECKING:
@@ -33,10 +33,10 @@
 
 
 class OperatorCommand(Command):
-    """Base of the commands that ask a daemon."""
+    """Base class of the commands that send requests to a daemon."""
 
     own_options: ClassVar[list[Option]] = []
-    """Options of the command itself; those of all commands are added."""
+    """Options of this command; ``shared_options`` are appended to them."""
 
     shared_options: ClassVar[list[Option]] = [
         option(
@@ -61,24 +61,24 @@
         cls.options = [*cls.own_options, *cls.shared_options]
 
     def handle(self) -> int:
-        """Run the command; expected failures become an exit status."""
+        """Run the command; a ``CommandError`` is printed and sets the exit status."""
         try:
-            return self.act()
+            return self.run_command()
         except CommandError as error:
             self.print_error(error)
             return error.exit_code
 
-    def act(self) -> int:
-        """Do what the command is for."""
+    def run_command(self) -> int:
+        """Run the command and return its exit status; implemented by each command."""
         raise NotImplementedError
 
     @property
     def wants_json(self) -> bool:
-        """Whether a program reads the output."""
+        """Whether JSON output was requested."""
         return bool(self.option("json"))
 
     def create_client(self) -> OperatorClient:
-        """Return the client of the addresses and the token that were given."""
+        """Return a client for the given addresses and token."""
         given = self.option("address") or [os.environ.get(ADDRESS_VARIABLE, "")]
         addresses = [
             address.strip()
@@ -87,7 +87,7 @@
             if address.strip()
         ]
         if not addresses:
-            raise UsageFault(
+            raise UsageError(
                 "No daemon is named. Give --address IP:PORT of an operator port, or"
                 f" set {ADDRESS_VARIABLE}."
             )
@@ -96,15 +96,15 @@
         return OperatorClient(addresses, self._read_token())
 
     def print_text(self, text: str) -> None:
-        """Print lines as they are."""
+        """Print text without interpreting style tags."""
         self.io.write_line(text, type=Type.RAW)
 
     def print_json(self, document: object) -> None:
-        """Print a document for programs."""
+        """Print a document as indented JSON."""
         self.print_text(msgspec.json.format(msgspec.json.encode(document)).decode())
 
     def print_answer(self, document: object, text: str) -> int:
-        """Print an answer for programs or for people."""
+        """Print the document as JSON if requested, otherwise the text."""
         if self.wants_json:
             self.print_json(document)
         else:
@@ -112,11 +112,11 @@
         return ExitCode.OK
 
     def print_warning(self, text: str) -> None:
-        """Print what the reader has to know about the answer."""
+        """Print a warning about the response on standard error."""
         self.io.error_output.write_line(f"warning: {text}", type=Type.RAW)
 
     def print_error(self, error: CommandError) -> None:
-        """Print a failure on standard error."""
+        """Print an error on standard error."""
         if self.wants_json:
             document = {**error.document(), "exit_code": int(error.exit_code)}
             text = msgspec.json.format(msgspec.json.encode(document)).decode()
@@ -126,25 +126,30 @@
             text = f"error: {error.message()}"
         self.io.error_output.write_line(text, type=Type.RAW)
 
-    def read_text(self, path: str, what: str) -> str:
-        """Return a file's text, or say why it can't be read."""
+    def read_text(self, path: str, description: str) -> str:
+        """Return the text of a file, or raise a ``UsageError`` with the reason."""
         try:
             return Path(path).read_text(encoding="utf-8")
         except OSError as error:
-            reason = f"{what} {path} can't be read: {error.strerror}."
-            raise UsageFault(f"{reason} Name an existing file.") from None
+            reason = f"{description} {path} can't be read: {error.strerror}."
+            raise UsageError(f"{reason} Name an existing file.") from None
         except UnicodeDecodeError:
-            raise UsageFault(f"{what} {path} is not UTF-8; save it so.") from None
+            raise UsageError(
+                f"{description} {path} is not UTF-8; save it so."
+            ) from None
 
     def find_operator(self) -> str:
-        """Return the operator's name for the audit trail."""
+        """Return the operator's name for the audit trail.
+
+        It comes from the option, the environment or the login, in this order.
+        """
         given = self.option("operator") or os.environ.get(OPERATOR_VARIABLE)
         if given:
             return str(given)
         try:
             return getpass.getuser()
         except (KeyError, OSError):
-            raise UsageFault(
+            raise UsageError(
                 "Your name is not known. Give --operator NAME for the audit trail, or"
                 f" set {OPERATOR_VARIABLE}."
             ) from None
@@ -152,13 +157,13 @@
     def _read_token(self) -> str:
         path = self.option("token-file") or os.environ.get(TOKEN_VARIABLE)
         if not path:
-            raise UsageFault(
+            raise UsageError(
                 "No token is given. Give --token-file FILE with the operators' token,"
                 f" or set {TOKEN_VARIABLE}."
             )
         token = self.read_text(path, "Token file").strip()
         if not token or not token.isascii() or not token.isprintable():
-            raise UsageFault(
+            raise UsageError(
                 f"Token file {path} holds no token; it takes one line of printable"
                 " characters, the same as [operator] token_file of the daemon."
             )
@@ -168,7 +173,7 @@
 def _check_address(address: str) -> None:
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65_536:
-        raise UsageFault(
+        raise UsageError(
             f"Address {address!r} is not IP:PORT, for example 10.0.0.7:8081."
         )
 
--- a/packages/cli/src/medlarspring_cli/commands/table_republish.py
+++ b/packages/cli/src/medlarspring_cli/commands/table_republish.py
@@ -1,4 +1,4 @@
-"""``medlarspring table republish``."""
+"""The ``medlarspring table republish`` command."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class TableRepublishCommand(EditCommand):
-    """Put the table in force back into a store that lost it."""
+    """Write the table in force to a store that lost it."""
 
     name = "table republish"
-    description = "Put the table in force back into a store restored from a backup"
+    description = "Write the table in force to a store restored from a backup"
     arguments = []
     own_options = EDIT_OPTIONS
 
-    def act(self) -> int:
-        """Ask the daemon to write the table that it has in force."""
-        wish = RepublishRequest(
+    def run_command(self) -> int:
+        """Request that the daemon writes its table in force to the store."""
+        request = RepublishRequest(
             id=self.create_edit_id(),
             operator=self.find_operator(),
             note=self.option("note") or "",
         )
         client = self.create_client()
         accepted = client.post(
-            "/v1/table/republish", wish, EditAnswer, f"--edit-id {wish.id}"
+            "/v1/table/republish", request, EditAnswer, f"--edit-id {request.id}"
         )
-        return self.print_accepted(wish.id, accepted)
+        return self.print_accepted(request.id, accepted)
 
 
 __all__ = ["TableRepublishCommand"]
--- a/packages/cli/src/medlarspring_cli/commands/wave_list.py
+++ b/packages/cli/src/medlarspring_cli/commands/wave_list.py
@@ -1,4 +1,4 @@
-"""``medlarspring wave list``."""
+"""The ``medlarspring wave list`` command."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     name = "wave list"
     description = "List maintenance waves, newest first"
 
-    def act(self) -> int:
-        """Print the waves on record."""
+    def run_command(self) -> int:
+        """Print the recorded waves."""
         found = self.create_client().get("/v1/waves", WavesAnswer)
         return self.print_answer(found, list_waves(found.waves))
 
--- a/packages/cli/src/medlarspring_cli/commands/wave_show.py
+++ b/packages/cli/src/medlarspring_cli/commands/wave_show.py
@@ -1,4 +1,4 @@
-"""``medlarspring wave show``."""
+"""The ``medlarspring wave show`` command."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 
 
 class WaveShowCommand(OperatorCommand):
-    """Show how far a wave is and what holds it up."""
+    """Show the progress of a wave and what blocks it."""
 
     name = "wave show"
-    description = "Show how far a wave is, what holds it up, and who didn't return"
+    description = (
+        "Show the progress of a wave, what blocks it, and which VMs did not return"
+    )
     arguments = [argument("wave", "Id of the wave")]
 
-    def act(self) -> int:
+    def run_command(self) -> int:
         """Print the wave."""
         path = f"/v1/waves/{quote(self.argument('wave'), safe='')}"
         wave = self.create_client().get(path, WaveView)
--- a/packages/cli/src/medlarspring_cli/commands/wave_start.py
+++ b/packages/cli/src/medlarspring_cli/commands/wave_start.py
@@ -1,4 +1,4 @@
-"""``medlarspring wave start``."""
+"""The ``medlarspring wave start`` command."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     OPERATOR_OPTION,
     OperatorCommand,
 )
-from medlarspring_cli.errors import UsageFault
+from medlarspring_cli.errors import UsageError
 from medlarspring_cli.fleet_views import describe_wave
 from medlarspring_tables import PoolId, VMId, WaveId
 
@@ -20,21 +20,23 @@
     """Start a maintenance wave."""
 
     name = "wave start"
-    description = "Drain and reboot VMs, as wide as the availability budgets allow"
+    description = (
+        "Drain and reboot VMs, as many at a time as the availability budgets allow"
+    )
     own_options = [
-        option("pool", None, "VMs of this pool", flag=False, multiple=True),
-        option("vm", None, "This VM", flag=False, multiple=True),
-        option("all", None, "All VMs of the fleet"),
+        option("pool", None, "Reboot the VMs of this pool", flag=False, multiple=True),
+        option("vm", None, "VM to reboot", flag=False, multiple=True),
+        option("all", None, "Reboot all VMs of the fleet"),
         option("id", None, "Id of the wave; a new one by default", flag=False),
         OPERATOR_OPTION,
     ]
 
-    def act(self) -> int:
-        """Send the wave and print how it stands."""
+    def run_command(self) -> int:
+        """Send the wave and print its state."""
         pools, vms = self.option("pool"), self.option("vm")
         chosen = [bool(pools), bool(vms), bool(self.option("all"))]
         if sum(chosen) != 1:
-            raise UsageFault("Choose the VMs by --pool, by --vm, or by --all.")
+            raise UsageError("Choose the VMs by --pool, by --vm, or by --all.")
         request = StartWave(
             id=WaveId(self.option("id") or f"wave-{uuid.uuid4().hex[:12]}"),
             operator=self.find_operator(),
--- a/packages/cli/src/medlarspring_cli/fleet_views.py
+++ b/packages/cli/src/medlarspring_cli/fleet_views.py
@@ -1,4 +1,4 @@
-"""Text for people about pools, VMs, waves, moves and spare."""
+"""Text output for pools, VMs, waves, moves and spare capacity."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 
 def list_pools(pools: Iterable[PoolView]) -> str:
-    """Return the pools as a table; ``room`` is what may still be disrupted."""
+    """Return the pools as a table.
+
+    ``room`` is the number of VMs that may still be disrupted.
+    """
     headers = ["pool", "wanted", "budget", "available", "disrupted", "failed"]
     return render_table(
         [*headers, "unseen", "out", "room"],
@@ -53,7 +56,7 @@
                 view.record.rack_id,
                 view.record.zone_id,
                 view.record.state.value,
-                _format_moment(view.record.since),
+                _format_optional_time(view.record.since),
                 view.health,
                 view.condition,
                 _format_cause(view),
@@ -64,7 +67,7 @@
 
 
 def describe_vm(view: VMView) -> str:
-    """Return one VM as lines."""
+    """Return one VM as lines of labels and values."""
     record = view.record
     return _format_lines(
         {
@@ -74,13 +77,13 @@
             "rack": record.rack_id,
             "zone": record.zone_id,
             "state": record.state.value,
-            "since": _format_moment(record.since),
+            "since": _format_optional_time(record.since),
             "cause": _format_cause(view),
             "health": view.health,
             "platform": view.condition,
             "last wave": record.wave_id,
             "outcome": record.outcome.value if record.outcome else None,
-            "maintained": _format_moment(record.maintained_at),
+            "maintained": _format_optional_time(record.maintained_at),
         }
     )
 
@@ -94,9 +97,9 @@
                 wave.id,
                 wave.state,
                 wave.vms,
-                _format_moment(wave.started_at),
+                _format_optional_time(wave.started_at),
                 wave.created_by,
-                _format_moment(wave.expected_end),
+                _format_optional_time(wave.expected_end),
                 _format_counts(wave.counts_by_step),
                 wave.reason,
             ]
@@ -106,19 +109,19 @@
 
 
 def describe_wave(wave: WaveView) -> str:
-    """Return one wave as lines."""
+    """Return one wave as lines of labels and values."""
     blocks = (f"{pool}: {block}" for pool, block in wave.blocks_by_pool.items())
     return _format_lines(
         {
             "wave": wave.id,
             "state": wave.state,
             "reason": wave.reason,
-            "started": _format_moment(wave.started_at),
+            "started": _format_optional_time(wave.started_at),
             "by": wave.created_by,
             "VMs": wave.vms,
             "steps": _format_counts(wave.counts_by_step),
-            "expected end": _format_moment(wave.expected_end),
-            "resumes": _format_moment(wave.resumes_at),
+            "expected end": _format_optional_time(wave.expected_end),
+            "resumes": _format_optional_time(wave.resumes_at),
             "not returned": ", ".join(wave.not_returned),
             "held up by": "; ".join(blocks),
         }
@@ -136,7 +139,7 @@
                 move.to_pool_id,
                 move.vm_id,
                 move.state.value,
-                _format_moment(move.created_at),
+                _format_optional_time(move.created_at),
                 move.created_by,
                 move.reason,
             ]
@@ -146,7 +149,7 @@
 
 
 def describe_spare(spare: SpareAnswer) -> str:
-    """Return the spare as lines."""
+    """Return the spare capacity as lines of labels and values."""
     return _format_lines(
         {
             "held": f"{spare.held} VMs",
@@ -173,7 +176,7 @@
     return ", ".join(f"{name} {count}" for name, count in counts.items())
 
 
-def _format_moment(at: float | None) -> str | None:
+def _format_optional_time(at: float | None) -> str | None:
     return format_time(at) if at else None
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short seeded soaks of the real processes; ``measure``-sized ones are by hand."""
+"""Short seeded soak tests of the real processes; longer ones are run by hand."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from medlarspring_bench.soak.play import SoakPlan, play_soak
 
 SHORT = SoakPlan(traffic_seconds=6.0, fault_count=3)
-FRESH_SEEDS = (101, 102)
+SEEDS = (101, 102)
 
-KEPT_SCHEDULES = (
-    # The store fell silent while a new controller read its records, and leases
-    # stood still: it kept the cell afterwards and did nothing for it.
+REGRESSION_SCHEDULES = (
+    # The store stopped responding while a new controller read its records, and no
+    # lease expired. The controller kept the cell afterwards but did no work for it.
     (
         (0.3, "reset links"),
         (0.6, "freeze a node"),
         (1.0, "stop a node"),
         (3.9, "store paused"),
     ),
-    # Tasks crashed one worker after the other, across takeovers.
+    # Tasks crash one worker after another, across takeovers.
     (
         (0.5, "task crashes its workers"),
         (1.0, "kill a node"),
@@ -26,12 +26,15 @@
         (2.5, "stop a node"),
     ),
 )
-"""Faults, in seconds of traffic, of soaks that once broke a promise."""
+"""Schedules of soak tests that once violated a guarantee.
+
+Each fault is given with its time in seconds since the traffic started.
+"""
 
 
 @pytest.mark.timeout(180)
-@pytest.mark.parametrize("seed", FRESH_SEEDS)
-async def test_promises_hold_under_faults_from_outside(seed: int):
+@pytest.mark.parametrize("seed", SEEDS)
+async def test_guarantees_hold_under_injected_faults(seed: int):
     verdict = await play_soak(seed, SHORT)
     assert verdict.breaches == [], verdict.faults
     assert verdict.unfinished == [], verdict.faults
@@ -40,9 +43,9 @@
 
 @pytest.mark.timeout(180)
 @pytest.mark.parametrize(
-    "schedule", KEPT_SCHEDULES, ids=["takeover-in-outage", "crashes"]
+    "schedule", REGRESSION_SCHEDULES, ids=["takeover-in-outage", "crashes"]
 )
-async def test_promises_hold_in_soaks_that_once_broke_them(
+async def test_guarantees_hold_in_regression_schedules(
     schedule: tuple[tuple[float, str], ...],
 ):
     verdict = await play_soak(1, SoakPlan(traffic_seconds=6.0, schedule=schedule))
