--- a/packages/bench/src/medlarspring_bench/experiment/ablation.py
+++ b/packages/bench/src/medlarspring_bench/experiment/ablation.py
@@ -7,25 +7,25 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from medlarspring_bench.experiment.bursts import BurstPlan, run_bursts
 from medlarspring_bench.experiment.mechanisms import MECHANISMS
-from medlarspring_bench.experiment.turns import TurnPlan, play_turns
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from medlarspring_bench.experiment.turns import TurnOutcome
+    from medlarspring_bench.experiment.bursts import BurstOutcome
 
 PLANS = {
-    "calm": TurnPlan(peak_vms=5.0),
-    "overload": TurnPlan(peak_vms=9.0),
-    "takeovers": TurnPlan(kills=(7.0, 19.0, 31.0)),
-    "cold-start": TurnPlan(restarts=(13.0,)),
+    "calm": BurstPlan(peak_vms=5.0),
+    "overload": BurstPlan(peak_vms=9.0),
+    "takeovers": BurstPlan(kills=(7.0, 19.0, 31.0)),
+    "cold-start": BurstPlan(restarts=(13.0,)),
 }
 ALL_ON = "all on"
 
 
 @dataclass(frozen=True, slots=True)
-class Task:
+class Variant:
     """One play of one variant."""
 
     plan_name: str
@@ -62,14 +62,14 @@
 )
 
 
-def play(task: Task) -> TurnOutcome:
+def run_variant(task: Variant) -> BurstOutcome:
     """Play one variant."""
     plan = PLANS[task.plan_name]
     if task.mechanism == ALL_ON:
-        return play_turns(plan, task.seed)
+        return run_bursts(plan, task.seed)
     mechanism = next(each for each in MECHANISMS if each.name == task.mechanism)
     with mechanism.switched_off():
-        return play_turns(plan, task.seed)
+        return run_bursts(plan, task.seed)
 
 
 def measure(
@@ -77,13 +77,13 @@
 ) -> list[Row]:
     """Play everything, several at a time; returns a row a plan and mechanism."""
     tasks = [
-        Task(plan_name, mechanism, seed)
+        Variant(plan_name, mechanism, seed)
         for plan_name in plan_names
         for mechanism in (ALL_ON, *mechanisms)
         for seed in range(1, seeds + 1)
     ]
     with ProcessPoolExecutor(jobs) as pool:
-        outcomes = dict(zip(tasks, pool.map(play, tasks), strict=True))
+        outcomes = dict(zip(tasks, pool.map(run_variant, tasks), strict=True))
     return [
         _compare(outcomes, plan_name, mechanism, seeds)
         for plan_name in plan_names
@@ -92,12 +92,12 @@
 
 
 def _compare(
-    outcomes: dict[Task, TurnOutcome], plan_name: str, mechanism: str, seeds: int
+    outcomes: dict[Variant, BurstOutcome], plan_name: str, mechanism: str, seeds: int
 ) -> Row:
     pairs = [
         (
-            outcomes[Task(plan_name, ALL_ON, seed)],
-            outcomes[Task(plan_name, mechanism, seed)],
+            outcomes[Variant(plan_name, ALL_ON, seed)],
+            outcomes[Variant(plan_name, mechanism, seed)],
         )
         for seed in range(1, seeds + 1)
     ]
@@ -110,4 +110,4 @@
     )
 
 
-__all__ = ["ALL_ON", "HEADER", "PLANS", "Row", "Task", "measure", "play"]
+__all__ = ["ALL_ON", "HEADER", "PLANS", "Row", "Variant", "measure", "run_variant"]
--- a/packages/bench/src/medlarspring_bench/experiment/turns.py
+++ b/packages/bench/src/medlarspring_bench/experiment/bursts.py
@@ -38,20 +38,20 @@
 """A play goes on for so many usual tasks; the objective of a job is shorter."""
 SAMPLE_SECONDS = 0.1
 WINDOW_SECONDS = 2.0
-QUIET_PART = 0.05
+IDLE_LOAD_RATIO = 0.05
 """Between its turns a queue asks for so much of its peak."""
 VM_MILLIS = 16_000
 RESTART_SECONDS = 0.8
 
 
 @dataclass(frozen=True, slots=True)
-class TurnPlan:
+class BurstPlan:
     """Size of the fleet, and the shape of the demand."""
 
     queues: int = 3
     vms_per_pool: int = 4
     standby_vms: int = 4
-    turn_seconds: float = 6.0
+    burst_seconds: float = 6.0
     """Each queue's turn; 0 for no turns, all queues ask for their mean all the time."""
     cycles: int = 2
     peak_vms: float = 6.0
@@ -71,7 +71,7 @@
     @property
     def traffic_seconds(self) -> Seconds:
         """How long customers submit jobs."""
-        return max(self.turn_seconds, 4.0) * self.queues * self.cycles
+        return max(self.burst_seconds, 4.0) * self.queues * self.cycles
 
     @property
     def jobs_per_second(self) -> float:
@@ -92,7 +92,7 @@
 
 
 @dataclass(slots=True)
-class TurnOutcome:
+class BurstOutcome:
     """What came of a play."""
 
     jobs: int = 0
@@ -117,10 +117,10 @@
     objective: Seconds
 
 
-class TurnPlay:
+class BurstRun:
     """Sends the load of a plan into a world, and measures."""
 
-    def __init__(self, plan: TurnPlan, world: World, seed: int) -> None:
+    def __init__(self, plan: BurstPlan, world: World, seed: int) -> None:
         self._plan = plan
         self._world = world
         self._rng = random.Random(seed)
@@ -128,7 +128,7 @@
         self._sent_by_id: dict[JobId, SentJob] = {}
         self._paid = 0.0
 
-    async def run(self) -> TurnOutcome:
+    async def run(self) -> BurstOutcome:
         """Play the plan to its end."""
         await asyncio.sleep(WARM_UP_SECONDS)
         began_at = self._world.clock.now()
@@ -151,18 +151,18 @@
         plan, clock = self._plan, self._world.clock
         ends_at = began_at + plan.traffic_seconds
         while clock.now() < ends_at:
-            rate = self._find_rate(number, clock.now() - began_at)
+            rate = self._find_load_ratio(number, clock.now() - began_at)
             await asyncio.sleep(self._rng.expovariate(plan.jobs_per_second))
             if self._rng.random() < rate:
                 self._send(number)
 
-    def _find_rate(self, number: int, at: Seconds) -> float:
+    def _find_load_ratio(self, number: int, at: Seconds) -> float:
         """Return the part of its peak that a queue asks for."""
         plan = self._plan
-        if not plan.turn_seconds:
+        if not plan.burst_seconds:
             return 1.0 / plan.queues
-        in_turn = int(at / plan.turn_seconds) % plan.queues == number
-        return 1.0 if in_turn else QUIET_PART
+        in_turn = int(at / plan.burst_seconds) % plan.queues == number
+        return 1.0 if in_turn else IDLE_LOAD_RATIO
 
     def _send(self, number: int) -> None:
         job_id = self._customers.create_job_id()
@@ -223,9 +223,9 @@
             )
             self._paid += paid * SAMPLE_SECONDS
 
-    def _measure(self) -> TurnOutcome:
+    def _measure(self) -> BurstOutcome:
         ended_at = find_job_ends(self._world)
-        outcome = TurnOutcome(jobs=len(self._sent_by_id), paid_vm_seconds=self._paid)
+        outcome = BurstOutcome(jobs=len(self._sent_by_id), paid_vm_seconds=self._paid)
         by_window: dict[int, list[bool]] = {}
         for job_id, sent in self._sent_by_id.items():
             end = ended_at.get(job_id)
@@ -261,17 +261,17 @@
     return ends
 
 
-def play_turns(plan: TurnPlan, seed: int) -> TurnOutcome:
+def run_bursts(plan: BurstPlan, seed: int) -> BurstOutcome:
     """Play a plan in virtual time; the same seed gives the same outcome."""
 
-    async def main(clock: VirtualClock) -> TurnOutcome:
+    async def main(clock: VirtualClock) -> BurstOutcome:
         world = World(plan.create_world_plan(), clock, seed)
         await world.start()
-        outcome = await TurnPlay(plan, world, seed).run()
+        outcome = await BurstRun(plan, world, seed).run()
         await world.stop()
         return outcome
 
     return run_virtual(main)
 
 
-__all__ = ["TurnOutcome", "TurnPlan", "TurnPlay", "play_turns"]
+__all__ = ["BurstOutcome", "BurstPlan", "BurstRun", "run_bursts"]
--- a/packages/bench/src/medlarspring_bench/experiment/mechanisms.py
+++ b/packages/bench/src/medlarspring_bench/experiment/mechanisms.py
@@ -33,7 +33,7 @@
     owner: ModuleType | type
     attribute: str
     off: Any
-    answers: str
+    purpose: str
     """The load or the failure that it is meant for."""
 
     @contextmanager
--- a/packages/bench/src/medlarspring_bench/platform_world/calls.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/calls.py
@@ -23,14 +23,14 @@
     WorkerAddress,
     WorkerUnresponsive,
 )
-from medlarspring_bench.platform_world.virtual_time import spawn_apart
+from medlarspring_bench.platform_world.virtual_time import spawn_detached
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from medlarspring_adapters.clock import Clock
+    from medlarspring_bench.platform_world.fault_state import FaultState
     from medlarspring_bench.platform_world.fleet_model import FleetModel
-    from medlarspring_bench.platform_world.weather import Weather
     from medlarspring_bench.platform_world.worker_model import WorkerModel
     from medlarspring_tables import PoolId, Seconds, VMId, WaveId
     from medlarspring_tables.scheduling import VMEntry, WorkerId
@@ -50,13 +50,13 @@
     def __init__(
         self,
         fleet: FleetModel,
-        weather: Weather,
+        weather: FaultState,
         clock: Clock,
         node_id: str,
         incarnation: int,
     ) -> None:
         self._fleet = fleet
-        self._weather = weather
+        self._fault_state = weather
         self._clock = clock
         self._node_id = node_id
         self._incarnation = incarnation
@@ -99,11 +99,11 @@
         connected = None if order.aside else self._held_by_id.pop(worker.id, None)
         if connected is None:
             order = replace(order, acknowledged=0)
-        await self._pass_out()
+        await self._wait_until_runnable()
         await asyncio.sleep(LINK_SECONDS)
         model = self._find(worker)
         if model is None:
-            return await self._be_silent(worker, timeout_seconds)
+            return await self._time_out(worker, timeout_seconds)
         if connected is not None and connected is not model:
             reset = WorkerUnresponsive(worker.id, "connection reset", may_follow=True)
             return Failure(reset)
@@ -115,9 +115,9 @@
             await asyncio.sleep(POLL_SECONDS)
             answer = model.hold(order, self._clock.now())
         if self._find(worker) is not model:
-            return await self._be_silent(worker, timeout_seconds)
+            return await self._time_out(worker, timeout_seconds)
         await asyncio.sleep(LINK_SECONDS)
-        await self._pass_out()
+        await self._wait_until_runnable()
         if not order.aside:
             self._held_by_id[worker.id] = model
         return Success(replace(answer, acknowledged=order.acknowledged))
@@ -132,20 +132,20 @@
         apply: Callable[[WorkerModel, Seconds], OrderAnswer],
         timeout_seconds: Seconds,
     ) -> Result[OrderAnswer, WorkerUnresponsive]:
-        await self._pass_out()
+        await self._wait_until_runnable()
         await asyncio.sleep(LINK_SECONDS)
         model = self._find(worker)
         if model is None:
-            return await self._be_silent(worker, timeout_seconds)
-        if self._weather.rng.random() < self._weather.lost_orders:
-            spawn_apart(self._apply_late(model, apply), self._late)
-            return await self._be_silent(worker, timeout_seconds)
+            return await self._time_out(worker, timeout_seconds)
+        if self._fault_state.rng.random() < self._fault_state.lost_orders:
+            spawn_detached(self._apply_late(model, apply), self._late)
+            return await self._time_out(worker, timeout_seconds)
         answer = apply(model, self._clock.now())
-        lost = self._weather.lost_answers
-        if lost and self._weather.rng.random() < lost:
-            return await self._be_silent(worker, timeout_seconds)
+        lost = self._fault_state.lost_answers
+        if lost and self._fault_state.rng.random() < lost:
+            return await self._time_out(worker, timeout_seconds)
         await asyncio.sleep(LINK_SECONDS)
-        await self._pass_out()
+        await self._wait_until_runnable()
         return Success(answer)
 
     async def _apply_late(
@@ -154,15 +154,15 @@
         apply: Callable[[WorkerModel, Seconds], OrderAnswer],
     ) -> None:
         """Carry an order out seconds later, unless the life that took it is over."""
-        await asyncio.sleep(self._weather.rng.uniform(*LATE_SECONDS))
+        await asyncio.sleep(self._fault_state.rng.uniform(*LATE_SECONDS))
         if model.alive:
             apply(model, self._clock.now())
 
-    async def _be_silent(
+    async def _time_out(
         self, worker: WorkerAddress, timeout_seconds: Seconds
     ) -> Result[Answer, WorkerUnresponsive]:
         await asyncio.sleep(timeout_seconds)
-        await self._pass_out()
+        await self._wait_until_runnable()
         return Failure(
             WorkerUnresponsive(worker.id, "no answer in time", may_follow=True)
         )
@@ -171,12 +171,12 @@
         model = self._fleet.workers_by_id.get(worker.id)
         if model is None or not model.alive:
             return None
-        if self._weather.is_cut(self._node_id, model.vm_id):
+        if self._fault_state.is_cut(self._node_id, model.vm_id):
             return None
         return model
 
-    async def _pass_out(self) -> None:
-        await self._weather.pass_out(
+    async def _wait_until_runnable(self) -> None:
+        await self._fault_state.wait_until_runnable(
             self._node_id, self._incarnation, self._clock.now()
         )
 
@@ -187,13 +187,13 @@
     def __init__(
         self,
         fleet: FleetModel,
-        weather: Weather,
+        weather: FaultState,
         clock: Clock,
         node_id: str,
         incarnation: int,
     ) -> None:
         self._fleet = fleet
-        self._weather = weather
+        self._fault_state = weather
         self._clock = clock
         self._node_id = node_id
         self._incarnation = incarnation
@@ -215,17 +215,17 @@
         return await self._call(lambda: self._fleet.maintain(vm_id, wave_id, authority))
 
     async def _call(self, apply: Callable[[], T]) -> Result[T, VMControlUnresponsive]:
-        await self._pass_out()
+        await self._wait_until_runnable()
         await asyncio.sleep(VM_CONTROL_SECONDS)
-        if self._weather.is_cut(self._node_id, VM_CONTROL):
+        if self._fault_state.is_cut(self._node_id, VM_CONTROL):
             await asyncio.sleep(1.0)
             return Failure(VMControlUnresponsive("no answer in time", may_follow=True))
         answer = apply()
-        await self._pass_out()
+        await self._wait_until_runnable()
         return Success(answer)
 
-    async def _pass_out(self) -> None:
-        await self._weather.pass_out(
+    async def _wait_until_runnable(self) -> None:
+        await self._fault_state.wait_until_runnable(
             self._node_id, self._incarnation, self._clock.now()
         )
 
--- a/packages/bench/src/medlarspring_bench/platform_world/checks.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/checks.py
@@ -24,7 +24,7 @@
 """So long after a worker's notice no task may start on it."""
 COPY_SECONDS = 1.0
 """So long after an end is noted a copy that was ordered before it may still start."""
-CRASHES_BORNE = 3
+CRASHES_BEFORE_LIMIT = 3
 """Workers that a task may crash before its starts are counted."""
 STARTS_AFTER_CRASHES = 2
 """Starts that it may have after that."""
@@ -43,21 +43,21 @@
 
 def check_history(history: History) -> list[Breach]:
     """Return every broken promise."""
-    breaches = _check_twice(history)
+    breaches = _check_duplicate_runs(history)
     breaches += _check_order(history)
     breaches += _check_attempts(history)
     breaches += _check_crashing(history)
     breaches += _check_cancelled(history)
     breaches += _check_refused(history)
     breaches += _check_drained(history)
-    breaches += _check_rooms(history)
+    breaches += _check_resources(history)
     breaches += _check_operations(history)
     breaches += _check_statuses(history)
-    breaches += _check_forgotten(history)
+    breaches += _check_unqueued(history)
     return breaches
 
 
-def _check_twice(history: History) -> list[Breach]:
+def _check_duplicate_runs(history: History) -> list[Breach]:
     """No task runs twice at once, or again after an end that was noted as done."""
     breaches: list[Breach] = []
     for task_id, runs in history.runs_by_task.items():
@@ -68,12 +68,14 @@
             for later in runs[index + 1 :]:
                 if run.overlaps(later):
                     breaches.append(Breach("twice", task_id, "two runs at once"))
-                elif _is_noted_done(run) and later.started_at > (run.ended_at or 0.0):
+                elif _is_acknowledged_done(run) and later.started_at > (
+                    run.ended_at or 0.0
+                ):
                     breaches.append(Breach("twice", task_id, "again after done"))
     return breaches
 
 
-def _is_noted_done(run: RunHistory) -> bool:
+def _is_acknowledged_done(run: RunHistory) -> bool:
     return run.end is RunEnd.DONE and run.noted_at is not None
 
 
@@ -132,13 +134,13 @@
     breaches: list[Breach] = []
     for task_id in sorted(history.crashing_tasks):
         crashes = history.list_crashes(task_id)
-        if len(crashes) < CRASHES_BORNE:
+        if len(crashes) < CRASHES_BEFORE_LIMIT:
             continue
-        borne_at = crashes[CRASHES_BORNE - 1]
+        limit_reached_at = crashes[CRASHES_BEFORE_LIMIT - 1]
         runs = history.runs_by_task[task_id]
-        later = sum(run.started_at > borne_at for run in runs)
+        later = sum(run.started_at > limit_reached_at for run in runs)
         if later > STARTS_AFTER_CRASHES:
-            detail = f"{later} starts after {CRASHES_BORNE} crashes"
+            detail = f"{later} starts after {CRASHES_BEFORE_LIMIT} crashes"
             breaches.append(Breach("crashes", task_id, detail))
     return breaches
 
@@ -183,7 +185,7 @@
     ]
 
 
-def _check_rooms(history: History) -> list[Breach]:
+def _check_resources(history: History) -> list[Breach]:
     """No start takes more than the room of a worker that does not guard it."""
     return [
         Breach("room", run.task_id, f"on {run.worker_id}")
@@ -269,7 +271,7 @@
     return True
 
 
-def _check_forgotten(history: History) -> list[Breach]:
+def _check_unqueued(history: History) -> list[Breach]:
     """Each task that waits stands in the line of its pool."""
     return [
         Breach("forgotten", task_id, f"in no line at {at:.2f}")
--- a/packages/bench/src/medlarspring_bench/platform_world/customers.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/customers.py
@@ -27,10 +27,10 @@
     from medlarspring_daemon.scheduling.service import SchedulingService
     from medlarspring_tables import Seconds
 
-PATIENCE_SECONDS = 3.0
+CALL_TIMEOUT_SECONDS = 3.0
 SLACK_SECONDS = 0.5
-TRIES = 4
-ASK_SECONDS = 1.0
+MAX_ATTEMPTS = 4
+STATUS_POLL_SECONDS = 1.0
 FINAL_STATUSES = {
     JobStatus.COMPLETE.value,
     JobStatus.FAILED.value,
@@ -96,18 +96,18 @@
         if match is None:
             return "no-such-queue"
         return await _wait_for(
-            service.intake.submit(match.queue, job_id, spec, PATIENCE_SECONDS)
+            service.intake.submit(match.queue, job_id, spec, CALL_TIMEOUT_SECONDS)
         )
 
     async def cancel(self, node: str, job_id: JobId) -> str:
         """Cancel a job."""
         intake = self._find(node).intake
-        return await _wait_for(intake.cancel(job_id, PATIENCE_SECONDS))
+        return await _wait_for(intake.cancel(job_id, CALL_TIMEOUT_SECONDS))
 
     async def find_status(self, node: str, job_id: JobId) -> str:
         """Return a job's status."""
         intake = self._find(node).intake
-        return await _wait_for(intake.find_status(job_id, PATIENCE_SECONDS))
+        return await _wait_for(intake.find_status(job_id, CALL_TIMEOUT_SECONDS))
 
     def _find(self, node: str) -> SchedulingService:
         found = self._world.nodes_by_name[node]
@@ -199,7 +199,7 @@
 
     def send(self, queue: str, job_id: JobId, spec: JobSpec) -> asyncio.Task[None]:
         """Submit a job in the background and follow it to its end."""
-        task = asyncio.ensure_future(self._live(queue, job_id, spec))
+        task = asyncio.ensure_future(self._follow_job(queue, job_id, spec))
         self._following.add(task)
         task.add_done_callback(self._following.discard)
         return task
@@ -216,7 +216,7 @@
             if queue_plan.name == queue:
                 attempts = queue_plan.max_attempts
                 self._world.history.max_attempts_by_id[job_id] = attempts
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             answer = await self._submit_once(queue, job_id, spec)
             if answer == "ok":
                 self.accepted.add(job_id)
@@ -227,12 +227,12 @@
     async def cancel(self, job_id: JobId) -> bool:
         """Cancel a job with repeats; tells whether that was acknowledged."""
         self.cancelled.add(job_id)
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             node = self._choose_node()
             if node is not None:
                 sent_at = self._world.clock.now()
                 answer = await self._desk.cancel(node, job_id)
-                self._note(CallKind.CANCEL, job_id, sent_at, node, answer)
+                self._record_call(CallKind.CANCEL, job_id, sent_at, node, answer)
                 if answer in ("ok", "no-such-job"):
                     return True
             await asyncio.sleep(self._rng.uniform(0.2, 1.0))
@@ -253,14 +253,14 @@
             return "no-node"
         sent_at = self._world.clock.now()
         answer = await self._desk.find_status(node, job_id)
-        self._note(CallKind.STATUS, job_id, sent_at, node, answer)
+        self._record_call(CallKind.STATUS, job_id, sent_at, node, answer)
         return answer
 
-    async def _live(self, queue: str, job_id: JobId, spec: JobSpec) -> None:
+    async def _follow_job(self, queue: str, job_id: JobId, spec: JobSpec) -> None:
         if not await self.submit(queue, job_id, spec):
             return
         while True:
-            await asyncio.sleep(ASK_SECONDS * self._rng.uniform(0.5, 1.5))
+            await asyncio.sleep(STATUS_POLL_SECONDS * self._rng.uniform(0.5, 1.5))
             if await self.ask(job_id) in FINAL_STATUSES:
                 return
 
@@ -270,14 +270,14 @@
         if node is None:
             return "no-node"
         answer = await self._desk.submit(node, queue, job_id, spec)
-        self._note(CallKind.SUBMIT, job_id, sent_at, node, answer)
+        self._record_call(CallKind.SUBMIT, job_id, sent_at, node, answer)
         return answer
 
     def _choose_node(self) -> str | None:
         names = list(self._world.nodes_by_name)
         return self._rng.choice(names) if names else None
 
-    def _note(
+    def _record_call(
         self, kind: CallKind, job_id: JobId, sent_at: Seconds, node: str, answer: str
     ) -> None:
         self._world.history.calls.append(
@@ -290,7 +290,7 @@
 ) -> str:
     """Return the answer as a word; a process that ends leaves its callers without."""
     try:
-        async with asyncio.timeout(PATIENCE_SECONDS + SLACK_SECONDS):
+        async with asyncio.timeout(CALL_TIMEOUT_SECONDS + SLACK_SECONDS):
             result = await call
     except TimeoutError:
         return "no-answer"
--- a/packages/bench/src/medlarspring_bench/platform_world/days.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/days.py
@@ -10,6 +10,7 @@
 from medlarspring_bench.platform_world.calls import VM_CONTROL
 from medlarspring_bench.platform_world.checks import check_history
 from medlarspring_bench.platform_world.customers import Customers
+from medlarspring_bench.platform_world.fault_state import StoreMode
 from medlarspring_bench.platform_world.faults import (
     crash_worker,
     drain_worker,
@@ -28,14 +29,13 @@
     spoil_worker,
     take_store_down,
 )
-from medlarspring_bench.platform_world.plans import WorldPlan
-from medlarspring_bench.platform_world.verdicts import (
+from medlarspring_bench.platform_world.outcomes import (
     count_complete,
     find_left_running,
     find_unfinished,
 )
+from medlarspring_bench.platform_world.plans import WorldPlan
 from medlarspring_bench.platform_world.virtual_time import run_virtual
-from medlarspring_bench.platform_world.weather import StoreMood
 from medlarspring_bench.platform_world.world import World
 
 if TYPE_CHECKING:
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Verdict:
+class DayOutcome:
     """What came of a day."""
 
     seed: int
@@ -84,7 +84,9 @@
         await asyncio.sleep(WARM_UP_SECONDS)
         lasting = self.customers.create_lasting()
         self.customers.send("archive", *lasting)
-        faults = [asyncio.ensure_future(self._strike()) for _ in range(fault_count)]
+        faults = [
+            asyncio.ensure_future(self._inject_fault()) for _ in range(fault_count)
+        ]
         ends_at = self.world.clock.now() + TRAFFIC_SECONDS
         while self.world.clock.now() < ends_at:
             await asyncio.sleep(self.rng.expovariate(JOBS_PER_SECOND))
@@ -106,7 +108,7 @@
         if job_id in self.customers.accepted:
             asyncio.ensure_future(self.customers.cancel(job_id))
 
-    async def _strike(self) -> None:
+    async def _inject_fault(self) -> None:
         await asyncio.sleep(self.rng.uniform(0.0, TRAFFIC_SECONDS))
         name, fault = self.rng.choice(self._table)
         self.faults.append(f"{name} at {self.world.clock.now():.2f}")
@@ -146,10 +148,10 @@
         return
     await day.world.stop_node(name)
     await asyncio.sleep(0.5)
-    await _start_again(day, name)
+    await _restart_node(day, name)
 
 
-async def _start_again(day: Day, name: str) -> None:
+async def _restart_node(day: Day, name: str) -> None:
     if name not in day.world.nodes_by_name:
         await day.world.start_node(name)
 
@@ -169,10 +171,10 @@
     name = day.choose_node()
     if name is None:
         return
-    mood = day.rng.choice((StoreMood.BUSY, StoreMood.SILENT))
-    day.world.weather.moods_by_node[name] = mood
+    mode = day.rng.choice((StoreMode.BUSY, StoreMode.SILENT))
+    day.world.weather.store_modes_by_node[name] = mode
     await asyncio.sleep(day.rng.uniform(1.0, 8.0))
-    day.world.weather.moods_by_node.pop(name, None)
+    day.world.weather.store_modes_by_node.pop(name, None)
 
 
 async def cut_node(day: Day) -> None:
@@ -181,7 +183,7 @@
     if name is None:
         return
     weather = day.world.weather
-    weather.moods_by_node[name] = StoreMood.SILENT
+    weather.store_modes_by_node[name] = StoreMode.SILENT
     vms = [vm for vm in day.world.fleet.vms_by_id if day.rng.random() < 0.5]  # noqa: PLR2004
     links = {(name, vm) for vm in vms} | {(name, VM_CONTROL)}
     weather.cut_links |= links
@@ -189,7 +191,7 @@
         await asyncio.sleep(0.05)
         day.world.revoke_controller()
     await asyncio.sleep(day.rng.uniform(1.0, 7.0))
-    weather.moods_by_node.pop(name, None)
+    weather.store_modes_by_node.pop(name, None)
     weather.cut_links -= links
 
 
@@ -218,7 +220,7 @@
     for job_id in day.customers.list_open()[:3]:
         await day.customers.cancel(job_id)
     await asyncio.sleep(day.rng.uniform(0.3, 3.0))
-    await _start_again(day, name)
+    await _restart_node(day, name)
 
 
 FIRST_FAULTS: FaultTable = (
@@ -280,30 +282,30 @@
     fault_count: int = 4,
     plan: WorldPlan | None = None,
     table: FaultTable | None = None,
-) -> Verdict:
+) -> DayOutcome:
     """Play the day of a seed under virtual time."""
 
-    async def main(clock: VirtualClock) -> Verdict:
+    async def main(clock: VirtualClock) -> DayOutcome:
         world = World(plan or WorldPlan(), clock, seed)
         day = Day(world, seed, FAULTS if table is None else table)
         await world.start()
         await day.play(fault_count)
-        verdict = await _judge(day, seed)
+        outcome = await _evaluate(day, seed)
         await world.stop()
-        return verdict
+        return outcome
 
     return run_virtual(main)
 
 
-async def _judge(day: Day, seed: int) -> Verdict:
+async def _evaluate(day: Day, seed: int) -> DayOutcome:
     customers, history = day.customers, day.world.history
-    verdict = Verdict(seed, faults=day.faults, accepted=len(customers.accepted))
-    verdict.unfinished = await find_unfinished(customers, history)
-    verdict.complete = count_complete(history)
-    verdict.breaches = check_history(history)
-    verdict.breaches += find_left_running(customers, history, day.world.fleet)
-    verdict.logs = [(name, log.getvalue()) for name, log in day.world.logs]
-    return verdict
+    outcome = DayOutcome(seed, faults=day.faults, accepted=len(customers.accepted))
+    outcome.unfinished = await find_unfinished(customers, history)
+    outcome.complete = count_complete(history)
+    outcome.breaches = check_history(history)
+    outcome.breaches += find_left_running(customers, history, day.world.fleet)
+    outcome.logs = [(name, log.getvalue()) for name, log in day.world.logs]
+    return outcome
 
 
 __all__ = [
@@ -318,6 +320,6 @@
     "SECOND_FAULTS",
     "SIXTH_FAULTS",
     "THIRD_FAULTS",
-    "Verdict",
+    "DayOutcome",
     "play_day",
 ]
--- a/packages/bench/src/medlarspring_bench/platform_world/faults.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/faults.py
@@ -5,8 +5,8 @@
 import asyncio
 from typing import TYPE_CHECKING, Protocol
 
-from medlarspring_bench.platform_world.weather import StoreMood
-from medlarspring_bench.platform_world.worker_model import Temper
+from medlarspring_bench.platform_world.fault_state import StoreMode
+from medlarspring_bench.platform_world.worker_model import WorkerBehavior
 from medlarspring_tables.scheduling import Resources
 
 if TYPE_CHECKING:
@@ -14,8 +14,8 @@
     from collections.abc import Sequence
 
     from medlarspring_bench.platform_world.customers import Customers
+    from medlarspring_bench.platform_world.fault_state import FaultState
     from medlarspring_bench.platform_world.fleet_model import FleetModel
-    from medlarspring_bench.platform_world.weather import Weather
     from medlarspring_tables import VMId
 
 MIN_VMS = 8
@@ -34,7 +34,7 @@
     """The platform that a fault befalls."""
 
     @property
-    def weather(self) -> Weather:
+    def weather(self) -> FaultState:
         """What is out of order at present."""
         ...
 
@@ -79,10 +79,10 @@
 
 async def take_store_down(scene: Scene) -> None:
     """Let the store answer nobody."""
-    mood = scene.rng.choice((StoreMood.BUSY, StoreMood.SILENT))
-    scene.world.weather.store_mood = mood
+    mode = scene.rng.choice((StoreMode.BUSY, StoreMode.SILENT))
+    scene.world.weather.store_mode = mode
     await asyncio.sleep(scene.rng.uniform(1.0, 5.0))
-    scene.world.weather.store_mood = StoreMood.WELL
+    scene.world.weather.store_mode = StoreMode.WELL
 
 
 async def pause_store(scene: Scene) -> None:
@@ -157,9 +157,9 @@
     worker = vm.worker
     if worker is None:
         return
-    worker.temper = scene.rng.choice((Temper.FAILING, Temper.HANGING))
+    worker.behavior = scene.rng.choice((WorkerBehavior.FAILING, WorkerBehavior.HANGING))
     await asyncio.sleep(scene.rng.uniform(2.0, 6.0))
-    worker.temper = Temper.SOUND
+    worker.behavior = WorkerBehavior.SOUND
 
 
 async def order_wave(scene: Scene) -> None:
--- a/packages/bench/src/medlarspring_bench/platform_world/fleet_model.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/fleet_model.py
@@ -12,7 +12,7 @@
 from medlarspring_adapters.vm_lifecycle import VMRefusal
 from medlarspring_bench.key_value_ops import DeleteOp, PutOp
 from medlarspring_bench.platform_world.history import RunHistory, VMOperationRecord
-from medlarspring_bench.platform_world.virtual_time import spawn_apart
+from medlarspring_bench.platform_world.virtual_time import spawn_detached
 from medlarspring_bench.platform_world.worker_model import WorkerModel
 from medlarspring_tables import PoolId, RackId, VMId, ZoneId
 from medlarspring_tables.scheduling import Resources, VMEntry, VMPhase, WorkerId
@@ -31,16 +31,16 @@
     from medlarspring_tables.scheduling import Milliseconds, RunEnd
 
 WORKER_PREFIX = "servers/"
-ENTRY_LIFE_SECONDS = 4.5
+REGISTRY_TTL_SECONDS = 4.5
 """The registry drops a silent worker so much later."""
 REGISTER_SECONDS = 0.2
-QUICKEST_START_SECONDS = 0.06
+MIN_RESTART_SECONDS = 0.06
 """A worker that starts again is away for so long at least."""
-CRASHED_SECONDS = (1.0, 4.0)
+CRASH_DOWNTIME_SECONDS = (1.0, 4.0)
 """How long a worker is away that a task crashed."""
 SAME_ID_PART = 0.3
 """Part of the crashed workers that are back under the ids that they had."""
-SHRUNK_SECONDS = 4.5
+SHRINK_GRACE_SECONDS = 4.5
 """A smaller room is held against starts from so long after it was told."""
 MOVE_SECONDS = 1.5
 MAINTENANCE_SECONDS = 2.0
@@ -90,10 +90,10 @@
         self._history = history
         self._standby_pools = standby_pools
         self._unguarded_pools = unguarded_pools
-        self._rooms: dict[
+        self._registered_resources: dict[
             tuple[WorkerId, Milliseconds], list[tuple[Seconds, Resources]]
         ]
-        self._rooms = {}
+        self._registered_resources = {}
         """Rooms that a life of a worker told, and when."""
         self._find_facts = find_facts
         self.vms_by_id: dict[VMId, VMModel] = {}
@@ -101,7 +101,7 @@
         self.waves: dict[str, tuple[set[str], int]] = {}
         """VMs and most at once, by wave."""
         self._next_worker = 1
-        self._last_birth = 0
+        self._last_birth_ms = 0
         self._timers: set[asyncio.Task[None]] = set()
         self._runs: dict[tuple[WorkerId, str, int], RunHistory] = {}
 
@@ -138,7 +138,7 @@
         if vm.pool_id == pool_id:
             return None
         self._record(vm, "move", "", by)
-        self._end_life(vm)
+        self._end_incarnation(vm)
         vm.phase = VMPhase.MOVING
         vm.pool_id = pool_id
         self._after(MOVE_SECONDS, lambda: self._boot(vm))
@@ -156,7 +156,7 @@
         if wave_id not in self.waves or vm_id not in self.waves[wave_id][0]:
             return VMRefusal.NOT_IN_WAVE
         self._record(vm, "maintain", wave_id, by)
-        self._end_life(vm)
+        self._end_incarnation(vm)
         vm.phase = VMPhase.MAINTENANCE
         vm.maintained_for.add(wave_id)
         vm.down_for = wave_id
@@ -169,15 +169,15 @@
         if vm.phase is not VMPhase.UP:
             return
         worker = vm.worker
-        self._end_life(vm, registered=True)
+        self._end_incarnation(vm, registered=True)
         vm.phase = VMPhase.DOWN
         if worker is not None:
-            self._after(ENTRY_LIFE_SECONDS, lambda: self._unregister(worker))
+            self._after(REGISTRY_TTL_SECONDS, lambda: self._unregister(worker))
         self._after(seconds, lambda: self._boot(vm))
 
     def _crash_later(self, worker: WorkerModel, after: Seconds) -> None:
         """Let a task crash the worker that started it."""
-        seconds = self._rng.uniform(*CRASHED_SECONDS)
+        seconds = self._rng.uniform(*CRASH_DOWNTIME_SECONDS)
         crash = self.restart if self._rng.random() < SAME_ID_PART else self.crash
         self._after(
             after,
@@ -193,11 +193,11 @@
         worker = vm.worker
         if worker is None or worker.draining or vm.phase is not VMPhase.UP:
             return
-        self._end_life(vm, registered=True)
-        self._after(ENTRY_LIFE_SECONDS, lambda: self._unregister_unless_back(worker))
+        self._end_incarnation(vm, registered=True)
+        self._after(REGISTRY_TTL_SECONDS, lambda: self._unregister_unless_back(worker))
         vm.phase = VMPhase.DOWN
         vm.unseen = not seconds
-        away = max(seconds, QUICKEST_START_SECONDS)
+        away = max(seconds, MIN_RESTART_SECONDS)
         self._after(away, lambda: self._boot(vm, worker.id))
 
     def _unregister_unless_back(self, worker: WorkerModel) -> None:
@@ -215,10 +215,10 @@
         """End a VM for good, without notice; no list shows it any more."""
         vm = self.vms_by_id[vm_id]
         worker = vm.worker
-        self._end_life(vm, registered=True)
+        self._end_incarnation(vm, registered=True)
         del self.vms_by_id[vm_id]
         if worker is not None:
-            self._after(ENTRY_LIFE_SECONDS, lambda: self._unregister(worker))
+            self._after(REGISTRY_TTL_SECONDS, lambda: self._unregister(worker))
 
     def drain(self, vm_id: VMId, leave_seconds: Seconds) -> None:
         """Announce that a worker leaves, and end its life later."""
@@ -233,7 +233,7 @@
 
     def _leave(self, vm: VMModel, worker: WorkerModel) -> None:
         if vm.worker is worker:
-            self._end_life(vm)
+            self._end_incarnation(vm)
             vm.phase = VMPhase.DOWN
 
     def _record(self, vm: VMModel, kind: str, wave_id: str, by: Authority) -> None:
@@ -271,7 +271,7 @@
             return
         worker = WorkerModel(
             id=worker_id or self._invent_id(),
-            born_ms=self._take_birth(),
+            born_ms=self._create_birth_ms(),
             vm_id=vm.id,
             pool_id=vm.pool_id,
             rack=vm.rack,
@@ -279,9 +279,9 @@
             resources=vm.resources,
             labels=("a", vm.rack),
             find_facts=self._find_facts,
-            on_start=self._note_start,
-            on_end=self._note_end,
-            on_acknowledge=self._note_acknowledged,
+            on_start=self._record_start,
+            on_end=self._record_end,
+            on_acknowledge=self._record_acknowledged,
             on_crash=self._crash_later,
             enforces_resources=vm.pool_id not in self._unguarded_pools,
             clock_offset=self._rng.uniform(100.0, 9_000.0),
@@ -297,12 +297,14 @@
         self._next_worker += 1
         return WorkerId(f"i-{number:05x}")
 
-    def _take_birth(self) -> int:
+    def _create_birth_ms(self) -> int:
         """Return the Unix time in ms; no two lives of a worker share it."""
-        self._last_birth = max(self._last_birth + 1, round(self._clock.wall() * 1_000))
-        return self._last_birth
+        self._last_birth_ms = max(
+            self._last_birth_ms + 1, round(self._clock.wall() * 1_000)
+        )
+        return self._last_birth_ms
 
-    def _end_life(self, vm: VMModel, *, registered: bool = False) -> None:
+    def _end_incarnation(self, vm: VMModel, *, registered: bool = False) -> None:
         worker, vm.worker = vm.worker, None
         if worker is None:
             return
@@ -321,8 +323,10 @@
             self._register(worker)
 
     def _register(self, worker: WorkerModel) -> None:
-        told = self._rooms.setdefault((worker.id, worker.born_ms), [])
-        told.append((self._clock.now(), worker.resources))
+        reported = self._registered_resources.setdefault(
+            (worker.id, worker.born_ms), []
+        )
+        reported.append((self._clock.now(), worker.resources))
         entry = {
             "service": worker.pool_id,
             "address": worker.address,
@@ -349,9 +353,9 @@
             await asyncio.sleep(seconds)
             act()
 
-        spawn_apart(wait(), self._timers)
+        spawn_detached(wait(), self._timers)
 
-    def _note_start(self, worker: WorkerModel, order: StartOrder) -> None:
+    def _record_start(self, worker: WorkerModel, order: StartOrder) -> None:
         record = RunHistory(
             task_id=order.task_id,
             number=order.run,
@@ -362,31 +366,33 @@
         )
         self._runs[(worker.id, order.task_id, order.run)] = record
         self._history.add_run(record)
-        record.over_room = not worker.enforces_resources and self._is_over_room(
+        record.over_room = not worker.enforces_resources and self._exceeds_resources(
             worker, order
         )
 
-    def _is_over_room(self, worker: WorkerModel, order: StartOrder) -> bool:
+    def _exceeds_resources(self, worker: WorkerModel, order: StartOrder) -> bool:
         """Tell whether a start takes more than each room that still counts."""
         facts = self._find_facts(order.task_id)
-        told = self._rooms.get((worker.id, worker.born_ms), [])
-        if facts is None or not told:
+        reported = self._registered_resources.get((worker.id, worker.born_ms), [])
+        if facts is None or not reported:
             return False
-        since = self._clock.now() - SHRUNK_SECONDS
-        before = [each for each in told if each[0] <= since]
-        rooms = [resources for _, resources in [*before[-1:], *told[len(before) :]]]
-        needed = worker.measure_with(facts.spec)
-        most_cpu = max(resources.cpu_millis for resources in rooms)
-        most_memory = max(resources.memory_mb for resources in rooms)
+        since = self._clock.now() - SHRINK_GRACE_SECONDS
+        before = [each for each in reported if each[0] <= since]
+        candidates = [
+            resources for _, resources in [*before[-1:], *reported[len(before) :]]
+        ]
+        needed = worker.sum_resources_with(facts.spec)
+        most_cpu = max(resources.cpu_millis for resources in candidates)
+        most_memory = max(resources.memory_mb for resources in candidates)
         return needed.cpu_millis > most_cpu or needed.memory_mb > most_memory
 
-    def _note_end(self, worker: WorkerModel, run: WorkerRun, end: RunEnd) -> None:
+    def _record_end(self, worker: WorkerModel, run: WorkerRun, end: RunEnd) -> None:
         record = self._runs[(worker.id, run.task_id, run.number)]
         record.ended_at = self._clock.now()
         record.end = end
         record.end_number = worker.next_end - 1
 
-    def _note_acknowledged(self, worker: WorkerModel, number: int) -> None:
+    def _record_acknowledged(self, worker: WorkerModel, number: int) -> None:
         now = self._clock.now()
         for record in self._runs.values():
             if record.worker_id != worker.id or record.born_ms != worker.born_ms:
--- a/packages/bench/src/medlarspring_bench/platform_world/http_store.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/http_store.py
@@ -30,8 +30,8 @@
     TxnReply,
     prefix_end,
 )
-from medlarspring_bench.platform_world.virtual_time import spawn_apart
-from medlarspring_bench.platform_world.weather import LATE_SECONDS, StoreMood
+from medlarspring_bench.platform_world.fault_state import LATE_SECONDS, StoreMode
+from medlarspring_bench.platform_world.virtual_time import spawn_detached
 from medlarspring_bench.standins.server import GATE_KEY, json_response
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
 
     from medlarspring_bench.key_value_ops import Commit
     from medlarspring_bench.key_value_state import KeyValueState
-    from medlarspring_bench.platform_world.weather import Weather
+    from medlarspring_bench.platform_world.fault_state import FaultState
 
     Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
@@ -78,9 +78,9 @@
 class HttpStore:
     """Handlers over one ``KeyValueState``, under the faults of a ``Weather``."""
 
-    def __init__(self, state: KeyValueState, weather: Weather) -> None:
+    def __init__(self, state: KeyValueState, weather: FaultState) -> None:
         self._state = state
-        self._weather = weather
+        self._fault_state = weather
         self._late: set[asyncio.Task[None]] = set()
         self._next_commit: asyncio.Future[None] | None = None
         state.listeners.append(self._note_commit)
@@ -102,11 +102,11 @@
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
         """Refuse, swallow, delay or lose a call, as the weather says."""
-        weather = self._weather
-        mood = weather.mood(request[GATE_KEY].name)
-        if mood is StoreMood.BUSY:
+        weather = self._fault_state
+        mode = weather.mode(request[GATE_KEY].name)
+        if mode is StoreMode.BUSY:
             return web.Response(status=BUSY)
-        if mood is StoreMood.SILENT:
+        if mode is StoreMode.SILENT:
             await asyncio.Event().wait()
         await asyncio.sleep(weather.store_seconds)
         is_write = request.path == TXN_PATH
@@ -117,14 +117,14 @@
     async def _lose(self, request: web.Request) -> None:
         """Carry a write out, now or late, and never answer."""
         txn = msgspec.json.decode(await request.read(), type=Txn)
-        if self._weather.rng.random() < self._weather.late_writes:
-            spawn_apart(self._apply_late(txn), self._late)
+        if self._fault_state.rng.random() < self._fault_state.late_writes:
+            spawn_detached(self._apply_late(txn), self._late)
         else:
             self._apply(txn)
         await asyncio.Event().wait()
 
     async def _apply_late(self, txn: Txn) -> None:
-        await asyncio.sleep(self._weather.rng.uniform(*LATE_SECONDS))
+        await asyncio.sleep(self._fault_state.rng.uniform(*LATE_SECONDS))
         self._apply(txn)
 
     async def _get_key(self, request: web.Request) -> web.Response:
--- a/packages/bench/src/medlarspring_bench/platform_world/store.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/store.py
@@ -19,12 +19,12 @@
     WatchBatch,
 )
 from medlarspring_bench.memory_store import MemoryStore
-from medlarspring_bench.platform_world.virtual_time import spawn_apart
-from medlarspring_bench.platform_world.weather import (
+from medlarspring_bench.platform_world.fault_state import (
     LATE_SECONDS,
-    StoreMood,
-    Weather,
+    FaultState,
+    StoreMode,
 )
+from medlarspring_bench.platform_world.virtual_time import spawn_detached
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
@@ -45,13 +45,13 @@
     def __init__(
         self,
         state: KeyValueState,
-        weather: Weather,
+        weather: FaultState,
         clock: Clock,
         node_id: str,
         incarnation: int,
     ) -> None:
         self._inner = MemoryStore(state)
-        self._weather = weather
+        self._fault_state = weather
         self._clock = clock
         self._node_id = node_id
         self._incarnation = incarnation
@@ -97,27 +97,27 @@
         """Notice the store's return, as the polls of a real watch do."""
         while True:
             await asyncio.sleep(RETRY_SECONDS)
-            if self._mood() is StoreMood.WELL:
+            if self._mode() is StoreMode.WELL:
                 self.failing_since = None
 
     async def watch(self, prefix: str, start: Revision) -> AsyncIterator[WatchBatch]:
         """Yield changes; while the store is away they are held back, not lost."""
         async for batch in self._inner.watch(prefix, start):
-            await asyncio.sleep(LINK_SECONDS + self._weather.store_seconds)
-            while self._mood() is not StoreMood.WELL:
+            await asyncio.sleep(LINK_SECONDS + self._fault_state.store_seconds)
+            while self._mode() is not StoreMode.WELL:
                 await asyncio.sleep(RETRY_SECONDS)
-            await self._pass_out()
+            await self._wait_until_runnable()
             yield batch
 
     def cut_watches(self) -> None:
         """End all watches, as a store does that forgets its history."""
         self._inner.end_watches()
 
-    def _mood(self) -> StoreMood:
-        return self._weather.mood(self._node_id)
+    def _mode(self) -> StoreMode:
+        return self._fault_state.mode(self._node_id)
 
-    async def _pass_out(self) -> None:
-        await self._weather.pass_out(
+    async def _wait_until_runnable(self) -> None:
+        await self._fault_state.wait_until_runnable(
             self._node_id, self._incarnation, self._clock.now()
         )
 
@@ -127,28 +127,28 @@
         writes: bool = False,
     ) -> Result[T, StoreError]:
         self.calls += 1
-        await self._pass_out()
+        await self._wait_until_runnable()
         await asyncio.sleep(LINK_SECONDS)
-        mood = self._mood()
-        if mood is StoreMood.BUSY:
+        mode = self._mode()
+        if mode is StoreMode.BUSY:
             return self._fail(StoreUnavailable("busy"))
-        if mood is StoreMood.SILENT:
+        if mode is StoreMode.SILENT:
             await asyncio.sleep(TIMEOUT_SECONDS)
             return self._fail(StoreOutcomeUnknown("no answer in time"))
-        await asyncio.sleep(self._weather.store_seconds)
-        if writes and self._weather.rng.random() < self._weather.lost_replies:
+        await asyncio.sleep(self._fault_state.store_seconds)
+        if writes and self._fault_state.rng.random() < self._fault_state.lost_replies:
             return await self._lose(apply)
         answer = await apply()
         await asyncio.sleep(LINK_SECONDS)
-        await self._pass_out()
+        await self._wait_until_runnable()
         self.failing_since = None
         return answer
 
     async def _lose(
         self, apply: Callable[[], Awaitable[Result[T, StoreError]]]
     ) -> Result[T, StoreError]:
-        if self._weather.rng.random() < self._weather.late_writes:
-            spawn_apart(self._apply_late(apply), self._late)
+        if self._fault_state.rng.random() < self._fault_state.late_writes:
+            spawn_detached(self._apply_late(apply), self._late)
         else:
             await apply()
         await asyncio.sleep(TIMEOUT_SECONDS)
@@ -157,7 +157,7 @@
     async def _apply_late(
         self, apply: Callable[[], Awaitable[Result[T, StoreError]]]
     ) -> None:
-        await asyncio.sleep(self._weather.rng.uniform(*LATE_SECONDS))
+        await asyncio.sleep(self._fault_state.rng.uniform(*LATE_SECONDS))
         await apply()
 
     def _fail(self, error: StoreError) -> Result[T, StoreError]:
--- a/packages/bench/src/medlarspring_bench/platform_world/virtual_time.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/virtual_time.py
@@ -69,7 +69,7 @@
         return self._virtual_clock.now()
 
 
-def spawn_apart(
+def spawn_detached(
     work: Coroutine[None, None, None], kept: set[asyncio.Task[None]]
 ) -> None:
     """Run what belongs to the platform, whichever process set it off.
@@ -106,5 +106,5 @@
     "VirtualClock",
     "VirtualEventLoop",
     "run_virtual",
-    "spawn_apart",
+    "spawn_detached",
 ]
--- a/packages/bench/src/medlarspring_bench/platform_world/worker_model.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/worker_model.py
@@ -28,7 +28,7 @@
 """A long-running task is at work so long after its start."""
 
 
-class Temper(Enum):
+class WorkerBehavior(Enum):
     """How a worker treats what it runs."""
 
     SOUND = "sound"
@@ -86,7 +86,7 @@
     born_at: Seconds = 0.0
     alive: bool = True
     draining: bool = False
-    temper: Temper = Temper.SOUND
+    behavior: WorkerBehavior = WorkerBehavior.SOUND
     slowness: float = 1.0
     fence: int = 0
     lease_ms: int = 0
@@ -183,10 +183,10 @@
             return
         elapsed = now - run.advanced_at
         run.advanced_at = now
-        if self.temper is Temper.HANGING:
+        if self.behavior is WorkerBehavior.HANGING:
             return
         run.progress += elapsed / self.slowness
-        if self.temper is Temper.FAILING or run.facts.hopeless:
+        if self.behavior is WorkerBehavior.FAILING or run.facts.hopeless:
             if now - run.started_at > 0.1:  # noqa: PLR2004
                 self._end(run, RunEnd.FAILED)
             return
@@ -214,7 +214,7 @@
         capped = min(until_ms, clock_ms + HOLD_MAX_MS)
         self.lease_ms = max(self.lease_ms, capped)
 
-    def measure_with(self, spec: StepSpec) -> Resources:
+    def sum_resources_with(self, spec: StepSpec) -> Resources:
         """Return what all runs and one more hold; those being stopped count too."""
         specs = [spec, *(run.facts.spec for run in self.runs.values())]
         return Resources(
@@ -223,11 +223,11 @@
         )
 
     def _has_room(self, spec: StepSpec) -> bool:
-        needed = self.measure_with(spec)
+        needed = self.sum_resources_with(spec)
         return (
             needed.cpu_millis <= self.resources.cpu_millis
             and needed.memory_mb <= self.resources.memory_mb
         )
 
 
-__all__ = ["TaskFacts", "Temper", "WorkerModel", "WorkerRun"]
+__all__ = ["TaskFacts", "WorkerBehavior", "WorkerModel", "WorkerRun"]
--- a/packages/bench/src/medlarspring_bench/platform_world/world.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/world.py
@@ -14,6 +14,7 @@
 from medlarspring_bench.key_value_ops import DeleteOp, PutOp, RangeOp, RangeReply
 from medlarspring_bench.key_value_state import KeyValueState
 from medlarspring_bench.platform_world.calls import SimulatedLifecycle, SimulatedOrders
+from medlarspring_bench.platform_world.fault_state import FaultState, StoreMode
 from medlarspring_bench.platform_world.fleet_model import FleetModel
 from medlarspring_bench.platform_world.history import History
 from medlarspring_bench.platform_world.plans import (
@@ -24,7 +25,6 @@
     write_operator_config,
 )
 from medlarspring_bench.platform_world.store import SimulatedStore
-from medlarspring_bench.platform_world.weather import StoreMood, Weather
 from medlarspring_daemon.scheduling.context import SchedulingNode
 from medlarspring_daemon.scheduling.service import create_scheduling_service
 from medlarspring_platform.operator_records import PlatformCodec
@@ -68,7 +68,7 @@
         self.clock = clock
         self.rng = random.Random(seed)
         self.history = History()
-        self.weather = Weather(random.Random(seed + 1))
+        self.weather = FaultState(random.Random(seed + 1))
         self.state = KeyValueState(clock)
         self.facts_by_task: dict[str, TaskFacts] = {}
         self.fleet = FleetModel(
@@ -165,7 +165,7 @@
         node = self.nodes_by_name.pop(name, None)
         if node is None:
             return
-        self.weather.dead_nodes.add(node.incarnation)
+        self.weather.dead_incarnations.add(node.incarnation)
         for task in list(self._tasks_by_owner.pop(node.incarnation, ())):
             task.cancel()
 
@@ -179,7 +179,7 @@
             await node.service.stop()
         finally:
             _owner.reset(token)
-        self.weather.dead_nodes.add(node.incarnation)
+        self.weather.dead_incarnations.add(node.incarnation)
         for task in list(self._tasks_by_owner.pop(node.incarnation, ())):
             task.cancel()
 
@@ -234,7 +234,7 @@
     async def _expire_leases(self) -> None:
         while True:
             weather = self.weather
-            if weather.leases_pause and weather.store_mood is not StoreMood.WELL:
+            if weather.leases_pause and weather.store_mode is not StoreMode.WELL:
                 for lease in self.state.leases_by_id.values():
                     lease.expires_at += LEASE_TICK_SECONDS
             self.state.expire_leases()
--- a/packages/bench/src/medlarspring_bench/soak/faults.py
+++ b/packages/bench/src/medlarspring_bench/soak/faults.py
@@ -5,6 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING, TypeAlias
 
+from medlarspring_bench.platform_world.fault_state import StoreMode
 from medlarspring_bench.platform_world.faults import (
     crash_worker,
     drain_worker,
@@ -21,7 +22,6 @@
     spoil_worker,
     take_store_down,
 )
-from medlarspring_bench.platform_world.weather import StoreMood
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -94,8 +94,8 @@
     name = day.choose_node()
     if name is None:
         return
-    moods = day.world.weather.moods_by_node
-    moods[name] = day.rng.choice((StoreMood.BUSY, StoreMood.SILENT))
+    moods = day.world.weather.store_modes_by_node
+    moods[name] = day.rng.choice((StoreMode.BUSY, StoreMode.SILENT))
     await asyncio.sleep(day.rng.uniform(*CUT_SECONDS))
     moods.pop(name, None)
 
--- a/packages/bench/src/medlarspring_bench/soak/installation.py
+++ b/packages/bench/src/medlarspring_bench/soak/installation.py
@@ -11,6 +11,7 @@
 from medlarspring_adapters.clock import SystemClock
 from medlarspring_bench.key_value_ops import PutOp
 from medlarspring_bench.key_value_state import KeyValueState
+from medlarspring_bench.platform_world.fault_state import FaultState, StoreMode
 from medlarspring_bench.platform_world.fleet_model import FleetModel
 from medlarspring_bench.platform_world.history import History
 from medlarspring_bench.platform_world.http_fleet import HttpFleet
@@ -22,7 +23,6 @@
     order_wave,
     write_operator_config,
 )
-from medlarspring_bench.platform_world.weather import StoreMood, Weather
 from medlarspring_bench.soak.proxy import Link
 from medlarspring_bench.standins.server import GatedApp
 from medlarspring_tables import PoolId, VMId
@@ -60,7 +60,7 @@
         self.clock = SystemClock()
         self.rng = random.Random(seed)
         self.history = History()
-        self.weather = Weather(random.Random(seed + 1))
+        self.weather = FaultState(random.Random(seed + 1))
         self.state = KeyValueState(self.clock)
         self.facts_by_task: dict[str, TaskFacts] = {}
         self.nodes_by_name: dict[str, EntryVM] = {}
@@ -162,7 +162,7 @@
 
     def _expire_leases(self, elapsed: Seconds) -> None:
         weather = self.weather
-        if weather.leases_pause and weather.store_mood is not StoreMood.WELL:
+        if weather.leases_pause and weather.store_mode is not StoreMode.WELL:
             for lease in self.state.leases_by_id.values():
                 lease.expires_at += elapsed
         self.state.expire_leases()
--- a/packages/bench/src/medlarspring_bench/soak/play.py
+++ b/packages/bench/src/medlarspring_bench/soak/play.py
@@ -11,11 +11,11 @@
 
 from medlarspring_bench.platform_world.checks import Breach, check_history
 from medlarspring_bench.platform_world.customers import Customers
-from medlarspring_bench.platform_world.plans import WorldPlan
-from medlarspring_bench.platform_world.verdicts import (
+from medlarspring_bench.platform_world.outcomes import (
     find_left_running,
     find_unfinished,
 )
+from medlarspring_bench.platform_world.plans import WorldPlan
 from medlarspring_bench.soak.desk import HttpDesk
 from medlarspring_bench.soak.entry_vms import EntryVMs
 from medlarspring_bench.soak.faults import FAULTS
--- a/packages/bench/tests/test_experiment.py
+++ b/packages/bench/tests/test_experiment.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from medlarspring_bench.experiment.ablation import ALL_ON, PLANS, Task, play
+from medlarspring_bench.experiment.ablation import ALL_ON, PLANS, Variant, run_variant
+from medlarspring_bench.experiment.bursts import BurstPlan, run_bursts
 from medlarspring_bench.experiment.mechanisms import MECHANISMS
-from medlarspring_bench.experiment.turns import TurnPlan, play_turns
 
-SHORT = TurnPlan(queues=2, cycles=1, turn_seconds=4.0, kills=(4.5,))
+SHORT = BurstPlan(queues=2, cycles=1, burst_seconds=4.0, kills=(4.5,))
 
 
 def test_same_seed_gives_the_same_play():
-    first, second = play_turns(SHORT, 3), play_turns(SHORT, 3)
+    first, second = run_bursts(SHORT, 3), run_bursts(SHORT, 3)
     assert (first.jobs, first.in_time, first.moves) == (
         second.jobs,
         second.in_time,
@@ -33,11 +33,11 @@
     """What each mechanism is worth is measured in time, never in broken promises."""
     for mechanism in MECHANISMS:
         with mechanism.switched_off():
-            assert play_turns(SHORT, 1).breaches == []
+            assert run_bursts(SHORT, 1).breaches == []
 
 
 def test_names_of_plans_and_mechanisms_lead_to_plays():
     assert {each.name for each in MECHANISMS}
     assert len({each.name for each in MECHANISMS}) == len(MECHANISMS)
-    assert play(Task("calm", ALL_ON, 1)).in_time_part > 0.9
+    assert run_variant(Variant("calm", ALL_ON, 1)).in_time_part > 0.9
     assert set(PLANS) == {"calm", "overload", "takeovers", "cold-start"}
--- a/packages/bench/tests/test_platform_days.py
+++ b/packages/bench/tests/test_platform_days.py
@@ -16,8 +16,8 @@
     SECOND_FAULTS,
     SEVENTH_FAULTS,
     SIXTH_FAULTS,
+    DayOutcome,
     FaultTable,
-    Verdict,
     play_day,
 )
 from medlarspring_bench.platform_world.plans import WorldPlan
@@ -60,14 +60,14 @@
 """Seed, faults and their table of days that once showed a breach, with its cause."""
 
 
-def explain(verdict: Verdict) -> str:
+def explain(verdict: DayOutcome) -> str:
     """Return what a failed day shows, to be read in the test's report."""
     return f"seed {verdict.seed}: {verdict.breaches[:5]} {verdict.unfinished[:5]}" + (
         f" faults: {verdict.faults}"
     )
 
 
-def assert_kept(verdict: Verdict) -> None:
+def assert_kept(verdict: DayOutcome) -> None:
     assert verdict.breaches == [], explain(verdict)
     assert verdict.unfinished == [], explain(verdict)
     assert verdict.accepted > 10, explain(verdict)
--- a/packages/daemon/tests/scheduling/test_intake.py
+++ b/packages/daemon/tests/scheduling/test_intake.py
@@ -9,9 +9,9 @@
 from returns.pipeline import is_successful
 
 from medlarspring_bench.platform_world.customers import Customers
+from medlarspring_bench.platform_world.fault_state import StoreMode
 from medlarspring_bench.platform_world.plans import HOST, WorldPlan
 from medlarspring_bench.platform_world.virtual_time import run_virtual
-from medlarspring_bench.platform_world.weather import StoreMood
 from medlarspring_bench.platform_world.world import World
 from medlarspring_daemon.scheduling.intake_errors import NotReady, OutcomeUnknown
 
@@ -46,15 +46,15 @@
     return answer, world.clock.now() - sent_at
 
 
-@pytest.mark.parametrize("mood", [StoreMood.BUSY, StoreMood.SILENT])
-def test_calls_are_refused_at_once_while_the_store_is_lost(mood: StoreMood):
+@pytest.mark.parametrize("mood", [StoreMode.BUSY, StoreMode.SILENT])
+def test_calls_are_refused_at_once_while_the_store_is_lost(mood: StoreMode):
     """
     The store is down for some seconds. A call that waits until the customer's deadline
     gets no answer in time. An immediate refusal tells the customer when to retry.
     """
 
     async def scenario(world: World, customers: Customers) -> None:
-        world.weather.store_mood = mood
+        world.weather.store_mode = mood
         await submit(world, customers)
         answer, took = await submit(world, customers)
         assert isinstance(answer.failure(), NotReady)
@@ -74,7 +74,7 @@
 
 def test_retry_after_grows_with_the_length_of_an_outage():
     async def scenario(world: World, customers: Customers) -> None:
-        world.weather.store_mood = StoreMood.BUSY
+        world.weather.store_mode = StoreMode.BUSY
         first, _ = await submit(world, customers)
         assert first.failure().retry_after == 1
         await asyncio.sleep(3.0)
@@ -86,10 +86,10 @@
 
 def test_calls_succeed_as_soon_as_the_store_recovers():
     async def scenario(world: World, customers: Customers) -> None:
-        world.weather.store_mood = StoreMood.SILENT
+        world.weather.store_mode = StoreMode.SILENT
         await submit(world, customers)
         await asyncio.sleep(2.0)
-        world.weather.store_mood = StoreMood.WELL
+        world.weather.store_mode = StoreMode.WELL
         await asyncio.sleep(0.3)
         answer, took = await submit(world, customers)
         assert is_successful(answer)
@@ -106,7 +106,7 @@
     """
 
     async def scenario(world: World, customers: Customers) -> None:
-        world.weather.store_mood = StoreMood.SILENT
+        world.weather.store_mode = StoreMode.SILENT
         answer, took = await submit(world, customers)
         assert isinstance(answer.failure(), OutcomeUnknown)
         assert took < MAX_ANSWER_SECONDS
--- a/packages/daemon/tests/scheduling/test_takeover.py
+++ b/packages/daemon/tests/scheduling/test_takeover.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from medlarspring_bench.key_value_ops import PutOp, RangeOp, RangeReply
-from medlarspring_bench.platform_world.weather import StoreMood
+from medlarspring_bench.platform_world.fault_state import StoreMode
 
 from .scenarios import run_scenario, submit, wait_for_end
 
@@ -86,10 +86,10 @@
     async def scenario(world: World, customers: Customers) -> None:
         controller = world.find_controller()
         world.weather.leases_pause = True
-        world.weather.store_mood = StoreMood.BUSY
+        world.weather.store_mode = StoreMode.BUSY
         await asyncio.sleep(4.0)
         assert world.find_controller() is None
-        world.weather.store_mood = StoreMood.WELL
+        world.weather.store_mode = StoreMode.WELL
         await asyncio.sleep(0.3)
         assert world.find_controller() == controller
         await wait_for_end(customers, await submit(customers))
@@ -167,11 +167,11 @@
         jobs = await submit(customers)
         controller = world.find_controller()
         assert controller is not None
-        world.weather.moods_by_node[controller] = StoreMood.BUSY
+        world.weather.store_modes_by_node[controller] = StoreMode.BUSY
         world.revoke_controller()
         await asyncio.sleep(3.0)
         assert world.find_controller() not in (None, controller)
-        world.weather.moods_by_node.clear()
+        world.weather.store_modes_by_node.clear()
         await wait_for_end(customers, jobs)
 
     run_scenario(scenario, SEED)
@@ -227,9 +227,9 @@
         while world.find_controller() is None:
             await asyncio.sleep(0.001)
         world.weather.leases_pause = True
-        world.weather.store_mood = StoreMood.BUSY
+        world.weather.store_mode = StoreMode.BUSY
         await asyncio.sleep(4.0)
-        world.weather.store_mood = StoreMood.WELL
+        world.weather.store_mode = StoreMode.WELL
         await wait_for_end(customers, jobs)
 
     run_scenario(scenario, SEED)
--- a/packages/daemon/tests/scheduling/test_worker_calls.py
+++ b/packages/daemon/tests/scheduling/test_worker_calls.py
@@ -9,7 +9,7 @@
 import pytest
 
 from medlarspring_bench.platform_world.calls import SimulatedOrders
-from medlarspring_bench.platform_world.weather import StoreMood
+from medlarspring_bench.platform_world.fault_state import StoreMode
 
 from .scenarios import run_scenario, submit, wait_for_end
 
@@ -60,11 +60,11 @@
         world.weather.leases_pause = True
         jobs = await submit(customers, 12)
         await asyncio.sleep(0.1)
-        world.weather.store_mood = StoreMood.BUSY
+        world.weather.store_mode = StoreMode.BUSY
         before = Counter(calls_by_worker)
         await asyncio.sleep(OUTAGE_SECONDS)
         most = max((calls_by_worker - before).values())
-        world.weather.store_mood = StoreMood.WELL
+        world.weather.store_mode = StoreMode.WELL
         assert most <= CALLS_PER_SECOND * OUTAGE_SECONDS
         await wait_for_end(customers, jobs)
 
--- a/packages/platform/tests/adapter/conftest.py
+++ b/packages/platform/tests/adapter/conftest.py
@@ -10,11 +10,11 @@
 from medlarspring_adapters.clock import SystemClock
 from medlarspring_adapters.metrics import NoMetrics
 from medlarspring_bench.key_value_state import KeyValueState
+from medlarspring_bench.platform_world.fault_state import FaultState
 from medlarspring_bench.platform_world.fleet_model import FleetModel
 from medlarspring_bench.platform_world.history import History
 from medlarspring_bench.platform_world.http_fleet import HttpFleet
 from medlarspring_bench.platform_world.http_store import HttpStore
-from medlarspring_bench.platform_world.weather import Weather
 from medlarspring_bench.standins.server import GatedApp
 from medlarspring_platform.machines import PlatformMachines
 from medlarspring_platform.store import PlatformStore
@@ -37,7 +37,7 @@
     """Stand-ins for the platform on loopback, and the adapter's clients for them."""
 
     state: KeyValueState
-    weather: Weather
+    weather: FaultState
     fleet: FleetModel
     facts_by_task: dict[str, TaskFacts]
     store: PlatformStore
@@ -55,7 +55,7 @@
 async def platform() -> AsyncIterator[Platform]:
     clock = SystemClock()
     state = KeyValueState(clock)
-    weather = Weather(random.Random(1), store_seconds=0.0)
+    weather = FaultState(random.Random(1), store_seconds=0.0)
     facts: dict[str, TaskFacts] = {}
     addresses: dict[str, str] = {}
     fleet = FleetModel(
--- a/packages/platform/tests/adapter/test_jobs_frontend.py
+++ b/packages/platform/tests/adapter/test_jobs_frontend.py
@@ -17,12 +17,12 @@
 from medlarspring_adapters.events import create_event_log
 from medlarspring_adapters.metrics import NoMetrics
 from medlarspring_bench.key_value_ops import PutOp
+from medlarspring_bench.platform_world.fault_state import StoreMode
 from medlarspring_bench.platform_world.plans import (
     HOST,
     WorldPlan,
     write_operator_config,
 )
-from medlarspring_bench.platform_world.weather import StoreMood
 from medlarspring_daemon.scheduling.context import SchedulingNode
 from medlarspring_daemon.scheduling.service import create_scheduling_service
 from medlarspring_platform.jobs_frontend import JobsFrontend
@@ -184,7 +184,7 @@
 async def test_refusal_during_store_outage_has_retry_after(
     frontend: Frontend,
 ):
-    frontend.platform.weather.store_mood = StoreMood.BUSY
+    frontend.platform.weather.store_mode = StoreMode.BUSY
     status, answer, retry_after = await frontend.submit()
     assert status == 503
     assert answer["error"] == "not-ready"
@@ -203,7 +203,7 @@
     url = f"http://{frontend.address}/lookup/{JOB}"
     headers = {"Host": HOST, "X-Medlarspring-Deadline-Ms": "800"}
     body = json.dumps(BODY) if method == "POST" else None
-    frontend.platform.weather.store_mood = StoreMood.BUSY
+    frontend.platform.weather.store_mode = StoreMode.BUSY
     async with frontend.session.request(
         method, url, data=body, headers=headers
     ) as response:
--- a/packages/platform/tests/adapter/test_store.py
+++ b/packages/platform/tests/adapter/test_store.py
@@ -17,7 +17,7 @@
     StoreUnavailable,
     Transaction,
 )
-from medlarspring_bench.platform_world.weather import StoreMood
+from medlarspring_bench.platform_world.fault_state import StoreMode
 from medlarspring_platform.store import MAX_WATCH_RETRY_SECONDS
 from medlarspring_tables import Revision
 
@@ -72,11 +72,11 @@
 
 
 async def test_refused_write_had_no_effect(platform: Platform):
-    platform.weather.store_mood = StoreMood.BUSY
+    platform.weather.store_mode = StoreMode.BUSY
     refused = await platform.store.commit(create("a/1"))
     assert isinstance(refused.failure(), StoreUnavailable)
     assert platform.store.failing_since is not None
-    platform.weather.store_mood = StoreMood.WELL
+    platform.weather.store_mode = StoreMode.WELL
     assert (await platform.store.read("a/1")).unwrap() is None
     assert platform.store.failing_since is None
 
@@ -123,12 +123,12 @@
     watch = platform.store.watch("a/", Revision(platform.state.revision + 1))
     next_batch = asyncio.ensure_future(anext(watch))
     await asyncio.sleep(0.05)
-    platform.weather.store_mood = StoreMood.BUSY
+    platform.weather.store_mode = StoreMode.BUSY
     await asyncio.sleep(1.2)  # The watch call opened before has returned.
     await platform.store.read("a/1")
     await asyncio.sleep(0.5)
     assert platform.store.failing_since is not None
-    platform.weather.store_mood = StoreMood.WELL
+    platform.weather.store_mode = StoreMode.WELL
     async with asyncio.timeout(MAX_WATCH_RETRY_SECONDS + 0.3):
         while platform.store.failing_since is not None:
             await asyncio.sleep(0.01)
@@ -137,6 +137,6 @@
 
 async def test_unresponsive_store_is_a_failure(platform: Platform):
     await platform.store.close()
-    platform.weather.store_mood = StoreMood.SILENT
+    platform.weather.store_mode = StoreMode.SILENT
     silent = await platform.store.read("a/1")
     assert not is_successful(silent)
