--- a/packages/bench/src/medlarspring_bench/platform_world/calls.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/calls.py
@@ -50,13 +50,13 @@
     def __init__(
         self,
         fleet: FleetModel,
-        weather: FaultState,
+        fault_state: FaultState,
         clock: Clock,
         node_id: str,
         incarnation: int,
     ) -> None:
         self._fleet = fleet
-        self._fault_state = weather
+        self._fault_state = fault_state
         self._clock = clock
         self._node_id = node_id
         self._incarnation = incarnation
@@ -187,13 +187,13 @@
     def __init__(
         self,
         fleet: FleetModel,
-        weather: FaultState,
+        fault_state: FaultState,
         clock: Clock,
         node_id: str,
         incarnation: int,
     ) -> None:
         self._fleet = fleet
-        self._fault_state = weather
+        self._fault_state = fault_state
         self._clock = clock
         self._node_id = node_id
         self._incarnation = incarnation
--- a/packages/bench/src/medlarspring_bench/platform_world/checks.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/checks.py
@@ -76,7 +76,7 @@
 
 
 def _is_acknowledged_done(run: RunHistory) -> bool:
-    return run.end is RunEnd.DONE and run.noted_at is not None
+    return run.end is RunEnd.DONE and run.acknowledged_at is not None
 
 
 def _check_order(history: History) -> list[Breach]:
@@ -122,10 +122,10 @@
     A copy may be on its way to a slow worker while the last attempt fails; from
     a second after that is noted, none may start any more.
     """
-    if failed.end is not RunEnd.FAILED or failed.noted_at is None:
+    if failed.end is not RunEnd.FAILED or failed.acknowledged_at is None:
         return False
     if copied:
-        return failed.noted_at + COPY_SECONDS <= later.started_at
+        return failed.acknowledged_at + COPY_SECONDS <= later.started_at
     return (failed.ended_at or 0.0) < later.started_at
 
 
@@ -190,7 +190,7 @@
     return [
         Breach("room", run.task_id, f"on {run.worker_id}")
         for run in history.runs
-        if run.over_room
+        if run.over_capacity
     ]
 
 
@@ -275,7 +275,7 @@
     """Each task that waits stands in the line of its pool."""
     return [
         Breach("forgotten", task_id, f"in no line at {at:.2f}")
-        for task_id, at in history.forgotten_at.items()
+        for task_id, at in history.unqueued_at.items()
     ]
 
 
--- a/packages/bench/src/medlarspring_bench/platform_world/customers.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/customers.py
@@ -67,7 +67,7 @@
         ...
 
 
-class Desk(Protocol):
+class JobClient(Protocol):
     """How a customer's call reaches an entry VM; answers are words."""
 
     async def submit(self, node: str, queue: str, job_id: JobId, spec: JobSpec) -> str:
@@ -83,7 +83,7 @@
         ...
 
 
-class InProcessDesk:
+class InProcessJobClient:
     """Calls the intake of an emulated entry VM directly."""
 
     def __init__(self, world: Installation) -> None:
@@ -119,11 +119,14 @@
     """All customers; each job is one customer's."""
 
     def __init__(
-        self, installation: Installation, rng: random.Random, desk: Desk | None = None
+        self,
+        installation: Installation,
+        rng: random.Random,
+        desk: JobClient | None = None,
     ) -> None:
         self._world = installation
         self._rng = rng
-        self._desk = InProcessDesk(installation) if desk is None else desk
+        self._client = InProcessJobClient(installation) if desk is None else desk
         self.accepted: set[JobId] = set()
         self.cancelled: set[JobId] = set()
         self._following: set[asyncio.Task[None]] = set()
@@ -132,7 +135,7 @@
         """Return a fresh id."""
         return JobId(f"{self._rng.getrandbits(64):016x}")
 
-    def create_batch(self, *, hopeless: bool = False) -> tuple[JobId, JobSpec]:
+    def create_batch(self, *, unrunnable: bool = False) -> tuple[JobId, JobSpec]:
         """Return a job of one to three steps with few tasks each."""
         job_id = self.create_job_id()
         steps = []
@@ -149,7 +152,7 @@
                 )
             )
         spec = JobSpec(payload=f"payload of {job_id}", steps=tuple(steps))
-        self.add_facts(job_id, spec, hopeless=hopeless)
+        self.add_facts(job_id, spec, unrunnable=unrunnable)
         return job_id, spec
 
     def create_crashing(self, after: Seconds) -> tuple[JobId, JobSpec]:
@@ -157,17 +160,17 @@
         job_id, spec = self.create_batch()
         index = self._rng.randrange(len(spec.steps))
         number = self._rng.randrange(spec.steps[index].count)
-        self.let_crash(f"{job_id}.0.{index}.{number}", after)
+        self.make_task_crash(f"{job_id}.0.{index}.{number}", after)
         return job_id, spec
 
-    def let_crash(self, task_id: str, after: Seconds) -> None:
+    def make_task_crash(self, task_id: str, after: Seconds) -> None:
         """Let a task crash each worker that starts it, so long after the start."""
         facts = self._world.facts_by_task[task_id]
         facts.crashes_after = after
         facts.seconds = max(facts.seconds, after + 0.1)
         self._world.history.crashing_tasks.add(task_id)
 
-    def create_lasting(self, count: int = 3) -> tuple[JobId, JobSpec]:
+    def create_long_running(self, count: int = 3) -> tuple[JobId, JobSpec]:
         """Return a job whose tasks run until it is cancelled."""
         job_id = self.create_job_id()
         step = StepSpec(
@@ -182,7 +185,7 @@
         return job_id, spec
 
     def add_facts(
-        self, job_id: JobId, spec: JobSpec, *, hopeless: bool = False
+        self, job_id: JobId, spec: JobSpec, *, unrunnable: bool = False
     ) -> None:
         """Decide how long the job's tasks take, and whether one can never be done."""
         self._world.history.specs_by_id[job_id] = spec
@@ -194,7 +197,7 @@
                     self._world.facts_by_task[task_id] = TaskFacts(
                         spec=step,
                         seconds=usual * self._rng.uniform(0.8, 1.2),
-                        hopeless=hopeless and index == 0 and number == 0,
+                        unrunnable=unrunnable and index == 0 and number == 0,
                     )
 
     def send(self, queue: str, job_id: JobId, spec: JobSpec) -> asyncio.Task[None]:
@@ -231,7 +234,7 @@
             node = self._choose_node()
             if node is not None:
                 sent_at = self._world.clock.now()
-                answer = await self._desk.cancel(node, job_id)
+                answer = await self._client.cancel(node, job_id)
                 self._record_call(CallKind.CANCEL, job_id, sent_at, node, answer)
                 if answer in ("ok", "no-such-job"):
                     return True
@@ -252,7 +255,7 @@
         if node is None:
             return "no-node"
         sent_at = self._world.clock.now()
-        answer = await self._desk.find_status(node, job_id)
+        answer = await self._client.find_status(node, job_id)
         self._record_call(CallKind.STATUS, job_id, sent_at, node, answer)
         return answer
 
@@ -269,7 +272,7 @@
         sent_at = self._world.clock.now()
         if node is None:
             return "no-node"
-        answer = await self._desk.submit(node, queue, job_id, spec)
+        answer = await self._client.submit(node, queue, job_id, spec)
         self._record_call(CallKind.SUBMIT, job_id, sent_at, node, answer)
         return answer
 
@@ -300,4 +303,4 @@
     return "ok" if status is None else status.value
 
 
-__all__ = ["Customers", "Desk", "InProcessDesk", "Installation"]
+__all__ = ["Customers", "JobClient", "InProcessJobClient", "Installation"]
--- a/packages/bench/src/medlarspring_bench/platform_world/days.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/days.py
@@ -49,8 +49,8 @@
 TRAFFIC_SECONDS = 20.0
 SETTLE_SECONDS = 40.0
 JOBS_PER_SECOND = 2.0
-CANCELLED_PART = 0.05
-HOPELESS_PART = 0.03
+CANCELLED_RATIO = 0.05
+UNRUNNABLE_PART = 0.03
 
 
 @dataclass(slots=True)
@@ -82,8 +82,8 @@
     async def play(self, fault_count: int) -> None:
         """Send load and faults, then wait until all is settled."""
         await asyncio.sleep(WARM_UP_SECONDS)
-        lasting = self.customers.create_lasting()
-        self.customers.send("archive", *lasting)
+        long_running_job = self.customers.create_long_running()
+        self.customers.send("archive", *long_running_job)
         faults = [
             asyncio.ensure_future(self._inject_fault()) for _ in range(fault_count)
         ]
@@ -95,11 +95,11 @@
         await asyncio.sleep(SETTLE_SECONDS)
 
     def _send_one(self) -> None:
-        hopeless = self.rng.random() < HOPELESS_PART
-        job_id, spec = self.customers.create_batch(hopeless=hopeless)
+        unrunnable = self.rng.random() < UNRUNNABLE_PART
+        job_id, spec = self.customers.create_batch(unrunnable=unrunnable)
         queue = self.rng.choice(("lookup", "check"))
         self.customers.send(queue, job_id, spec)
-        if self.rng.random() < CANCELLED_PART:
+        if self.rng.random() < CANCELLED_RATIO:
             asyncio.get_running_loop().call_later(
                 self.rng.uniform(0.1, 2.0), self._cancel, job_id
             )
@@ -162,7 +162,7 @@
     if name is None:
         return
     seconds = day.rng.uniform(1.0, 5.0)
-    day.world.weather.frozen_until[name] = day.world.clock.now() + seconds
+    day.world.fault_state.frozen_until[name] = day.world.clock.now() + seconds
     await asyncio.sleep(seconds)
 
 
@@ -172,9 +172,9 @@
     if name is None:
         return
     mode = day.rng.choice((StoreMode.BUSY, StoreMode.SILENT))
-    day.world.weather.store_modes_by_node[name] = mode
+    day.world.fault_state.store_modes_by_node[name] = mode
     await asyncio.sleep(day.rng.uniform(1.0, 8.0))
-    day.world.weather.store_modes_by_node.pop(name, None)
+    day.world.fault_state.store_modes_by_node.pop(name, None)
 
 
 async def cut_node(day: Day) -> None:
@@ -182,33 +182,33 @@
     name = day.choose_node()
     if name is None:
         return
-    weather = day.world.weather
-    weather.store_modes_by_node[name] = StoreMode.SILENT
+    fault_state = day.world.fault_state
+    fault_state.store_modes_by_node[name] = StoreMode.SILENT
     vms = [vm for vm in day.world.fleet.vms_by_id if day.rng.random() < 0.5]  # noqa: PLR2004
     links = {(name, vm) for vm in vms} | {(name, VM_CONTROL)}
-    weather.cut_links |= links
+    fault_state.cut_links |= links
     if day.rng.random() < 0.5:  # noqa: PLR2004
         await asyncio.sleep(0.05)
         day.world.revoke_controller()
     await asyncio.sleep(day.rng.uniform(1.0, 7.0))
-    weather.store_modes_by_node.pop(name, None)
-    weather.cut_links -= links
+    fault_state.store_modes_by_node.pop(name, None)
+    fault_state.cut_links -= links
 
 
 async def cut_worker(day: Day) -> None:
     """Cut one worker off from all nodes; it runs on."""
     vm = day.choose_vm()
     links = {(name, vm) for name in day.world.nodes_by_name}
-    day.world.weather.cut_links |= links
+    day.world.fault_state.cut_links |= links
     await asyncio.sleep(day.rng.uniform(1.0, 12.0))
-    day.world.weather.cut_links -= links
+    day.world.fault_state.cut_links -= links
 
 
 async def lose_orders(day: Day) -> None:
     """Leave some orders unanswered, and carry them out seconds later."""
-    day.world.weather.lost_orders = 0.15
+    day.world.fault_state.lost_orders = 0.15
     await asyncio.sleep(day.rng.uniform(1.0, 5.0))
-    day.world.weather.lost_orders = 0.0
+    day.world.fault_state.lost_orders = 0.0
 
 
 async def cancel_without_controller(day: Day) -> None:
--- a/packages/bench/src/medlarspring_bench/platform_world/faults.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/faults.py
@@ -30,11 +30,11 @@
 FLAP_UP_SECONDS = (1.2, 3.0)
 
 
-class StruckPlatform(Protocol):
+class FaultTarget(Protocol):
     """The platform that a fault befalls."""
 
     @property
-    def weather(self) -> FaultState:
+    def fault_state(self) -> FaultState:
         """What is out of order at present."""
         ...
 
@@ -54,11 +54,11 @@
         ...
 
 
-class Scene(Protocol):
+class FaultContext(Protocol):
     """What a fault needs of the day on which it strikes."""
 
     @property
-    def world(self) -> StruckPlatform:
+    def world(self) -> FaultTarget:
         """The platform."""
         ...
 
@@ -77,135 +77,137 @@
         ...
 
 
-async def take_store_down(scene: Scene) -> None:
+async def take_store_down(context: FaultContext) -> None:
     """Let the store answer nobody."""
-    mode = scene.rng.choice((StoreMode.BUSY, StoreMode.SILENT))
-    scene.world.weather.store_mode = mode
-    await asyncio.sleep(scene.rng.uniform(1.0, 5.0))
-    scene.world.weather.store_mode = StoreMode.WELL
+    mode = context.rng.choice((StoreMode.BUSY, StoreMode.SILENT))
+    context.world.fault_state.store_mode = mode
+    await asyncio.sleep(context.rng.uniform(1.0, 5.0))
+    context.world.fault_state.store_mode = StoreMode.WELL
 
 
-async def pause_store(scene: Scene) -> None:
+async def pause_store(context: FaultContext) -> None:
     """Let the store answer nobody, and its leases stand still meanwhile."""
-    scene.world.weather.leases_pause = True
-    await take_store_down(scene)
-    scene.world.weather.leases_pause = False
+    context.world.fault_state.leases_pause = True
+    await take_store_down(context)
+    context.world.fault_state.leases_pause = False
 
 
-async def slow_store(scene: Scene) -> None:
+async def slow_store(context: FaultContext) -> None:
     """Let the store answer late."""
-    scene.world.weather.store_seconds = 0.2
-    await asyncio.sleep(scene.rng.uniform(1.0, 5.0))
-    scene.world.weather.store_seconds = 0.004
+    context.world.fault_state.store_seconds = 0.2
+    await asyncio.sleep(context.rng.uniform(1.0, 5.0))
+    context.world.fault_state.store_seconds = 0.004
 
 
-async def lose_replies(scene: Scene) -> None:
+async def lose_replies(context: FaultContext) -> None:
     """Lose the answers to some writes, some of which come late."""
-    scene.world.weather.lost_replies = 0.35
-    scene.world.weather.late_writes = scene.rng.choice((0.0, 0.5))
-    await asyncio.sleep(scene.rng.uniform(1.0, 5.0))
-    scene.world.weather.lost_replies = 0.0
+    context.world.fault_state.lost_replies = 0.35
+    context.world.fault_state.late_writes = context.rng.choice((0.0, 0.5))
+    await asyncio.sleep(context.rng.uniform(1.0, 5.0))
+    context.world.fault_state.lost_replies = 0.0
 
 
-async def forget_history(scene: Scene) -> None:
+async def forget_history(context: FaultContext) -> None:
     """Drop the store's history; watches are cut."""
-    scene.world.forget_history()
+    context.world.forget_history()
 
 
-async def crash_worker(scene: Scene) -> None:
+async def crash_worker(context: FaultContext) -> None:
     """End a worker without notice."""
-    scene.world.fleet.crash(scene.choose_vm(), scene.rng.uniform(1.0, 6.0))
+    context.world.fleet.crash(context.choose_vm(), context.rng.uniform(1.0, 6.0))
 
 
-async def restart_worker(scene: Scene) -> None:
+async def restart_worker(context: FaultContext) -> None:
     """Let a worker start again under its id, unseen or after a while."""
-    seconds = scene.rng.choice((0.0, scene.rng.uniform(0.2, 3.0)))
-    scene.world.fleet.restart(scene.choose_vm(), seconds)
+    seconds = context.rng.choice((0.0, context.rng.uniform(0.2, 3.0)))
+    context.world.fleet.restart(context.choose_vm(), seconds)
 
 
-async def restart_pool(scene: Scene) -> None:
+async def restart_pool(context: FaultContext) -> None:
     """Let all workers of a pool start again under their ids."""
-    fleet = scene.world.fleet
-    pool_id = fleet.vms_by_id[scene.choose_vm()].pool_id
-    seconds = scene.rng.choice((0.0, scene.rng.uniform(0.2, 3.0)))
+    fleet = context.world.fleet
+    pool_id = fleet.vms_by_id[context.choose_vm()].pool_id
+    seconds = context.rng.choice((0.0, context.rng.uniform(0.2, 3.0)))
     for vm in list(fleet.vms_by_id.values()):
         if vm.pool_id == pool_id:
             fleet.restart(vm.id, seconds)
 
 
-async def drain_worker(scene: Scene) -> None:
+async def drain_worker(context: FaultContext) -> None:
     """Let a worker leave after its notice."""
-    scene.world.fleet.drain(scene.choose_vm(), scene.rng.uniform(2.0, 6.0))
+    context.world.fleet.drain(context.choose_vm(), context.rng.uniform(2.0, 6.0))
 
 
-async def resize_worker(scene: Scene) -> None:
+async def resize_worker(context: FaultContext) -> None:
     """Let a worker's room shrink for a while, and grow again."""
-    vm = scene.world.fleet.vms_by_id[scene.choose_vm()]
-    part = scene.rng.uniform(0.1, 0.7)
+    vm = context.world.fleet.vms_by_id[context.choose_vm()]
+    part = context.rng.uniform(0.1, 0.7)
     smaller = Resources(
         round(vm.resources.cpu_millis * part), round(vm.resources.memory_mb * part)
     )
-    scene.world.fleet.resize(vm.id, smaller)
-    await asyncio.sleep(scene.rng.uniform(2.0, 8.0))
-    if vm.id in scene.world.fleet.vms_by_id:
-        scene.world.fleet.resize(vm.id, vm.resources)
+    context.world.fleet.resize(vm.id, smaller)
+    await asyncio.sleep(context.rng.uniform(2.0, 8.0))
+    if vm.id in context.world.fleet.vms_by_id:
+        context.world.fleet.resize(vm.id, vm.resources)
 
 
-async def spoil_worker(scene: Scene) -> None:
+async def spoil_worker(context: FaultContext) -> None:
     """Let a worker fail or keep all that it starts."""
-    vm = scene.world.fleet.vms_by_id[scene.choose_vm()]
+    vm = context.world.fleet.vms_by_id[context.choose_vm()]
     worker = vm.worker
     if worker is None:
         return
-    worker.behavior = scene.rng.choice((WorkerBehavior.FAILING, WorkerBehavior.HANGING))
-    await asyncio.sleep(scene.rng.uniform(2.0, 6.0))
+    worker.behavior = context.rng.choice(
+        (WorkerBehavior.FAILING, WorkerBehavior.HANGING)
+    )
+    await asyncio.sleep(context.rng.uniform(2.0, 6.0))
     worker.behavior = WorkerBehavior.SOUND
 
 
-async def order_wave(scene: Scene) -> None:
+async def order_wave(context: FaultContext) -> None:
     """Order maintenance of half of the VMs."""
-    vms = [vm for vm in scene.world.fleet.vms_by_id if scene.rng.random() < 0.5]  # noqa: PLR2004
+    vms = [vm for vm in context.world.fleet.vms_by_id if context.rng.random() < 0.5]  # noqa: PLR2004
     if vms:
-        number = len(scene.world.fleet.waves) + 1
-        scene.world.order_wave(number, vms, scene.rng.randint(1, 4), 25)
+        number = len(context.world.fleet.waves) + 1
+        context.world.order_wave(number, vms, context.rng.randint(1, 4), 25)
 
 
-async def flap_workers(scene: Scene) -> None:
+async def flap_workers(context: FaultContext) -> None:
     """Let a few VMs go down and up by turns."""
-    vms = [scene.choose_vm() for _ in range(FLAPPING_VMS)]
-    up_seconds = scene.rng.uniform(*FLAP_UP_SECONDS)
+    vms = [context.choose_vm() for _ in range(FLAPPING_VMS)]
+    up_seconds = context.rng.uniform(*FLAP_UP_SECONDS)
     for _ in range(FLAPS):
         for vm_id in vms:
-            if vm_id in scene.world.fleet.vms_by_id:
-                scene.world.fleet.crash(vm_id, FLAP_DOWN_SECONDS)
-            await asyncio.sleep(scene.rng.uniform(0.0, 0.3))
+            if vm_id in context.world.fleet.vms_by_id:
+                context.world.fleet.crash(vm_id, FLAP_DOWN_SECONDS)
+            await asyncio.sleep(context.rng.uniform(0.0, 0.3))
         await asyncio.sleep(up_seconds)
 
 
-async def remove_worker(scene: Scene) -> None:
+async def remove_worker(context: FaultContext) -> None:
     """End a VM for good, without notice."""
-    if len(scene.world.fleet.vms_by_id) > MIN_VMS:
-        scene.world.fleet.remove(scene.choose_vm())
+    if len(context.world.fleet.vms_by_id) > MIN_VMS:
+        context.world.fleet.remove(context.choose_vm())
 
 
-async def send_crashing_job(scene: Scene) -> None:
+async def send_crashing_job(context: FaultContext) -> None:
     """Submit a job of which one task crashes each worker that starts it."""
-    queue = scene.rng.choice(("lookup", "check"))
-    scene.customers.send(queue, *scene.customers.create_crashing(CRASH_SECONDS))
+    queue = context.rng.choice(("lookup", "check"))
+    context.customers.send(queue, *context.customers.create_crashing(CRASH_SECONDS))
 
 
-async def send_late_crashing_job(scene: Scene) -> None:
+async def send_late_crashing_job(context: FaultContext) -> None:
     """Submit a job of which one task crashes each worker some time after its start."""
-    queue = scene.rng.choice(("lookup", "check"))
-    after = scene.rng.uniform(*LATE_CRASH_SECONDS)
-    scene.customers.send(queue, *scene.customers.create_crashing(after))
+    queue = context.rng.choice(("lookup", "check"))
+    after = context.rng.uniform(*LATE_CRASH_SECONDS)
+    context.customers.send(queue, *context.customers.create_crashing(after))
 
 
 __all__ = [
     "CRASH_SECONDS",
     "MIN_VMS",
-    "Scene",
-    "StruckPlatform",
+    "FaultContext",
+    "FaultTarget",
     "crash_worker",
     "drain_worker",
     "flap_workers",
--- a/packages/bench/src/medlarspring_bench/platform_world/fleet_model.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/fleet_model.py
@@ -38,7 +38,7 @@
 """A worker that starts again is away for so long at least."""
 CRASH_DOWNTIME_SECONDS = (1.0, 4.0)
 """How long a worker is away that a task crashed."""
-SAME_ID_PART = 0.3
+SAME_ID_RATIO = 0.3
 """Part of the crashed workers that are back under the ids that they had."""
 SHRINK_GRACE_SECONDS = 4.5
 """A smaller room is held against starts from so long after it was told."""
@@ -81,7 +81,7 @@
         standby_pools: set[PoolId],
         find_facts: Callable[[str], TaskFacts | None],
         find_address: Callable[[VMId], str] | None = None,
-        unguarded_pools: frozenset[PoolId] = frozenset(),
+        unenforced_pools: frozenset[PoolId] = frozenset(),
     ) -> None:
         self._state = state
         self._find_address = find_address or invent_address
@@ -89,7 +89,7 @@
         self._rng = rng
         self._history = history
         self._standby_pools = standby_pools
-        self._unguarded_pools = unguarded_pools
+        self._unenforced_pools = unenforced_pools
         self._registered_resources: dict[
             tuple[WorkerId, Milliseconds], list[tuple[Seconds, Resources]]
         ]
@@ -178,7 +178,7 @@
     def _crash_later(self, worker: WorkerModel, after: Seconds) -> None:
         """Let a task crash the worker that started it."""
         seconds = self._rng.uniform(*CRASH_DOWNTIME_SECONDS)
-        crash = self.restart if self._rng.random() < SAME_ID_PART else self.crash
+        crash = self.restart if self._rng.random() < SAME_ID_RATIO else self.crash
         self._after(
             after,
             lambda: crash(worker.vm_id, seconds) if worker.alive else None,
@@ -283,7 +283,7 @@
             on_end=self._record_end,
             on_acknowledge=self._record_acknowledged,
             on_crash=self._crash_later,
-            enforces_resources=vm.pool_id not in self._unguarded_pools,
+            enforces_resources=vm.pool_id not in self._unenforced_pools,
             clock_offset=self._rng.uniform(100.0, 9_000.0),
             clock_rate=self._rng.uniform(0.981, 1.0),
             born_at=self._clock.now(),
@@ -366,8 +366,8 @@
         )
         self._runs[(worker.id, order.task_id, order.run)] = record
         self._history.add_run(record)
-        record.over_room = not worker.enforces_resources and self._exceeds_resources(
-            worker, order
+        record.over_capacity = (
+            not worker.enforces_resources and self._exceeds_resources(worker, order)
         )
 
     def _exceeds_resources(self, worker: WorkerModel, order: StartOrder) -> bool:
@@ -399,12 +399,12 @@
                 continue
             if not record.end_number:
                 continue
-            if record.end_number > number or record.noted_at is not None:
+            if record.end_number > number or record.acknowledged_at is not None:
                 continue
             # An end that a lapse of the lease came after is not taken note of:
             # the controller could not know of it when it started the task again.
             if (record.ended_at or 0.0) >= worker.lapsed_at:
-                record.noted_at = now
+                record.acknowledged_at = now
 
 
 __all__ = ["FleetModel", "VMModel"]
--- a/packages/bench/src/medlarspring_bench/platform_world/history.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/history.py
@@ -30,9 +30,9 @@
     ended_at: Seconds | None = None
     end: RunEnd | None = None
     end_number: int = 0
-    noted_at: Seconds | None = None
+    acknowledged_at: Seconds | None = None
     """When the end was acknowledged."""
-    over_room: bool = False
+    over_capacity: bool = False
     """It was started beyond the room of a worker that does not guard it."""
     worker_gone: bool = False
     """The worker's life ended with the run on it."""
@@ -94,7 +94,7 @@
     final_states: dict[JobId, str] = field(default_factory=dict)
     crashing_tasks: set[str] = field(default_factory=set)
     """Tasks that crash each worker that starts them."""
-    forgotten_at: dict[str, Seconds] = field(default_factory=dict)
+    unqueued_at: dict[str, Seconds] = field(default_factory=dict)
     """Tasks that a controller would never have placed, and when that was seen."""
 
     def add_run(self, run: RunHistory) -> None:
--- a/packages/bench/src/medlarspring_bench/platform_world/http_fleet.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/http_fleet.py
@@ -56,7 +56,7 @@
     def __init__(self, fleet: FleetModel, clock: Clock) -> None:
         self._fleet = fleet
         self._clock = clock
-        self._lives_by_transport: WeakKeyDictionary[
+        self._workers_by_transport: WeakKeyDictionary[
             asyncio.BaseTransport, WorkerModel
         ] = WeakKeyDictionary()
         """Lives that connections lead to; they end together."""
@@ -157,8 +157,8 @@
             # Nothing listens on a VM that is down.
             request.transport.abort()
             return None
-        life = self._lives_by_transport.setdefault(request.transport, worker)
-        if life is not worker:
+        connected = self._workers_by_transport.setdefault(request.transport, worker)
+        if connected is not worker:
             request.transport.abort()
             return None
         wanted = request.headers.get(INSTANCE_HEADER, worker.id)
--- a/packages/bench/src/medlarspring_bench/platform_world/http_store.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/http_store.py
@@ -78,16 +78,16 @@
 class HttpStore:
     """Handlers over one ``KeyValueState``, under the faults of a ``Weather``."""
 
-    def __init__(self, state: KeyValueState, weather: FaultState) -> None:
+    def __init__(self, state: KeyValueState, fault_state: FaultState) -> None:
         self._state = state
-        self._fault_state = weather
+        self._fault_state = fault_state
         self._late: set[asyncio.Task[None]] = set()
         self._next_commit: asyncio.Future[None] | None = None
-        state.listeners.append(self._note_commit)
+        state.listeners.append(self._handle_commit)
 
     def create_app(self) -> web.Application:
         """Return the application of the store's address."""
-        app = web.Application(middlewares=[self._apply_weather])
+        app = web.Application(middlewares=[self._inject_faults])
         app.router.add_get("/api/kv-key", self._get_key)
         app.router.add_get("/api/kv-range", self._get_range)
         app.router.add_get(WATCH_PATH, self._watch)
@@ -98,19 +98,19 @@
         return app
 
     @web.middleware
-    async def _apply_weather(
+    async def _inject_faults(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
         """Refuse, swallow, delay or lose a call, as the weather says."""
-        weather = self._fault_state
-        mode = weather.mode(request[GATE_KEY].name)
+        fault_state = self._fault_state
+        mode = fault_state.mode(request[GATE_KEY].name)
         if mode is StoreMode.BUSY:
             return web.Response(status=BUSY)
         if mode is StoreMode.SILENT:
             await asyncio.Event().wait()
-        await asyncio.sleep(weather.store_seconds)
+        await asyncio.sleep(fault_state.store_seconds)
         is_write = request.path == TXN_PATH
-        if is_write and weather.rng.random() < weather.lost_replies:
+        if is_write and fault_state.rng.random() < fault_state.lost_replies:
             await self._lose(request)
         return await handler(request)
 
@@ -171,7 +171,7 @@
             self._next_commit = asyncio.get_running_loop().create_future()
         return self._next_commit
 
-    def _note_commit(self, _: Commit) -> None:
+    def _handle_commit(self, _: Commit) -> None:
         if self._next_commit is not None and not self._next_commit.done():
             self._next_commit.set_result(None)
 
--- a/packages/bench/src/medlarspring_bench/platform_world/plans.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/plans.py
@@ -41,7 +41,7 @@
     standby_vms: int = 3
     zones: int = 2
     resources: Resources = Resources(16_000, 32_768, 0)
-    unguarded_pools: tuple[str, ...] = ()
+    unenforced_pools: tuple[str, ...] = ()
     """Pools whose workers start whatever they are told."""
     queues: tuple[QueuePlan, ...] = (
         QueuePlan("lookup", "consent"),
@@ -74,7 +74,7 @@
         if queue.name not in dropped
     ]
     services: list[dict[str, Any]] = [
-        {"name": pool, "rejectsOverload": pool not in plan.unguarded_pools}
+        {"name": pool, "rejectsOverload": pool not in plan.unenforced_pools}
         for pool in plan.pools
     ]
     services.append({"name": STANDBY_POOL, "standby": True})
--- a/packages/bench/src/medlarspring_bench/platform_world/store.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/store.py
@@ -45,13 +45,13 @@
     def __init__(
         self,
         state: KeyValueState,
-        weather: FaultState,
+        fault_state: FaultState,
         clock: Clock,
         node_id: str,
         incarnation: int,
     ) -> None:
         self._inner = MemoryStore(state)
-        self._fault_state = weather
+        self._fault_state = fault_state
         self._clock = clock
         self._node_id = node_id
         self._incarnation = incarnation
--- a/packages/bench/src/medlarspring_bench/platform_world/worker_model.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/worker_model.py
@@ -44,7 +44,7 @@
 
     spec: StepSpec
     seconds: Seconds
-    hopeless: bool = False
+    unrunnable: bool = False
     crashes_after: Seconds | None = None
     """It crashes each worker that starts it so long after the start; None: never."""
 
@@ -186,7 +186,7 @@
         if self.behavior is WorkerBehavior.HANGING:
             return
         run.progress += elapsed / self.slowness
-        if self.behavior is WorkerBehavior.FAILING or run.facts.hopeless:
+        if self.behavior is WorkerBehavior.FAILING or run.facts.unrunnable:
             if now - run.started_at > 0.1:  # noqa: PLR2004
                 self._end(run, RunEnd.FAILED)
             return
--- a/packages/bench/src/medlarspring_bench/platform_world/world.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/world.py
@@ -68,7 +68,7 @@
         self.clock = clock
         self.rng = random.Random(seed)
         self.history = History()
-        self.weather = FaultState(random.Random(seed + 1))
+        self.fault_state = FaultState(random.Random(seed + 1))
         self.state = KeyValueState(clock)
         self.facts_by_task: dict[str, TaskFacts] = {}
         self.fleet = FleetModel(
@@ -78,7 +78,7 @@
             self.history,
             {PoolId(STANDBY_POOL)},
             self.facts_by_task.get,
-            unguarded_pools=frozenset(map(PoolId, plan.unguarded_pools)),
+            unenforced_pools=frozenset(map(PoolId, plan.unenforced_pools)),
         )
         self.nodes_by_name: dict[str, Node] = {}
         self.logs: list[tuple[str, io.StringIO]] = []
@@ -165,7 +165,7 @@
         node = self.nodes_by_name.pop(name, None)
         if node is None:
             return
-        self.weather.dead_incarnations.add(node.incarnation)
+        self.fault_state.dead_incarnations.add(node.incarnation)
         for task in list(self._tasks_by_owner.pop(node.incarnation, ())):
             task.cancel()
 
@@ -179,7 +179,7 @@
             await node.service.stop()
         finally:
             _owner.reset(token)
-        self.weather.dead_incarnations.add(node.incarnation)
+        self.fault_state.dead_incarnations.add(node.incarnation)
         for task in list(self._tasks_by_owner.pop(node.incarnation, ())):
             task.cancel()
 
@@ -200,7 +200,7 @@
         return None
 
     def _create_context(self, node: Node, adviser: Adviser | None) -> SchedulingNode:
-        parts = (self.weather, self.clock, node.name, node.incarnation)
+        parts = (self.fault_state, self.clock, node.name, node.incarnation)
         store = SimulatedStore(self.state, *parts)
         self._stores.append(store)
         return SchedulingNode(
@@ -233,8 +233,11 @@
 
     async def _expire_leases(self) -> None:
         while True:
-            weather = self.weather
-            if weather.leases_pause and weather.store_mode is not StoreMode.WELL:
+            fault_state = self.fault_state
+            if (
+                fault_state.leases_pause
+                and fault_state.store_mode is not StoreMode.WELL
+            ):
                 for lease in self.state.leases_by_id.values():
                     lease.expires_at += LEASE_TICK_SECONDS
             self.state.expire_leases()
@@ -255,7 +258,7 @@
             for node in self.nodes_by_name.values():
                 for tables in node.service.list_tables():
                     for task in list_unqueued_tasks(tables):
-                        self.history.forgotten_at.setdefault(task.id, now)
+                        self.history.unqueued_at.setdefault(task.id, now)
             await asyncio.sleep(WATCH_SECONDS)
 
 
--- a/packages/bench/src/medlarspring_bench/soak/faults.py
+++ b/packages/bench/src/medlarspring_bench/soak/faults.py
@@ -94,7 +94,7 @@
     name = day.choose_node()
     if name is None:
         return
-    moods = day.world.weather.store_modes_by_node
+    moods = day.world.fault_state.store_modes_by_node
     moods[name] = day.rng.choice((StoreMode.BUSY, StoreMode.SILENT))
     await asyncio.sleep(day.rng.uniform(*CUT_SECONDS))
     moods.pop(name, None)
--- a/packages/bench/src/medlarspring_bench/soak/installation.py
+++ b/packages/bench/src/medlarspring_bench/soak/installation.py
@@ -60,7 +60,7 @@
         self.clock = SystemClock()
         self.rng = random.Random(seed)
         self.history = History()
-        self.weather = FaultState(random.Random(seed + 1))
+        self.fault_state = FaultState(random.Random(seed + 1))
         self.state = KeyValueState(self.clock)
         self.facts_by_task: dict[str, TaskFacts] = {}
         self.nodes_by_name: dict[str, EntryVM] = {}
@@ -77,7 +77,7 @@
             {PoolId(STANDBY_POOL)},
             self.facts_by_task.get,
             lambda vm_id: self.links_by_vm[vm_id].address,
-            frozenset(map(PoolId, plan.unguarded_pools)),
+            frozenset(map(PoolId, plan.unenforced_pools)),
         )
         self._apps: list[GatedApp] = []
         self._config_version = 1
@@ -88,7 +88,7 @@
         self.write_config()
         handlers = HttpFleet(self.fleet, self.clock)
         store = GatedApp(
-            HttpStore(self.state, self.weather).create_app(), self.links_by_node
+            HttpStore(self.state, self.fault_state).create_app(), self.links_by_node
         )
         control = GatedApp(handlers.create_control_app(), self.links_by_node)
         await self._open(store)
@@ -161,8 +161,8 @@
             last = now
 
     def _expire_leases(self, elapsed: Seconds) -> None:
-        weather = self.weather
-        if weather.leases_pause and weather.store_mode is not StoreMode.WELL:
+        fault_state = self.fault_state
+        if fault_state.leases_pause and fault_state.store_mode is not StoreMode.WELL:
             for lease in self.state.leases_by_id.values():
                 lease.expires_at += elapsed
         self.state.expire_leases()
--- a/packages/bench/src/medlarspring_bench/soak/play.py
+++ b/packages/bench/src/medlarspring_bench/soak/play.py
@@ -44,7 +44,7 @@
 class SoakPlan:
     """Size of a soak."""
 
-    world: WorldPlan = WorldPlan(unguarded_pools=("survey",))
+    world: WorldPlan = WorldPlan(unenforced_pools=("survey",))
     traffic_seconds: Seconds = 15.0
     jobs_per_second: float = 2.0
     fault_count: int = 6
@@ -90,7 +90,7 @@
         """Send load and faults, then wait until everything has ended."""
         await asyncio.sleep(WARM_UP_SECONDS)
         checking = asyncio.create_task(self._check_forever())
-        self.customers.send("archive", *self.customers.create_lasting())
+        self.customers.send("archive", *self.customers.create_long_running())
         faults = [
             asyncio.create_task(self._strike(wait, name, fault))
             for wait, name, fault in self._schedule
@@ -121,8 +121,8 @@
         self._harmed_at.setdefault(node, []).append(self.world.clock.now())
 
     def _send_one(self) -> None:
-        hopeless = self.rng.random() < HOPELESS_PART
-        job_id, spec = self.customers.create_batch(hopeless=hopeless)
+        unrunnable = self.rng.random() < HOPELESS_PART
+        job_id, spec = self.customers.create_batch(unrunnable=unrunnable)
         self.customers.send(self.rng.choice(("lookup", "check")), job_id, spec)
         if self.rng.random() < CANCELLED_PART:
             asyncio.get_running_loop().call_later(
--- a/packages/bench/tests/test_experiment.py
+++ b/packages/bench/tests/test_experiment.py
@@ -11,7 +11,7 @@
 SHORT = BurstPlan(queues=2, cycles=1, burst_seconds=4.0, kills=(4.5,))
 
 
-def test_same_seed_gives_the_same_play():
+def test_same_seed_gives_the_same_outcome():
     first, second = run_bursts(SHORT, 3), run_bursts(SHORT, 3)
     assert (first.jobs, first.in_time, first.moves) == (
         second.jobs,
@@ -29,14 +29,14 @@
     assert getattr(mechanism.owner, mechanism.attribute) is before
 
 
-def test_promises_hold_without_any_one_mechanism():
+def test_guarantees_hold_without_any_one_mechanism():
     """What each mechanism is worth is measured in time, never in broken promises."""
     for mechanism in MECHANISMS:
         with mechanism.switched_off():
             assert run_bursts(SHORT, 1).breaches == []
 
 
-def test_names_of_plans_and_mechanisms_lead_to_plays():
+def test_named_plans_and_mechanisms_can_be_run():
     assert {each.name for each in MECHANISMS}
     assert len({each.name for each in MECHANISMS}) == len(MECHANISMS)
     assert run_variant(Variant("calm", ALL_ON, 1)).in_time_part > 0.9
--- a/packages/bench/tests/test_platform_checks.py
+++ b/packages/bench/tests/test_platform_checks.py
@@ -34,11 +34,11 @@
     started_at: float = 1.0,
     ended_at: float | None = 2.0,
     end: RunEnd | None = RunEnd.DONE,
-    noted: bool = True,
+    acknowledged: bool = True,
 ) -> None:
     run = RunHistory(task_id, 1, WorkerId("i-1"), started_at, fence=1, born_ms=1)
     run.ended_at, run.end = ended_at, end
-    run.noted_at = ended_at if noted else None
+    run.acknowledged_at = ended_at if acknowledged else None
     history.add_run(run)
 
 
@@ -51,7 +51,7 @@
     add_run(history, started_at=1.5, ended_at=2.5)
 
 
-def run_again_after_noted_end(history: History) -> None:
+def run_again_after_acknowledged_end(history: History) -> None:
     add_run(history)
     add_run(history, started_at=3.0, ended_at=4.0)
 
@@ -83,9 +83,9 @@
         history.runs[-1].worker_gone = True
 
 
-def start_beyond_room(history: History) -> None:
+def start_beyond_resources(history: History) -> None:
     add_run(history)
-    history.runs[-1].over_room = True
+    history.runs[-1].over_capacity = True
 
 
 def run_after_cancellation(history: History) -> None:
@@ -103,7 +103,7 @@
     add_run(history, started_at=3.0, ended_at=4.0)
 
 
-def operate(
+def record_operation(
     history: History, at: float, holder: str, fence: int, down: int = 0
 ) -> None:
     wave = "1" if down else ""
@@ -112,18 +112,18 @@
     )
 
 
-def operate_in_turns(history: History) -> None:
-    operate(history, 1.0, "entry-0", 1)
-    operate(history, 2.0, "entry-1", 2)
+def operate_with_alternating_holders(history: History) -> None:
+    record_operation(history, 1.0, "entry-0", 1)
+    record_operation(history, 2.0, "entry-1", 2)
 
 
 def operate_with_older_fence(history: History) -> None:
-    operate(history, 1.0, "entry-0", 5)
-    operate(history, 9.0, "entry-1", 2)
+    record_operation(history, 1.0, "entry-0", 5)
+    record_operation(history, 9.0, "entry-1", 2)
 
 
 def maintain_too_many(history: History) -> None:
-    operate(history, 1.0, "entry-0", 1, down=1)
+    record_operation(history, 1.0, "entry-0", 1, down=1)
 
 
 def lose_accepted_job(history: History) -> None:
@@ -136,39 +136,39 @@
     add_call(history, CallKind.STATUS, "cancelled", 2.0)
 
 
-def tell_complete_too_soon(history: History) -> None:
+def report_complete_too_soon(history: History) -> None:
     add_call(history, CallKind.STATUS, "complete", 0.5)
 
 
 @pytest.mark.parametrize(
-    ("spoil", "rule"),
+    ("break_guarantee", "rule"),
     [
         (run_twice_at_once, "twice"),
-        (run_again_after_noted_end, "twice"),
+        (run_again_after_acknowledged_end, "twice"),
         (run_second_step_first, "order"),
         (run_beyond_attempts, "attempts"),
         (copy_beyond_attempts, "attempts"),
         (start_again_after_crashes, "crashes"),
-        (start_beyond_room, "room"),
+        (start_beyond_resources, "room"),
         (run_after_cancellation, "cancelled"),
         (run_refused_job, "refused"),
         (run_on_leaving_worker, "drain"),
-        (operate_in_turns, "one-holder"),
+        (operate_with_alternating_holders, "one-holder"),
         (operate_with_older_fence, "one-holder"),
         (maintain_too_many, "wave-limit"),
         (lose_accepted_job, "lost"),
         (change_final_status, "lost"),
-        (tell_complete_too_soon, "mixed"),
+        (report_complete_too_soon, "mixed"),
     ],
     ids=lambda value: getattr(value, "__name__", value),
 )
-def test_check_finds_the_breach(spoil, rule):  # type: ignore[no-untyped-def]
+def test_check_reports_the_violation(break_guarantee, rule):  # type: ignore[no-untyped-def]
     history = create_history()
-    spoil(history)
+    break_guarantee(history)
     assert rule in {breach.rule for breach in check_history(history)}
 
 
-def test_copy_that_was_under_way_when_the_last_attempt_failed_is_no_breach():
+def test_copy_ordered_before_the_last_attempt_failed_is_no_violation():
     """
     An order to a slow worker gets no answer, so a copy starts elsewhere and fails
     for the last time. The first order is carried out half a second later.
@@ -180,7 +180,7 @@
     assert check_history(history) == []
 
 
-def test_sound_history_has_no_breach():
+def test_correct_history_has_no_violation():
     history = create_history()
     add_call(history, CallKind.SUBMIT, "ok", 0.5)
     add_run(history)
--- a/packages/daemon/tests/scheduling/test_crashing_tasks.py
+++ b/packages/daemon/tests/scheduling/test_crashing_tasks.py
@@ -35,7 +35,7 @@
     job_id = customers.create_job_id()
     spec = JobSpec(payload="p", steps=(step,))
     customers.add_facts(job_id, spec)
-    customers.let_crash(f"{job_id}.0.0.0", after)
+    customers.make_task_crash(f"{job_id}.0.0.0", after)
     assert await customers.submit("lookup", job_id, spec)
     return job_id
 
@@ -116,13 +116,13 @@
 
     async def scenario(world: World, customers: Customers) -> None:
         crashing = await submit_crashing(customers)
-        world.weather.lost_answers = lost_answers
+        world.fault_state.lost_answers = lost_answers
         takeover_loop = asyncio.ensure_future(force_takeovers(world))
         if not takeovers:
             takeover_loop.cancel()
         await wait_until_failed(customers, crashing)
         takeover_loop.cancel()
-        world.weather.lost_answers = 0.0
+        world.fault_state.lost_answers = 0.0
 
     for seed in range(SEED, SEED + 5):
         run_scenario(scenario, seed)
@@ -132,7 +132,7 @@
     """Guards against jobs that fail because their zones had several outages."""
 
     async def scenario(world: World, customers: Customers) -> None:
-        long_job, long_spec = customers.create_lasting()
+        long_job, long_spec = customers.create_long_running()
         assert await customers.submit("archive", long_job, long_spec)
         jobs: list[JobId] = []
         for number in range(OUTAGES):
--- a/packages/daemon/tests/scheduling/test_intake.py
+++ b/packages/daemon/tests/scheduling/test_intake.py
@@ -54,7 +54,7 @@
     """
 
     async def scenario(world: World, customers: Customers) -> None:
-        world.weather.store_mode = mood
+        world.fault_state.store_mode = mood
         await submit(world, customers)
         answer, took = await submit(world, customers)
         assert isinstance(answer.failure(), NotReady)
@@ -74,7 +74,7 @@
 
 def test_retry_after_grows_with_the_length_of_an_outage():
     async def scenario(world: World, customers: Customers) -> None:
-        world.weather.store_mode = StoreMode.BUSY
+        world.fault_state.store_mode = StoreMode.BUSY
         first, _ = await submit(world, customers)
         assert first.failure().retry_after == 1
         await asyncio.sleep(3.0)
@@ -86,10 +86,10 @@
 
 def test_calls_succeed_as_soon_as_the_store_recovers():
     async def scenario(world: World, customers: Customers) -> None:
-        world.weather.store_mode = StoreMode.SILENT
+        world.fault_state.store_mode = StoreMode.SILENT
         await submit(world, customers)
         await asyncio.sleep(2.0)
-        world.weather.store_mode = StoreMode.WELL
+        world.fault_state.store_mode = StoreMode.WELL
         await asyncio.sleep(0.3)
         answer, took = await submit(world, customers)
         assert is_successful(answer)
@@ -106,7 +106,7 @@
     """
 
     async def scenario(world: World, customers: Customers) -> None:
-        world.weather.store_mode = StoreMode.SILENT
+        world.fault_state.store_mode = StoreMode.SILENT
         answer, took = await submit(world, customers)
         assert isinstance(answer.failure(), OutcomeUnknown)
         assert took < MAX_ANSWER_SECONDS
@@ -116,10 +116,10 @@
 
 def test_submission_is_repeated_after_a_lost_reply_until_the_job_is_found():
     async def scenario(world: World, customers: Customers) -> None:
-        world.weather.lost_replies = 1.0
+        world.fault_state.lost_replies = 1.0
         task = asyncio.ensure_future(submit(world, customers))
         await asyncio.sleep(0.2)
-        world.weather.lost_replies = 0.0
+        world.fault_state.lost_replies = 0.0
         answer, _ = await task
         assert is_successful(answer)
 
--- a/packages/daemon/tests/scheduling/test_overload_detector.py
+++ b/packages/daemon/tests/scheduling/test_overload_detector.py
@@ -55,12 +55,12 @@
         controller = world.find_controller()
         assert controller is not None
         world.nodes_by_name[controller].service._node.cores = FEW_CORES  # noqa: SLF001
-        world.weather.lost_orders = 0.8
+        world.fault_state.lost_orders = 0.8
         jobs = await submit(customers, 40)
         async with asyncio.timeout(5.0):
             while world.find_controller() in (None, controller):
                 await asyncio.sleep(0.05)
-        world.weather.lost_orders = 0.0
+        world.fault_state.lost_orders = 0.0
         await wait_for_end(customers, jobs)
 
     run_scenario(scenario, SEED)
--- a/packages/daemon/tests/scheduling/test_resized_workers.py
+++ b/packages/daemon/tests/scheduling/test_resized_workers.py
@@ -16,7 +16,7 @@
 
 SEED = 5
 SLOW_STORE_SECONDS = 0.2
-UNGUARDED = WorldPlan(unguarded_pools=WorldPlan().pools)
+UNGUARDED = WorldPlan(unenforced_pools=WorldPlan().pools)
 TINY = Resources(100, 100, 0)
 
 
@@ -29,7 +29,7 @@
     """Guards against starts on a worker that shrank while the intent was recorded."""
 
     async def scenario(world: World, customers: Customers) -> None:
-        world.weather.store_seconds = SLOW_STORE_SECONDS
+        world.fault_state.store_seconds = SLOW_STORE_SECONDS
         jobs = await submit(customers, 1)
         while not any(
             run
@@ -40,7 +40,7 @@
         ):
             await asyncio.sleep(0.01)
         resize_all(world, TINY)
-        world.weather.store_seconds = 0.004
+        world.fault_state.store_seconds = 0.004
         await asyncio.sleep(3.0)
         assert world.history.runs == []
         resize_all(world, world.plan.resources)
--- a/packages/daemon/tests/scheduling/test_takeover.py
+++ b/packages/daemon/tests/scheduling/test_takeover.py
@@ -26,7 +26,7 @@
     )
     controller = world.find_controller()
     assert controller is not None
-    world.weather.cut_links |= {(name, busy) for name in world.nodes_by_name}
+    world.fault_state.cut_links |= {(name, busy) for name in world.nodes_by_name}
     world.kill_node(controller)
 
 
@@ -85,11 +85,11 @@
 
     async def scenario(world: World, customers: Customers) -> None:
         controller = world.find_controller()
-        world.weather.leases_pause = True
-        world.weather.store_mode = StoreMode.BUSY
+        world.fault_state.leases_pause = True
+        world.fault_state.store_mode = StoreMode.BUSY
         await asyncio.sleep(4.0)
         assert world.find_controller() is None
-        world.weather.store_mode = StoreMode.WELL
+        world.fault_state.store_mode = StoreMode.WELL
         await asyncio.sleep(0.3)
         assert world.find_controller() == controller
         await wait_for_end(customers, await submit(customers))
@@ -134,7 +134,7 @@
         await asyncio.sleep(4.0)
         done = [job for job in jobs if await customers.ask(job) == "complete"]
         assert done
-        world.weather.cut_links.clear()
+        world.fault_state.cut_links.clear()
         await wait_for_end(customers, jobs)
 
     run_scenario(scenario, SEED)
@@ -167,11 +167,11 @@
         jobs = await submit(customers)
         controller = world.find_controller()
         assert controller is not None
-        world.weather.store_modes_by_node[controller] = StoreMode.BUSY
+        world.fault_state.store_modes_by_node[controller] = StoreMode.BUSY
         world.revoke_controller()
         await asyncio.sleep(3.0)
         assert world.find_controller() not in (None, controller)
-        world.weather.store_modes_by_node.clear()
+        world.fault_state.store_modes_by_node.clear()
         await wait_for_end(customers, jobs)
 
     run_scenario(scenario, SEED)
@@ -199,7 +199,7 @@
     """
 
     async def scenario(world: World, customers: Customers) -> None:
-        world.weather.store_seconds = 0.04
+        world.fault_state.store_seconds = 0.04
         jobs = await submit(customers, 60)
         controller = world.find_controller()
         assert controller is not None
@@ -226,10 +226,10 @@
         world.kill_node(first)
         while world.find_controller() is None:
             await asyncio.sleep(0.001)
-        world.weather.leases_pause = True
-        world.weather.store_mode = StoreMode.BUSY
+        world.fault_state.leases_pause = True
+        world.fault_state.store_mode = StoreMode.BUSY
         await asyncio.sleep(4.0)
-        world.weather.store_mode = StoreMode.WELL
+        world.fault_state.store_mode = StoreMode.WELL
         await wait_for_end(customers, jobs)
 
     run_scenario(scenario, SEED)
@@ -360,7 +360,7 @@
 
     async def scenario(world: World, customers: Customers) -> None:
         await asyncio.sleep(8.0)
-        world.weather.lost_replies, world.weather.late_writes = 0.6, 1.0
+        world.fault_state.lost_replies, world.fault_state.late_writes = 0.6, 1.0
         jobs = await submit(customers, 60)
         known: dict[str, int] = {}
         for _ in range(400):
@@ -371,7 +371,7 @@
                 sent_ms = json.loads(kv.value)["sent_ms_by_vm"]
                 assert all(sent_ms.get(vm, at) >= at for vm, at in known.items())
                 known = sent_ms
-        world.weather.lost_replies = 0.0
+        world.fault_state.lost_replies = 0.0
         await wait_for_end(customers, jobs)
         assert known
 
@@ -384,10 +384,10 @@
 
     async def scenario(world: World, customers: Customers) -> None:
         await asyncio.sleep(8.0)
-        world.weather.lost_replies, world.weather.late_writes = 0.6, 0.5
+        world.fault_state.lost_replies, world.fault_state.late_writes = 0.6, 0.5
         world.order_wave(1, list(world.fleet.vms_by_id)[:4], 2, 25)
         await asyncio.sleep(12.0)
-        world.weather.lost_replies = 0.0
+        world.fault_state.lost_replies = 0.0
         async with asyncio.timeout(20.0):
             while world.read_wave_state(1) != "complete":
                 await asyncio.sleep(0.2)
--- a/packages/daemon/tests/scheduling/test_worker_calls.py
+++ b/packages/daemon/tests/scheduling/test_worker_calls.py
@@ -57,14 +57,14 @@
     """
 
     async def scenario(world: World, customers: Customers) -> None:
-        world.weather.leases_pause = True
+        world.fault_state.leases_pause = True
         jobs = await submit(customers, 12)
         await asyncio.sleep(0.1)
-        world.weather.store_mode = StoreMode.BUSY
+        world.fault_state.store_mode = StoreMode.BUSY
         before = Counter(calls_by_worker)
         await asyncio.sleep(OUTAGE_SECONDS)
         most = max((calls_by_worker - before).values())
-        world.weather.store_mode = StoreMode.WELL
+        world.fault_state.store_mode = StoreMode.WELL
         assert most <= CALLS_PER_SECOND * OUTAGE_SECONDS
         await wait_for_end(customers, jobs)
 
@@ -78,7 +78,7 @@
     """
 
     async def scenario(world: World, customers: Customers) -> None:
-        world.weather.store_seconds = 0.008
+        world.fault_state.store_seconds = 0.008
         before = Counter(calls_by_worker)
         jobs = await submit(customers, 20)
         await wait_for_end(customers, jobs)
--- a/packages/daemon/tests/scheduling/test_worker_restarts.py
+++ b/packages/daemon/tests/scheduling/test_worker_restarts.py
@@ -89,10 +89,10 @@
     """
 
     async def scenario(world: World, customers: Customers) -> None:
-        world.weather.lost_orders = 1.0
+        world.fault_state.lost_orders = 1.0
         jobs = await submit(customers, 2)
         await asyncio.sleep(0.3)
-        world.weather.lost_orders = 0.0
+        world.fault_state.lost_orders = 0.0
         await asyncio.sleep(1.0)
         settled = {
             (worker.id, task_id)
--- a/packages/platform/tests/adapter/conftest.py
+++ b/packages/platform/tests/adapter/conftest.py
@@ -37,7 +37,7 @@
     """Stand-ins for the platform on loopback, and the adapter's clients for them."""
 
     state: KeyValueState
-    weather: FaultState
+    fault_state: FaultState
     fleet: FleetModel
     facts_by_task: dict[str, TaskFacts]
     store: PlatformStore
@@ -55,7 +55,7 @@
 async def platform() -> AsyncIterator[Platform]:
     clock = SystemClock()
     state = KeyValueState(clock)
-    weather = FaultState(random.Random(1), store_seconds=0.0)
+    fault_state = FaultState(random.Random(1), store_seconds=0.0)
     facts: dict[str, TaskFacts] = {}
     addresses: dict[str, str] = {}
     fleet = FleetModel(
@@ -68,7 +68,7 @@
         lambda vm_id: addresses[vm_id],
     )
     handlers = HttpFleet(fleet, clock)
-    store_app = GatedApp(HttpStore(state, weather).create_app(), ["entry-0"])
+    store_app = GatedApp(HttpStore(state, fault_state).create_app(), ["entry-0"])
     control_app = GatedApp(handlers.create_control_app(), ["entry-0"])
     worker_app = GatedApp(handlers.create_worker_app(), ["m-0", "m-1"])
     apps = (store_app, control_app, worker_app)
@@ -80,7 +80,7 @@
     store_address = store_app.gates_by_name["entry-0"].address
     found = Platform(
         state=state,
-        weather=weather,
+        fault_state=fault_state,
         fleet=fleet,
         facts_by_task=facts,
         store=PlatformStore(store_address, clock, NoMetrics()),
--- a/packages/platform/tests/adapter/test_jobs_frontend.py
+++ b/packages/platform/tests/adapter/test_jobs_frontend.py
@@ -184,7 +184,7 @@
 async def test_refusal_during_store_outage_has_retry_after(
     frontend: Frontend,
 ):
-    frontend.platform.weather.store_mode = StoreMode.BUSY
+    frontend.platform.fault_state.store_mode = StoreMode.BUSY
     status, answer, retry_after = await frontend.submit()
     assert status == 503
     assert answer["error"] == "not-ready"
@@ -203,7 +203,7 @@
     url = f"http://{frontend.address}/lookup/{JOB}"
     headers = {"Host": HOST, "X-Medlarspring-Deadline-Ms": "800"}
     body = json.dumps(BODY) if method == "POST" else None
-    frontend.platform.weather.store_mode = StoreMode.BUSY
+    frontend.platform.fault_state.store_mode = StoreMode.BUSY
     async with frontend.session.request(
         method, url, data=body, headers=headers
     ) as response:
--- a/packages/platform/tests/adapter/test_store.py
+++ b/packages/platform/tests/adapter/test_store.py
@@ -72,11 +72,11 @@
 
 
 async def test_refused_write_had_no_effect(platform: Platform):
-    platform.weather.store_mode = StoreMode.BUSY
+    platform.fault_state.store_mode = StoreMode.BUSY
     refused = await platform.store.commit(create("a/1"))
     assert isinstance(refused.failure(), StoreUnavailable)
     assert platform.store.failing_since is not None
-    platform.weather.store_mode = StoreMode.WELL
+    platform.fault_state.store_mode = StoreMode.WELL
     assert (await platform.store.read("a/1")).unwrap() is None
     assert platform.store.failing_since is None
 
@@ -86,9 +86,9 @@
     The store carries out a write and its answer is lost. If this counted as a refusal,
     the customer would be told that a running job was not accepted.
     """
-    platform.weather.lost_replies = 1.0
+    platform.fault_state.lost_replies = 1.0
     lost = await platform.store.commit(create("a/1"))
-    platform.weather.lost_replies = 0.0
+    platform.fault_state.lost_replies = 0.0
     assert isinstance(lost.failure(), StoreOutcomeUnknown)
     assert (await platform.store.read("a/1")).unwrap() is not None
 
@@ -123,12 +123,12 @@
     watch = platform.store.watch("a/", Revision(platform.state.revision + 1))
     next_batch = asyncio.ensure_future(anext(watch))
     await asyncio.sleep(0.05)
-    platform.weather.store_mode = StoreMode.BUSY
+    platform.fault_state.store_mode = StoreMode.BUSY
     await asyncio.sleep(1.2)  # The watch call opened before has returned.
     await platform.store.read("a/1")
     await asyncio.sleep(0.5)
     assert platform.store.failing_since is not None
-    platform.weather.store_mode = StoreMode.WELL
+    platform.fault_state.store_mode = StoreMode.WELL
     async with asyncio.timeout(MAX_WATCH_RETRY_SECONDS + 0.3):
         while platform.store.failing_since is not None:
             await asyncio.sleep(0.01)
@@ -137,6 +137,6 @@
 
 async def test_unresponsive_store_is_a_failure(platform: Platform):
     await platform.store.close()
-    platform.weather.store_mode = StoreMode.SILENT
+    platform.fault_state.store_mode = StoreMode.SILENT
     silent = await platform.store.read("a/1")
     assert not is_successful(silent)
