--- a/packages/bench/src/medlarspring_bench/platform_world/calls.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/calls.py
@@ -1,4 +1,4 @@
-"""One node's calls to workers and to the VM control, with delays and faults."""
+"""Simulated calls of one node to workers and VM control, with delays and faults."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
         self._incarnation = incarnation
         self._late: set[asyncio.Task[None]] = set()
         self._held_by_id: dict[WorkerId, WorkerModel] = {}
-        """Lives at the other end of the connections that carry holds."""
+        """Worker incarnations at the other end of the connections that carry holds."""
 
     async def start(
         self, worker: WorkerAddress, order: StartOrder, timeout_seconds: Seconds
@@ -83,7 +83,7 @@
     async def pace(
         self, worker: WorkerAddress, order: PaceOrder, timeout_seconds: Seconds
     ) -> Result[OrderAnswer, WorkerUnresponsive]:
-        """Accept a change of pace; the emulator does not model it."""
+        """Accept a change of pace, which the emulator does not model."""
         return await self._order(
             worker, lambda model, now: OrderAnswer(model.clock_ms(now)), timeout_seconds
         )
@@ -91,10 +91,11 @@
     async def hold(
         self, worker: WorkerAddress, order: HoldOrder, timeout_seconds: Seconds
     ) -> Result[HoldAnswer, WorkerUnresponsive]:
-        """Extend the lease, and wait for an end.
+        """Extend the worker's lease and wait for a run to end.
 
-        A connection ends with the life that it leads to. What was sent over it does
-        not reach the next life, also if the sender had not noticed.
+        A connection ends with the worker incarnation it leads to. An order sent over
+        it never reaches the next incarnation, even if the sender has not yet noticed
+        the restart.
         """
         connected = None if order.aside else self._held_by_id.pop(worker.id, None)
         if connected is None:
@@ -153,7 +154,7 @@
         model: WorkerModel,
         apply: Callable[[WorkerModel, Seconds], OrderAnswer],
     ) -> None:
-        """Carry an order out seconds later, unless the life that took it is over."""
+        """Apply an order seconds later, unless the worker incarnation has ended."""
         await asyncio.sleep(self._fault_state.rng.uniform(*LATE_SECONDS))
         if model.alive:
             apply(model, self._clock.now())
@@ -211,7 +212,7 @@
     async def maintain(
         self, vm_id: VMId, wave_id: WaveId, authority: Authority
     ) -> Result[VMRefusal | None, VMControlUnresponsive]:
-        """Take a VM down for its maintenance."""
+        """Take a VM down for maintenance."""
         return await self._call(lambda: self._fleet.maintain(vm_id, wave_id, authority))
 
     async def _call(self, apply: Callable[[], T]) -> Result[T, VMControlUnresponsive]:
--- a/packages/bench/src/medlarspring_bench/platform_world/checks.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/checks.py
@@ -1,4 +1,4 @@
-"""The promises to customers and operators, checked on what really happened."""
+"""Checks a recorded history against the guarantees to customers and operators."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
     )
 
 CANCEL_SECONDS = 3.0
-"""So long after a confirmed cancellation no task may start."""
+"""Time after a confirmed cancellation from which no task of the job may start."""
 DRAIN_SECONDS = 2.0
-"""So long after a worker's notice no task may start on it."""
+"""Time after a worker's drain notice from which no task may start on it."""
 COPY_SECONDS = 1.0
-"""So long after an end is noted a copy that was ordered before it may still start."""
+"""Time after an acknowledged end in which a copy ordered earlier may still start."""
 CRASHES_BEFORE_LIMIT = 3
-"""Workers that a task may crash before its starts are counted."""
+"""Number of crashed workers after which further starts of the task are limited."""
 STARTS_AFTER_CRASHES = 2
-"""Starts that it may have after that."""
+"""Number of starts allowed after that many crashes."""
 HOLDERS_APART_SECONDS = 3.0
 REFUSALS_NOT_RUN = frozenset({"not-ready", "no-such-queue"})
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A promise that was broken."""
+    """A violation of a guarantee."""
 
     rule: str
     subject: str
@@ -42,7 +42,7 @@
 
 
 def check_history(history: History) -> list[Breach]:
-    """Return every broken promise."""
+    """Return all violations of the guarantees."""
     breaches = _check_duplicate_runs(history)
     breaches += _check_order(history)
     breaches += _check_attempts(history)
@@ -58,7 +58,7 @@
 
 
 def _check_duplicate_runs(history: History) -> list[Breach]:
-    """No task runs twice at once, or again after an end that was noted as done."""
+    """No task runs twice concurrently, or again after an acknowledged success."""
     breaches: list[Breach] = []
     for task_id, runs in history.runs_by_task.items():
         spec = _find_step(history, task_id)
@@ -99,7 +99,7 @@
 
 
 def _check_attempts(history: History) -> list[Breach]:
-    """No task starts once its noted failures have used up its attempts."""
+    """No task starts once its acknowledged failures have used up its attempts."""
     breaches: list[Breach] = []
     for task_id, runs in history.runs_by_task.items():
         job_id = JobId(task_id.partition(".")[0])
@@ -117,10 +117,10 @@
 
 
 def _uses_up_attempt(failed: RunHistory, later: RunHistory, copied: bool) -> bool:
-    """Tell whether a failure counts before a later start of its task.
+    """Return whether a failure counts as an attempt before a later start of its task.
 
-    A copy may be on its way to a slow worker while the last attempt fails; from
-    a second after that is noted, none may start any more.
+    An order for a copy may be in transit to a slow worker while the last attempt
+    fails. No copy may start ``COPY_SECONDS`` or more after the acknowledgement.
     """
     if failed.end is not RunEnd.FAILED or failed.acknowledged_at is None:
         return False
@@ -130,7 +130,7 @@
 
 
 def _check_crashing(history: History) -> list[Breach]:
-    """A task that crashes its workers is not started again and again."""
+    """A task that crashes its workers is started a limited number of times."""
     breaches: list[Breach] = []
     for task_id in sorted(history.crashing_tasks):
         crashes = history.list_crashes(task_id)
@@ -146,7 +146,7 @@
 
 
 def _check_cancelled(history: History) -> list[Breach]:
-    """No task of a cancelled job starts after a short while."""
+    """No task starts more than ``CANCEL_SECONDS`` after its job was cancelled."""
     breaches: list[Breach] = []
     cancelled_at = {
         call.job_id: call.answered_at
@@ -162,7 +162,7 @@
 
 
 def _check_refused(history: History) -> list[Breach]:
-    """A job whose every submission was refused as not run has not run."""
+    """A job does not run if each submission was refused as not run."""
     answers: dict[JobId, set[str]] = defaultdict(set)
     for call in history.calls:
         if call.kind is CallKind.SUBMIT:
@@ -176,7 +176,7 @@
 
 
 def _check_drained(history: History) -> list[Breach]:
-    """A worker that leaves gets no new tasks after a short while."""
+    """A draining worker gets no new tasks after ``DRAIN_SECONDS``."""
     return [
         Breach("drain", run.task_id, f"on {run.worker_id}")
         for run in history.runs
@@ -186,7 +186,7 @@
 
 
 def _check_resources(history: History) -> list[Breach]:
-    """No start takes more than the room of a worker that does not guard it."""
+    """No start overcommits a worker that does not enforce its resources."""
     return [
         Breach("room", run.task_id, f"on {run.worker_id}")
         for run in history.runs
@@ -195,14 +195,16 @@
 
 
 def _check_operations(history: History) -> list[Breach]:
-    """Operations on one VM come from one holder at a time, within the wave's limit."""
+    """Only one holder at a time operates on a VM, and a wave stays in its limit."""
     breaches: list[Breach] = []
     last_by_vm: dict[str, tuple[float, str, int]] = {}
     for operation in history.operations:
         last = last_by_vm.get(operation.vm_id)
         if last is not None and last[1] != operation.holder:
             if operation.at - last[0] < HOLDERS_APART_SECONDS:
-                breaches.append(Breach("one-holder", operation.vm_id, "take turns"))
+                breaches.append(
+                    Breach("one-holder", operation.vm_id, "alternating holders")
+                )
             if operation.fence < last[2]:
                 breaches.append(Breach("one-holder", operation.vm_id, "older fence"))
         last_by_vm[operation.vm_id] = (operation.at, operation.holder, operation.fence)
@@ -212,7 +214,7 @@
 
 
 def _check_statuses(history: History) -> list[Breach]:
-    """What customers are told of a job is true, and final once it is final."""
+    """Job statuses reported to customers are correct, and final ones never change."""
     breaches: list[Breach] = []
     accepted_at: dict[JobId, float] = {}
     final: dict[JobId, str] = {}
@@ -272,9 +274,9 @@
 
 
 def _check_unqueued(history: History) -> list[Breach]:
-    """Each task that waits stands in the line of its pool."""
+    """Each waiting task is in its pool's queue."""
     return [
-        Breach("forgotten", task_id, f"in no line at {at:.2f}")
+        Breach("forgotten", task_id, f"in no queue at {at:.2f}")
         for task_id, at in history.unqueued_at.items()
     ]
 
--- a/packages/bench/src/medlarspring_bench/platform_world/fault_state.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/fault_state.py
@@ -1,4 +1,4 @@
-"""What is out of order at present: links, the store, orders, processes."""
+"""The faults currently injected into links, the store, orders and processes."""
 
 from __future__ import annotations
 
@@ -14,58 +14,58 @@
 
 
 LATE_SECONDS = (0.5, 4.0)
-"""When calls that got no answer are carried out, if late."""
+"""Range of the delay after which a write without a reply is applied late."""
 
 
 class StoreMode(Enum):
-    """How the store answers a node."""
+    """How the store responds to a node."""
 
     WELL = "well"
     BUSY = "busy"
-    """Refuses at once, without effect."""
+    """Refuses calls immediately, without effect."""
     SILENT = "silent"
-    """Takes nothing in and never answers."""
+    """Applies nothing and never responds."""
 
 
 @dataclass(slots=True)
 class FaultState:
-    """Faults that the world consults on every call."""
+    """Current faults; the simulated components read them on every call."""
 
     rng: random.Random
     store_mode: StoreMode = StoreMode.WELL
     leases_pause: bool = False
-    """Whether leases stand still while the store answers nobody."""
+    """Whether leases stop expiring while the store is unavailable to all nodes."""
     store_seconds: Seconds = 0.004
-    """How long the store takes for an answer."""
+    """Response time of the store."""
     store_modes_by_node: dict[str, StoreMode] = field(default_factory=dict)
     lost_replies: float = 0.0
-    """Part of the writes whose answers are lost."""
+    """Fraction of writes whose replies are lost."""
     late_writes: float = 0.0
-    """Part of those that are carried out seconds later."""
+    """Fraction of the writes with lost replies that are applied seconds later."""
     lost_orders: float = 0.0
-    """Part of the orders to workers without answer, carried out later."""
+    """Fraction of worker orders that get no reply and are applied later."""
     lost_answers: float = 0.0
-    """Part of the orders to workers that are carried out at once without answer."""
+    """Fraction of worker orders that are applied immediately but get no reply."""
     cut_links: set[tuple[str, str]] = field(default_factory=set)
-    """Pairs of node and worker, or node and VM control, that are cut off."""
+    """Partitioned pairs of node and VM, or of node and VM control."""
     dead_incarnations: set[int] = field(default_factory=set)
-    """Incarnations that are gone; what they still try has no effect."""
+    """Incarnations of killed nodes; their pending calls have no effect."""
     frozen_until: dict[str, Seconds] = field(default_factory=dict)
 
     def mode(self, node_id: str) -> StoreMode:
-        """Return how the store answers a node."""
+        """Return how the store responds to a node."""
         if self.store_mode is not StoreMode.WELL:
             return self.store_mode
         return self.store_modes_by_node.get(node_id, StoreMode.WELL)
 
     def is_cut(self, node_id: str, other: str) -> bool:
-        """Tell whether calls from a node to another party are lost."""
+        """Return whether calls from a node to a VM or the VM control are lost."""
         return (node_id, other) in self.cut_links
 
     async def wait_until_runnable(
         self, node_id: str, incarnation: int, now: Seconds
     ) -> None:
-        """Hold a call back while its node is frozen, for ever if it is gone."""
+        """Delay a call while its node is frozen; never return if the node is dead."""
         if incarnation in self.dead_incarnations:
             await asyncio.Event().wait()
         wait = self.frozen_until.get(node_id, 0.0) - now
--- a/packages/bench/src/medlarspring_bench/platform_world/faults.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the emulated platform itself; entry VMs' own are their driver's."""
+"""Faults of the emulated platform; each driver defines the faults of entry VMs."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     from medlarspring_tables import VMId
 
 MIN_VMS = 8
-"""VMs that are left in any case."""
+"""Number of VMs that are never removed."""
 CRASH_SECONDS = 0.01
-"""A task that crashes its worker does so this long after its start."""
+"""Time from the start of a crashing task to the crash of its worker."""
 LATE_CRASH_SECONDS = (0.5, 2.5)
-"""The same of those that do so late."""
+"""Range of that time for tasks that crash their workers late."""
 FLAPPING_VMS = 3
 FLAPS = 8
 FLAP_DOWN_SECONDS = 0.6
@@ -31,31 +31,31 @@
 
 
 class FaultTarget(Protocol):
-    """The platform that a fault befalls."""
+    """The platform into which faults are injected."""
 
     @property
     def fault_state(self) -> FaultState:
-        """What is out of order at present."""
+        """The faults that are currently active."""
         ...
 
     @property
     def fleet(self) -> FleetModel:
-        """VMs and workers."""
+        """The VMs and workers."""
         ...
 
     def order_wave(
         self, number: int, vms: Sequence[str], most: int, seconds: int
     ) -> None:
-        """Order maintenance."""
+        """Order a maintenance wave."""
         ...
 
     def forget_history(self) -> None:
-        """Drop the store's history."""
+        """Compact the store's history and end all watches."""
         ...
 
 
 class FaultContext(Protocol):
-    """What a fault needs of the day on which it strikes."""
+    """What a fault needs from the scenario in which it is injected."""
 
     @property
     def world(self) -> FaultTarget:
@@ -64,21 +64,21 @@
 
     @property
     def rng(self) -> random.Random:
-        """Source of all that is drawn."""
+        """Source of all random choices."""
         ...
 
     @property
     def customers(self) -> Customers:
-        """Those who submit jobs."""
+        """The customers who submit jobs."""
         ...
 
     def choose_vm(self) -> VMId:
-        """Return a VM."""
+        """Return a randomly chosen VM."""
         ...
 
 
 async def take_store_down(context: FaultContext) -> None:
-    """Let the store answer nobody."""
+    """Make the store unavailable to all nodes for a while."""
     mode = context.rng.choice((StoreMode.BUSY, StoreMode.SILENT))
     context.world.fault_state.store_mode = mode
     await asyncio.sleep(context.rng.uniform(1.0, 5.0))
@@ -86,21 +86,21 @@
 
 
 async def pause_store(context: FaultContext) -> None:
-    """Let the store answer nobody, and its leases stand still meanwhile."""
+    """Make the store unavailable to all nodes; its leases don't expire meanwhile."""
     context.world.fault_state.leases_pause = True
     await take_store_down(context)
     context.world.fault_state.leases_pause = False
 
 
 async def slow_store(context: FaultContext) -> None:
-    """Let the store answer late."""
+    """Make the store respond slowly for a while."""
     context.world.fault_state.store_seconds = 0.2
     await asyncio.sleep(context.rng.uniform(1.0, 5.0))
     context.world.fault_state.store_seconds = 0.004
 
 
 async def lose_replies(context: FaultContext) -> None:
-    """Lose the answers to some writes, some of which come late."""
+    """Lose the replies to some writes, and apply some of these writes late."""
     context.world.fault_state.lost_replies = 0.35
     context.world.fault_state.late_writes = context.rng.choice((0.0, 0.5))
     await asyncio.sleep(context.rng.uniform(1.0, 5.0))
@@ -108,23 +108,23 @@
 
 
 async def forget_history(context: FaultContext) -> None:
-    """Drop the store's history; watches are cut."""
+    """Compact the store's history, which ends all watches."""
     context.world.forget_history()
 
 
 async def crash_worker(context: FaultContext) -> None:
-    """End a worker without notice."""
+    """Crash a worker; its VM boots again later."""
     context.world.fleet.crash(context.choose_vm(), context.rng.uniform(1.0, 6.0))
 
 
 async def restart_worker(context: FaultContext) -> None:
-    """Let a worker start again under its id, unseen or after a while."""
+    """Restart a worker under its id, either unnoticed by listings or after a delay."""
     seconds = context.rng.choice((0.0, context.rng.uniform(0.2, 3.0)))
     context.world.fleet.restart(context.choose_vm(), seconds)
 
 
 async def restart_pool(context: FaultContext) -> None:
-    """Let all workers of a pool start again under their ids."""
+    """Restart all workers of a pool under their ids."""
     fleet = context.world.fleet
     pool_id = fleet.vms_by_id[context.choose_vm()].pool_id
     seconds = context.rng.choice((0.0, context.rng.uniform(0.2, 3.0)))
@@ -134,12 +134,12 @@
 
 
 async def drain_worker(context: FaultContext) -> None:
-    """Let a worker leave after its notice."""
+    """Drain a worker and end it some seconds later."""
     context.world.fleet.drain(context.choose_vm(), context.rng.uniform(2.0, 6.0))
 
 
 async def resize_worker(context: FaultContext) -> None:
-    """Let a worker's room shrink for a while, and grow again."""
+    """Reduce a worker's resources for a while, then restore them."""
     vm = context.world.fleet.vms_by_id[context.choose_vm()]
     part = context.rng.uniform(0.1, 0.7)
     smaller = Resources(
@@ -152,7 +152,7 @@
 
 
 async def spoil_worker(context: FaultContext) -> None:
-    """Let a worker fail or keep all that it starts."""
+    """Make a worker fail or hang all its tasks for a while."""
     vm = context.world.fleet.vms_by_id[context.choose_vm()]
     worker = vm.worker
     if worker is None:
@@ -165,7 +165,7 @@
 
 
 async def order_wave(context: FaultContext) -> None:
-    """Order maintenance of half of the VMs."""
+    """Order maintenance of about half of the VMs."""
     vms = [vm for vm in context.world.fleet.vms_by_id if context.rng.random() < 0.5]  # noqa: PLR2004
     if vms:
         number = len(context.world.fleet.waves) + 1
@@ -173,7 +173,7 @@
 
 
 async def flap_workers(context: FaultContext) -> None:
-    """Let a few VMs go down and up by turns."""
+    """Make a few VMs go down and up repeatedly."""
     vms = [context.choose_vm() for _ in range(FLAPPING_VMS)]
     up_seconds = context.rng.uniform(*FLAP_UP_SECONDS)
     for _ in range(FLAPS):
@@ -185,19 +185,19 @@
 
 
 async def remove_worker(context: FaultContext) -> None:
-    """End a VM for good, without notice."""
+    """Remove a VM permanently, without notice."""
     if len(context.world.fleet.vms_by_id) > MIN_VMS:
         context.world.fleet.remove(context.choose_vm())
 
 
 async def send_crashing_job(context: FaultContext) -> None:
-    """Submit a job of which one task crashes each worker that starts it."""
+    """Submit a job with one task that crashes each worker that starts it."""
     queue = context.rng.choice(("lookup", "check"))
     context.customers.send(queue, *context.customers.create_crashing(CRASH_SECONDS))
 
 
 async def send_late_crashing_job(context: FaultContext) -> None:
-    """Submit a job of which one task crashes each worker some time after its start."""
+    """Submit a job with one task that crashes each worker some time after starting."""
     queue = context.rng.choice(("lookup", "check"))
     after = context.rng.uniform(*LATE_CRASH_SECONDS)
     context.customers.send(queue, *context.customers.create_crashing(after))
--- a/packages/bench/src/medlarspring_bench/platform_world/fleet_model.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/fleet_model.py
@@ -32,16 +32,16 @@
 
 WORKER_PREFIX = "servers/"
 REGISTRY_TTL_SECONDS = 4.5
-"""The registry drops a silent worker so much later."""
+"""Time after which the registry removes a crashed worker's entry."""
 REGISTER_SECONDS = 0.2
 MIN_RESTART_SECONDS = 0.06
-"""A worker that starts again is away for so long at least."""
+"""Minimum downtime of a worker that restarts."""
 CRASH_DOWNTIME_SECONDS = (1.0, 4.0)
-"""How long a worker is away that a task crashed."""
+"""Range of the downtime of a worker that a task crashed."""
 SAME_ID_RATIO = 0.3
-"""Part of the crashed workers that are back under the ids that they had."""
+"""Fraction of workers crashed by tasks that restart under their previous ids."""
 SHRINK_GRACE_SECONDS = 4.5
-"""A smaller room is held against starts from so long after it was told."""
+"""Time after which starts must respect a reported reduction of resources."""
 MOVE_SECONDS = 1.5
 MAINTENANCE_SECONDS = 2.0
 
@@ -59,18 +59,18 @@
     worker: WorkerModel | None = None
     maintained_for: set[str] = field(default_factory=set)
     down_for: str = ""
-    """Wave on whose behalf it is down."""
+    """Wave for which it is down."""
     unseen: bool = False
-    """Away for so short that the list still shows it up."""
+    """Whether its downtime is so short that the list still shows it as up."""
 
 
 def invent_address(vm_id: VMId) -> str:
-    """Return an address for a VM that nobody connects to."""
+    """Return a placeholder address for a VM that gets no connections."""
     return f"{ip_address(crc32(vm_id.encode()))}:8080"
 
 
 class FleetModel:
-    """All VMs; implements what the VM control and the registry do."""
+    """All VMs; emulates the VM control and the worker registry."""
 
     def __init__(
         self,
@@ -94,12 +94,12 @@
             tuple[WorkerId, Milliseconds], list[tuple[Seconds, Resources]]
         ]
         self._registered_resources = {}
-        """Rooms that a life of a worker told, and when."""
+        """Registered resources and their times, by worker id and incarnation."""
         self._find_facts = find_facts
         self.vms_by_id: dict[VMId, VMModel] = {}
         self.workers_by_id: dict[WorkerId, WorkerModel] = {}
         self.waves: dict[str, tuple[set[str], int]] = {}
-        """VMs and most at once, by wave."""
+        """VMs and the maximum number down at once, by wave."""
         self._next_worker = 1
         self._last_birth_ms = 0
         self._timers: set[asyncio.Task[None]] = set()
@@ -129,7 +129,7 @@
         )
 
     def move(self, vm_id: VMId, pool_id: PoolId, by: Authority) -> VMRefusal | None:
-        """Carry a move out, or refuse it."""
+        """Move a VM to a pool, or refuse."""
         vm = self.vms_by_id.get(vm_id)
         if vm is None:
             return VMRefusal.INVALID
@@ -145,7 +145,7 @@
         return None
 
     def maintain(self, vm_id: VMId, wave_id: str, by: Authority) -> VMRefusal | None:
-        """Take a VM down for maintenance, or refuse it."""
+        """Take a VM down for maintenance, or refuse."""
         vm = self.vms_by_id.get(vm_id)
         if vm is None:
             return VMRefusal.INVALID
@@ -164,7 +164,7 @@
         return None
 
     def crash(self, vm_id: VMId, seconds: Seconds) -> None:
-        """End a VM's life without notice; it is back later."""
+        """Crash a VM without notice; it boots again after a delay."""
         vm = self.vms_by_id[vm_id]
         if vm.phase is not VMPhase.UP:
             return
@@ -176,7 +176,7 @@
         self._after(seconds, lambda: self._boot(vm))
 
     def _crash_later(self, worker: WorkerModel, after: Seconds) -> None:
-        """Let a task crash the worker that started it."""
+        """Schedule the crash of a worker that started a crashing task."""
         seconds = self._rng.uniform(*CRASH_DOWNTIME_SECONDS)
         crash = self.restart if self._rng.random() < SAME_ID_RATIO else self.crash
         self._after(
@@ -185,9 +185,9 @@
         )
 
     def restart(self, vm_id: VMId, seconds: Seconds) -> None:
-        """Let a worker start again under the id that it had.
+        """Restart a worker under its id.
 
-        With 0 seconds it is back so quickly that no list shows it away.
+        With 0 seconds the restart is so fast that no listing shows the VM as down.
         """
         vm = self.vms_by_id[vm_id]
         worker = vm.worker
@@ -205,14 +205,14 @@
             self._unregister(worker)
 
     def resize(self, vm_id: VMId, resources: Resources) -> None:
-        """Let a worker's room shrink or grow, in the middle of its life."""
+        """Change the resources of a running worker."""
         worker = self.vms_by_id[vm_id].worker
         if worker is not None:
             worker.resources = resources
             self._register_if_alive(worker)
 
     def remove(self, vm_id: VMId) -> None:
-        """End a VM for good, without notice; no list shows it any more."""
+        """Remove a VM permanently, without notice; listings no longer show it."""
         vm = self.vms_by_id[vm_id]
         worker = vm.worker
         self._end_incarnation(vm, registered=True)
@@ -221,7 +221,7 @@
             self._after(REGISTRY_TTL_SECONDS, lambda: self._unregister(worker))
 
     def drain(self, vm_id: VMId, leave_seconds: Seconds) -> None:
-        """Announce that a worker leaves, and end its life later."""
+        """Announce that a worker is draining, and end it later."""
         vm = self.vms_by_id[vm_id]
         worker = vm.worker
         if worker is None or vm.phase is not VMPhase.UP:
@@ -261,7 +261,7 @@
         )
 
     def _boot(self, vm: VMModel, worker_id: WorkerId | None = None) -> None:
-        """Begin a VM's next life, under a new id unless one is given."""
+        """Start a VM's next worker incarnation, with a new id unless one is given."""
         if vm.id not in self.vms_by_id:
             return
         vm.phase = VMPhase.UP
@@ -298,7 +298,7 @@
         return WorkerId(f"i-{number:05x}")
 
     def _create_birth_ms(self) -> int:
-        """Return the Unix time in ms; no two lives of a worker share it."""
+        """Return the Unix time in ms, unique to each worker incarnation."""
         self._last_birth_ms = max(
             self._last_birth_ms + 1, round(self._clock.wall() * 1_000)
         )
@@ -371,7 +371,7 @@
         )
 
     def _exceeds_resources(self, worker: WorkerModel, order: StartOrder) -> bool:
-        """Tell whether a start takes more than each room that still counts."""
+        """Return whether a start exceeds all registered resources that still apply."""
         facts = self._find_facts(order.task_id)
         reported = self._registered_resources.get((worker.id, worker.born_ms), [])
         if facts is None or not reported:
@@ -401,8 +401,8 @@
                 continue
             if record.end_number > number or record.acknowledged_at is not None:
                 continue
-            # An end that a lapse of the lease came after is not taken note of:
-            # the controller could not know of it when it started the task again.
+            # An end before the latest lease expiry does not count as acknowledged:
+            # the controller could not know of it when it restarted the task.
             if (record.ended_at or 0.0) >= worker.lapsed_at:
                 record.acknowledged_at = now
 
--- a/packages/bench/src/medlarspring_bench/platform_world/history.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/history.py
@@ -1,4 +1,4 @@
-"""What happened on the emulated platform, as workers and customers saw it."""
+"""Record of a simulation, as workers, VM control and customers observed it."""
 
 from __future__ import annotations
 
@@ -26,26 +26,26 @@
     started_at: Seconds
     fence: int
     born_ms: Milliseconds
-    """Tells the lives of a worker apart that keeps its id."""
+    """Distinguishes the incarnations of a worker that restarts under its id."""
     ended_at: Seconds | None = None
     end: RunEnd | None = None
     end_number: int = 0
     acknowledged_at: Seconds | None = None
     """When the end was acknowledged."""
     over_capacity: bool = False
-    """It was started beyond the room of a worker that does not guard it."""
+    """The start overcommitted a worker that does not enforce its resources."""
     worker_gone: bool = False
-    """The worker's life ended with the run on it."""
+    """The worker incarnation ended while the run was active."""
 
     def overlaps(self, other: RunHistory) -> bool:
-        """Tell whether two runs were going on at one moment."""
+        """Return whether two runs were active at the same time."""
         own_end = float("inf") if self.ended_at is None else self.ended_at
         other_end = float("inf") if other.ended_at is None else other.ended_at
         return self.started_at < other_end and other.started_at < own_end
 
 
 class CallKind(Enum):
-    """What a customer asked."""
+    """Kind of a customer's call."""
 
     SUBMIT = "submit"
     STATUS = "status"
@@ -76,13 +76,13 @@
     holder: str
     fence: int
     down_in_wave: int
-    """Other VMs of the wave that were down at that moment."""
+    """Number of other VMs of the wave that were down at that moment."""
     most_down: int
 
 
 @dataclass(slots=True)
 class History:
-    """Everything that the checks look at."""
+    """All events that the checks examine."""
 
     specs_by_id: dict[JobId, JobSpec] = field(default_factory=dict)
     max_attempts_by_id: dict[JobId, int] = field(default_factory=dict)
@@ -95,15 +95,15 @@
     crashing_tasks: set[str] = field(default_factory=set)
     """Tasks that crash each worker that starts them."""
     unqueued_at: dict[str, Seconds] = field(default_factory=dict)
-    """Tasks that a controller would never have placed, and when that was seen."""
+    """Waiting tasks missing from a controller's queues, by the time first detected."""
 
     def add_run(self, run: RunHistory) -> None:
-        """Note that a worker began a run."""
+        """Record that a worker started a run."""
         self.runs.append(run)
         self.runs_by_task.setdefault(run.task_id, []).append(run)
 
     def list_crashes(self, task_id: str) -> list[Seconds]:
-        """Return when workers ended with a run of the task on them, in order."""
+        """Return the times at which workers ended during a run of the task, sorted."""
         return sorted(
             run.ended_at
             for run in self.runs_by_task.get(task_id, ())
--- a/packages/bench/src/medlarspring_bench/platform_world/http_fleet.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/http_fleet.py
@@ -51,7 +51,7 @@
 
 
 class HttpFleet:
-    """Handlers over one ``FleetModel``; each VM's worker has a gate of its own."""
+    """HTTP handlers on a ``FleetModel``; each VM's worker has its own gate."""
 
     def __init__(self, fleet: FleetModel, clock: Clock) -> None:
         self._fleet = fleet
@@ -59,7 +59,7 @@
         self._workers_by_transport: WeakKeyDictionary[
             asyncio.BaseTransport, WorkerModel
         ] = WeakKeyDictionary()
-        """Lives that connections lead to; they end together."""
+        """Worker incarnation of each connection; the connection ends with it."""
 
     def create_control_app(self) -> web.Application:
         """Return the application of the VM control's address."""
@@ -70,7 +70,7 @@
         return app
 
     def create_worker_app(self) -> web.Application:
-        """Return the application of all workers; the gate tells whose call it is."""
+        """Return the application of all workers; the gate identifies the VM called."""
         app = web.Application()
         app.router.add_post("/api/run-start", self._start)
         app.router.add_post("/api/run-stop", self._stop)
@@ -149,12 +149,12 @@
         return _answer_hold(answer)
 
     def _find_worker(self, request: web.Request) -> WorkerModel | None:
-        """Return the worker behind the gate if it is the one that is meant."""
+        """Return the worker behind the gate if the request is addressed to it."""
         vm = self._fleet.vms_by_id.get(VMId(request[GATE_KEY].name))
         worker = vm.worker if vm is not None else None
         assert request.transport is not None
         if worker is None:
-            # Nothing listens on a VM that is down.
+            # Without a worker, nothing listens on the VM.
             request.transport.abort()
             return None
         connected = self._workers_by_transport.setdefault(request.transport, worker)
--- a/packages/bench/src/medlarspring_bench/platform_world/http_store.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/http_store.py
@@ -1,7 +1,7 @@
 """The emulated platform's store over HTTP, with its faults.
 
-Each entry VM reaches the store at a gate of its own, whose name tells the store
-whose call it is.
+Each entry VM reaches the store through its own gate, whose name identifies the
+caller.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
 
 
 class Txn(Struct, rename="camel"):
-    """All or nothing."""
+    """An atomic transaction."""
 
     expected_rev: list[Condition] = []
     puts: list[Write] = []
@@ -76,7 +76,7 @@
 
 
 class HttpStore:
-    """Handlers over one ``KeyValueState``, under the faults of a ``Weather``."""
+    """HTTP handlers on a ``KeyValueState``, with the faults of a ``FaultState``."""
 
     def __init__(self, state: KeyValueState, fault_state: FaultState) -> None:
         self._state = state
@@ -101,7 +101,7 @@
     async def _inject_faults(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        """Refuse, swallow, delay or lose a call, as the weather says."""
+        """Refuse, drop, delay or lose a call according to the fault state."""
         fault_state = self._fault_state
         mode = fault_state.mode(request[GATE_KEY].name)
         if mode is StoreMode.BUSY:
@@ -115,7 +115,7 @@
         return await handler(request)
 
     async def _lose(self, request: web.Request) -> None:
-        """Carry a write out, now or late, and never answer."""
+        """Apply a write, now or late, and never respond."""
         txn = msgspec.json.decode(await request.read(), type=Txn)
         if self._fault_state.rng.random() < self._fault_state.late_writes:
             spawn_detached(self._apply_late(txn), self._late)
@@ -160,13 +160,14 @@
                 return web.Response(status=GONE)
             left = until - asyncio.get_running_loop().time()
             if events or left <= 0:
-                # Read and stamped in one moment: a commit in between would be
-                # skipped by the next watch, which continues from the stamp.
+                # The events and the revision are read without an await in between:
+                # the next watch continues from this revision and would skip a
+                # commit made in between.
                 return json_response({"events": events, "asOf": self._state.revision})
             await asyncio.wait((changed,), timeout=left)
 
     def _await_commit(self) -> asyncio.Future[None]:
-        """Return a future that ends with the next commit."""
+        """Return a future that completes at the next commit."""
         if self._next_commit is None or self._next_commit.done():
             self._next_commit = asyncio.get_running_loop().create_future()
         return self._next_commit
@@ -182,7 +183,7 @@
         return self._answer_txn(txn, self._apply(txn))
 
     def _apply(self, txn: Txn) -> bool | None:
-        """Carry a transaction out; None if it names a lease that is gone."""
+        """Apply a transaction; return None if it names a lease that does not exist."""
         compares = tuple(
             Compare(
                 each.key.encode(),
--- a/packages/bench/src/medlarspring_bench/platform_world/outcomes.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/outcomes.py
@@ -1,4 +1,4 @@
-"""What is left over at the end of a day: jobs without an end, tasks without a job."""
+"""Checks at the end of a day: unfinished jobs, and leftover runs of cancelled jobs."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     from medlarspring_bench.platform_world.history import History
 
 CRASHES_TO_GIVE_UP = 2
-"""Workers that a task has crashed before its job may be shown as failed."""
+"""Number of workers a task must have crashed before its job may be reported failed."""
 
 
 async def find_unfinished(customers: Customers, history: History) -> list[str]:
-    """Return the accepted jobs whose status nothing explains, each with it."""
+    """Return the accepted jobs whose status has no valid cause, as ``job: status``."""
     unfinished: list[str] = []
     for job_id in sorted(customers.accepted):
         status = await customers.ask(job_id)
@@ -30,7 +30,7 @@
 
 
 def count_complete(history: History) -> int:
-    """Return how many jobs a customer was told are complete."""
+    """Return how many jobs were reported to customers as complete."""
     return len(
         {
             call.job_id
@@ -43,7 +43,7 @@
 def find_left_running(
     customers: Customers, history: History, fleet: FleetModel
 ) -> list[Breach]:
-    """Nothing of a cancelled job runs on, long after the last fault."""
+    """Return the tasks of cancelled jobs that still run long after the last fault."""
     return [
         Breach("cancelled", run.task_id, f"still on {worker.id}")
         for worker in fleet.workers_by_id.values()
@@ -54,9 +54,9 @@
 
 
 def _may_be_cancelled(customers: Customers, history: History, job_id: JobId) -> bool:
-    """Tell whether a wish to cancel a job may have been carried out.
+    """Return whether a request to cancel a job may have been applied.
 
-    A job whose cancellation was refused each time, as not carried out, is to run on.
+    A job must keep running if each cancellation was refused as not applied.
     """
     answers = [
         call.answer
@@ -68,7 +68,7 @@
 
 
 def _has_crashed_workers(history: History, job_id: JobId) -> bool:
-    """Tell whether a task of the job may be given up for the workers it crashed."""
+    """Return whether the job may have failed because a task crashed its workers."""
     return any(
         len(history.list_crashes(task_id)) >= CRASHES_TO_GIVE_UP
         for task_id in history.crashing_tasks
@@ -79,7 +79,7 @@
 def _is_explained(
     customers: Customers, history: History, job_id: JobId, status: str
 ) -> bool:
-    """Tell whether a status is right for a job when all is over."""
+    """Return whether a status is valid for a job at the end of a day."""
     if status == JobStatus.COMPLETE.value:
         return True
     spec = history.specs_by_id[job_id]
--- a/packages/bench/src/medlarspring_bench/platform_world/plans.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/plans.py
@@ -1,4 +1,4 @@
-"""Size and shape of an emulated installation, and its configuration."""
+"""Size and layout of an emulated installation, and its configuration."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorldPlan:
-    """Size and shape of an installation."""
+    """Size and layout of an installation."""
 
     nodes: int = 3
     pools: tuple[str, ...] = ("consent", "survey")
@@ -42,7 +42,7 @@
     zones: int = 2
     resources: Resources = Resources(16_000, 32_768, 0)
     unenforced_pools: tuple[str, ...] = ()
-    """Pools whose workers start whatever they are told."""
+    """Pools whose workers start every task, even without enough resources."""
     queues: tuple[QueuePlan, ...] = (
         QueuePlan("lookup", "consent"),
         QueuePlan("check", "survey"),
@@ -50,7 +50,7 @@
     )
 
     def list_vm_ids(self) -> list[str]:
-        """Return the ids of all VMs, those of the pools first."""
+        """Return the ids of all VMs, the pools' VMs before the standby VMs."""
         count = len(self.pools) * self.vms_per_pool + self.standby_vms
         return [f"m-{number:03d}" for number in range(count)]
 
@@ -58,7 +58,7 @@
 def write_operator_config(
     plan: WorldPlan, version: int, dropped: tuple[str, ...] = ()
 ) -> dict[str, Any]:
-    """Return the operator's configuration as the platform spells it."""
+    """Return the operator's configuration in the platform's format."""
     routes = [
         {
             "name": queue.name,
@@ -82,7 +82,10 @@
 
 
 def add_vms(plan: WorldPlan, fleet: FleetModel) -> None:
-    """Boot the VMs of a plan; zones take turns, a rack has four."""
+    """Boot the VMs of a plan, alternating between zones.
+
+    Of four consecutive VMs, those in one zone share a rack.
+    """
     for number, vm_id in enumerate(plan.list_vm_ids()):
         zone = number % plan.zones
         pool_number = number // plan.vms_per_pool
--- a/packages/bench/src/medlarspring_bench/platform_world/store.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/store.py
@@ -1,4 +1,4 @@
-"""One node's view of the store, with delays and faults."""
+"""Simulated store client of one node, with delays and faults."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
         return await self._call(lambda: self._inner.read_prefix(prefix))
 
     async def commit(self, transaction: Transaction) -> Result[Committed, StoreError]:
-        """Apply one transaction; a refusal reads the conditions' keys."""
+        """Apply one transaction; a refusal returns the entries of its conditions."""
         keys = tuple(expect.key for expect in transaction.expects)
         whole = Transaction(transaction.expects, transaction.writes, keys)
         return await self._call(lambda: self._inner.commit(whole), writes=True)
@@ -76,7 +76,7 @@
     async def commit_each(
         self, transactions: Sequence[Transaction]
     ) -> Result[list[Committed], StoreError]:
-        """Decide many transactions on their own."""
+        """Apply several transactions independently of each other."""
         return await self._call(
             lambda: self._inner.commit_each(transactions), writes=True
         )
@@ -94,14 +94,14 @@
         return await self._call(lambda: self._inner.revoke_lease(lease_id), writes=True)
 
     async def watch_health(self) -> None:
-        """Notice the store's return, as the polls of a real watch do."""
+        """Detect that the store is available again, as the polls of a real watch do."""
         while True:
             await asyncio.sleep(RETRY_SECONDS)
             if self._mode() is StoreMode.WELL:
                 self.failing_since = None
 
     async def watch(self, prefix: str, start: Revision) -> AsyncIterator[WatchBatch]:
-        """Yield changes; while the store is away they are held back, not lost."""
+        """Yield changes; while the store is unavailable they are delayed, not lost."""
         async for batch in self._inner.watch(prefix, start):
             await asyncio.sleep(LINK_SECONDS + self._fault_state.store_seconds)
             while self._mode() is not StoreMode.WELL:
@@ -110,7 +110,7 @@
             yield batch
 
     def cut_watches(self) -> None:
-        """End all watches, as a store does that forgets its history."""
+        """End all watches, as a store does when it compacts its history."""
         self._inner.end_watches()
 
     def _mode(self) -> StoreMode:
--- a/packages/bench/src/medlarspring_bench/platform_world/virtual_time.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes only while nothing is left to do."""
+"""An event loop on a virtual clock, which advances only when no task is ready."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class NothingToDo(RuntimeError):
-    """Every task waits for something that no timer will bring about."""
+    """Deadlock: every task waits, and no timer is pending."""
 
 
 class VirtualClock:
-    """Implements ``Clock``; moved by the event loop."""
+    """Implements ``Clock``; the event loop advances it."""
 
     def __init__(self, start: Seconds = 1_000.0) -> None:
         self._now = start
@@ -31,11 +31,11 @@
         return self._now
 
     def wall(self) -> Seconds:
-        """Return a time of day that passes alike."""
+        """Return the Unix time in seconds, which advances at the same rate."""
         return WALL_START + self._now
 
     def advance(self, seconds: Seconds) -> None:
-        """Move the time forward."""
+        """Advance the virtual time."""
         self._now += seconds
 
 
@@ -72,10 +72,10 @@
 def spawn_detached(
     work: Coroutine[None, None, None], kept: set[asyncio.Task[None]]
 ) -> None:
-    """Run what belongs to the platform, whichever process set it off.
+    """Start a platform task that is independent of the simulated calling process.
 
-    Started in the caller's context it would be taken for a task of that process,
-    and end when the process is killed.
+    In the caller's context the task would count as one of that process, and would be
+    cancelled when the process is killed.
     """
     loop = asyncio.get_running_loop()
     task = loop.create_task(work, context=contextvars.Context())
--- a/packages/bench/src/medlarspring_bench/platform_world/worker_model.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/worker_model.py
@@ -1,4 +1,4 @@
-"""A worker of the emulated platform: leases, fences, runs and their ends."""
+"""A worker of the emulated platform: lease, fencing token, runs and their ends."""
 
 from __future__ import annotations
 
@@ -25,28 +25,28 @@
 HOLD_MAX_MS = 10_000
 STOP_SECONDS = 0.1
 STARTUP_SECONDS = 0.9
-"""A long-running task is at work so long after its start."""
+"""Time from the start of a long-running task until it reports full progress."""
 
 
 class WorkerBehavior(Enum):
-    """How a worker treats what it runs."""
+    """How a worker executes its tasks."""
 
     SOUND = "sound"
     FAILING = "failing"
-    """Fails all that it starts, soon."""
+    """Fails each task shortly after its start."""
     HANGING = "hanging"
-    """Keeps all that it starts, and nothing advances."""
+    """Accepts tasks, but they make no progress."""
 
 
 @dataclass(slots=True)
 class TaskFacts:
-    """What is true of a task, and only the emulator knows."""
+    """Actual properties of a task, hidden from the scheduling services."""
 
     spec: StepSpec
     seconds: Seconds
     unrunnable: bool = False
     crashes_after: Seconds | None = None
-    """It crashes each worker that starts it so long after the start; None: never."""
+    """Time after each start at which it crashes its worker; None: never."""
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class WorkerModel:
-    """One life of a VM; the next one may have the same id."""
+    """One incarnation of a worker; the next one may have the same id."""
 
     id: WorkerId
     born_ms: Milliseconds
@@ -80,7 +80,7 @@
     on_end: Callable[[WorkerModel, WorkerRun, RunEnd], None]
     on_acknowledge: Callable[[WorkerModel, int], None]
     on_crash: Callable[[WorkerModel, Seconds], None]
-    """Told when a task was started that crashes the worker, and how long after that."""
+    """Called when a crashing task starts, with the seconds until the crash."""
     clock_offset: Seconds = 0.0
     clock_rate: float = 1.0
     born_at: Seconds = 0.0
@@ -95,19 +95,19 @@
     next_end: int = 1
     acknowledged: int = 0
     lapsed_at: Seconds = float("-inf")
-    """When a lease last ran out, with or without runs under it."""
+    """When a lease last expired, with or without active runs."""
     enforces_resources: bool = True
-    """Whether it refuses what does not fit; others start whatever they are told."""
+    """Whether it refuses tasks that exceed its free resources."""
     refused_up_to: dict[str, int] = field(default_factory=dict)
     """Highest run number stopped or ended, by task."""
 
     def clock_ms(self, now: Seconds) -> int:
-        """Return the worker's own steady clock."""
+        """Return the time of the worker's own monotonic clock in milliseconds."""
         elapsed = (now - self.born_at) * self.clock_rate
         return round((self.clock_offset + elapsed) * 1_000)
 
     def start(self, order: StartOrder, now: Seconds) -> OrderAnswer:
-        """Carry a start out, or refuse it."""
+        """Start a run, or refuse it."""
         self.advance(now)
         clock = self.clock_ms(now)
         if order.fence < self.fence:
@@ -134,7 +134,7 @@
         return OrderAnswer(clock)
 
     def stop(self, order: StopOrder, now: Seconds) -> OrderAnswer:
-        """Stop a run, and refuse it from now on."""
+        """Stop a run, and refuse to start it from now on."""
         self.advance(now)
         clock = self.clock_ms(now)
         if order.fence < self.fence:
@@ -148,7 +148,7 @@
         return OrderAnswer(clock)
 
     def hold(self, order: HoldOrder, now: Seconds) -> HoldAnswer:
-        """Extend the lease and tell what runs and what ended."""
+        """Extend the lease and return the active runs and the unacknowledged ends."""
         self.advance(now)
         clock = self.clock_ms(now)
         if order.fence < self.fence:
@@ -166,7 +166,7 @@
         return HoldAnswer(clock, None, running, tuple(self.ended), self.born_ms)
 
     def advance(self, now: Seconds) -> None:
-        """End what is over by now."""
+        """End all runs if the lease has expired; otherwise advance each run to now."""
         over_ms = self.clock_ms(now) - self.lease_ms
         if self.lease_ms and over_ms > 0:
             self.lapsed_at = now - over_ms / 1_000.0
@@ -206,7 +206,8 @@
         self.next_end += 1
         self.on_end(self, run, end)
         if self.ended[-1].number <= self.acknowledged:
-            # The cursor is ahead of the ends: this one counts as read at once.
+            # The acknowledged number is ahead of the ends, so this one counts as
+            # acknowledged immediately.
             self.ended.pop()
             self.on_acknowledge(self, self.acknowledged)
 
@@ -215,7 +216,7 @@
         self.lease_ms = max(self.lease_ms, capped)
 
     def sum_resources_with(self, spec: StepSpec) -> Resources:
-        """Return what all runs and one more hold; those being stopped count too."""
+        """Return the resources of one more run and all runs, stopping ones included."""
         specs = [spec, *(run.facts.spec for run in self.runs.values())]
         return Resources(
             sum(each.cpu_millis for each in specs if not each.uses_leftover),
--- a/packages/bench/src/medlarspring_bench/platform_world/world.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/world.py
@@ -44,7 +44,7 @@
 LEASE_TICK_SECONDS = 0.05
 RUN_TICK_SECONDS = 0.02
 WATCH_SECONDS = 0.1
-"""As often as a controller looks at what waits."""
+"""Interval of the check for waiting tasks that are in no queue."""
 
 _owner: contextvars.ContextVar[int] = contextvars.ContextVar("owner", default=0)
 
@@ -87,7 +87,7 @@
         self._stores: list[SimulatedStore] = []
         self._background: list[asyncio.Task[None]] = []
 
-    # Life of the world
+    # Lifecycle
 
     async def start(self) -> None:
         """Write the configuration, boot the VMs and start all nodes."""
@@ -103,14 +103,14 @@
             await self.start_node(f"entry-{number}")
 
     async def stop(self) -> None:
-        """End everything."""
+        """Kill all nodes and stop the platform."""
         for name in list(self.nodes_by_name):
             self.kill_node(name)
         for task in self._background:
             task.cancel()
 
     def write_config(self, dropped: tuple[str, ...] = ()) -> None:
-        """Write a newer configuration, as the operator does."""
+        """Write a new version of the configuration, as the operator does."""
         self._config_version += 1
         config = write_operator_config(self.plan, self._config_version, dropped)
         self.state.apply(PutOp(b"op/config", json.dumps(config).encode()))
@@ -122,7 +122,7 @@
         order_wave(self.state, self.fleet, number, vms, most, seconds)
 
     def read_wave_state(self, number: int) -> str:
-        """Return what the system told the operator of a wave."""
+        """Return the reported state of a wave, or an empty string if there is none."""
         reply = self.state.apply(RangeOp(f"status/wave/{number}".encode()))
         assert isinstance(reply, RangeReply)
         if not reply.kvs:
@@ -130,13 +130,13 @@
         return str(json.loads(reply.kvs[0].value)["state"])
 
     def forget_history(self) -> None:
-        """Let the store drop its history and cut all watches."""
+        """Compact the store's history and end all watches."""
         self.state.compact(self.state.revision)
         for store in self._stores:
             store.cut_watches()
 
     def revoke_controller(self) -> None:
-        """Let the store take the controllers' keys away."""
+        """Delete the controllers' keys from the store."""
         reply = self.state.apply(RangeOp(b"controllers/", b"controllers0"))
         assert isinstance(reply, RangeReply)
         for kv in reply.kvs:
@@ -145,7 +145,7 @@
     # Nodes
 
     async def start_node(self, name: str, adviser: Adviser | None = None) -> Node:
-        """Start a process; one of that name must not be running."""
+        """Start a process; none of that name may be running."""
         incarnation = self.rng.getrandbits(60)
         node = Node(name, incarnation)
         token = _owner.set(incarnation)
@@ -161,7 +161,7 @@
         return node
 
     def kill_node(self, name: str) -> None:
-        """End a process at once; nothing it still wanted to do has effect."""
+        """Kill a process; its pending calls have no effect."""
         node = self.nodes_by_name.pop(name, None)
         if node is None:
             return
@@ -170,7 +170,7 @@
             task.cancel()
 
     async def stop_node(self, name: str) -> None:
-        """End a process gracefully."""
+        """Stop a process gracefully."""
         node = self.nodes_by_name.pop(name, None)
         if node is None:
             return
@@ -184,7 +184,7 @@
             task.cancel()
 
     async def replace_nodes(self, names: Sequence[str], pause: Seconds) -> None:
-        """End processes at once; others of their names start after a pause."""
+        """Kill processes, and start new ones of the same names after a pause."""
         for name in names:
             self.kill_node(name)
         await asyncio.sleep(pause)
@@ -193,7 +193,7 @@
                 await self.start_node(name)
 
     def find_controller(self) -> str | None:
-        """Return the node that controls the cell, by its own belief."""
+        """Return the first node that considers itself the controller, or None."""
         for name, node in self.nodes_by_name.items():
             if node.service.is_controlling():
                 return name
@@ -229,7 +229,7 @@
             task.add_done_callback(lambda done: tasks.pop(done, None))
         return task
 
-    # The platform's own time
+    # Background tasks of the platform
 
     async def _expire_leases(self) -> None:
         while True:
@@ -252,7 +252,7 @@
             await asyncio.sleep(RUN_TICK_SECONDS)
 
     async def _watch_tables(self) -> None:
-        """Look for tasks that a controller has lost sight of."""
+        """Record waiting tasks that are missing from a controller's queues."""
         while True:
             now = self.clock.now()
             for node in self.nodes_by_name.values():
