--- a/packages/bench/src/medlarspring_bench/experiment/__init__.py
+++ b/packages/bench/src/medlarspring_bench/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Plays of turning demand on the emulated platform, with mechanisms switched off."""
+"""Ablation runs with bursty load on the emulated platform."""
--- a/packages/bench/src/medlarspring_bench/experiment/__main__.py
+++ b/packages/bench/src/medlarspring_bench/experiment/__main__.py
@@ -17,10 +17,10 @@
 
 
 def main() -> None:
-    """Play, print the table, and draw it."""
+    """Run the ablation, print its table, and write the chart if requested."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=6)
-    parser.add_argument("--jobs", type=int, default=4, help="plays at a time")
+    parser.add_argument("--jobs", type=int, default=4, help="runs at a time")
     parser.add_argument("--plan", action="append", choices=list(PLANS))
     parser.add_argument(
         "--mechanism", action="append", choices=[each.name for each in MECHANISMS]
@@ -37,9 +37,9 @@
 
 
 def draw(rows: list[Row], path: Path) -> None:
-    """Write a chart of what each mechanism is worth, in percent of jobs in time."""
+    """Write a chart of each mechanism's gain in jobs in time, in percentage points."""
     chart = pygal.HorizontalBar(
-        title="Jobs in time: with a mechanism less without it, in percent"
+        title="Jobs in time: with a mechanism minus without it, in percent"
     )
     plan_names = list(dict.fromkeys(row.plan_name for row in rows))
     mechanisms = list(dict.fromkeys(row.mechanism for row in rows))
--- a/packages/bench/src/medlarspring_bench/experiment/ablation.py
+++ b/packages/bench/src/medlarspring_bench/experiment/ablation.py
@@ -1,4 +1,4 @@
-"""Plays with one mechanism off at a time, each beside the same play with all on."""
+"""Runs with one mechanism disabled, compared with the same runs with all enabled."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """One play of one variant."""
+    """A plan, a disabled mechanism (or ``ALL_ON``) and a seed."""
 
     plan_name: str
     mechanism: str
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """What a mechanism is worth in one plan: with it less without it."""
+    """Effect of a mechanism in one plan: the result with it minus without it."""
 
     plan_name: str
     mechanism: str
     in_time: tuple[float, ...]
-    """Difference of the part of jobs in time, by seed."""
+    """Difference in the fraction of jobs in time, by seed."""
     paid: tuple[float, ...]
-    """Difference in paid VM-seconds, as a part of those with it."""
+    """Difference in paid VM-seconds, as a fraction of those with the mechanism."""
     moves: tuple[int, ...]
 
     def describe(self) -> str:
@@ -63,7 +63,7 @@
 
 
 def run_variant(task: Variant) -> BurstOutcome:
-    """Play one variant."""
+    """Run one variant."""
     plan = PLANS[task.plan_name]
     if task.mechanism == ALL_ON:
         return run_bursts(plan, task.seed)
@@ -75,7 +75,7 @@
 def measure(
     plan_names: Sequence[str], mechanisms: Sequence[str], seeds: int, jobs: int
 ) -> list[Row]:
-    """Play everything, several at a time; returns a row a plan and mechanism."""
+    """Run all variants, ``jobs`` at a time; return a row per plan and mechanism."""
     tasks = [
         Variant(plan_name, mechanism, seed)
         for plan_name in plan_names
--- a/packages/bench/src/medlarspring_bench/experiment/bursts.py
+++ b/packages/bench/src/medlarspring_bench/experiment/bursts.py
@@ -1,8 +1,8 @@
-"""One play: queues have their turns one after the other, and faults strike.
+"""One run: the queues have bursts of load in rotation, while faults are injected.
 
-The emulated platform runs the real controller in virtual time. What is measured is
-what users and operators see: jobs complete within their objective, VMs that are paid
-for, and VMs that change their pool.
+The emulated platform runs the real controller in virtual time. The run measures what
+users and operators see: the jobs complete within their objective, the VMs paid for,
+and the moves of VMs between pools.
 """
 
 from __future__ import annotations
@@ -32,50 +32,50 @@
     from medlarspring_tables import JobId, Seconds
 
 WARM_UP_SECONDS = 9.0
-"""The pools' first sizes are known after 6 s."""
+"""The first sizes of the pools are known after 6 s."""
 SETTLE_SECONDS = 20.0
 SETTLE_TASKS = 8.0
-"""A play goes on for so many usual tasks; the objective of a job is shorter."""
+"""Settling time in median task durations; longer than the objective of a job."""
 SAMPLE_SECONDS = 0.1
 WINDOW_SECONDS = 2.0
 IDLE_LOAD_RATIO = 0.05
-"""Between its turns a queue asks for so much of its peak."""
+"""Load of a queue between its bursts, as a fraction of its peak."""
 VM_MILLIS = 16_000
 RESTART_SECONDS = 0.8
 
 
 @dataclass(frozen=True, slots=True)
 class BurstPlan:
-    """Size of the fleet, and the shape of the demand."""
+    """Size of the fleet, and the load over time."""
 
     queues: int = 3
     vms_per_pool: int = 4
     standby_vms: int = 4
     burst_seconds: float = 6.0
-    """Each queue's turn; 0 for no turns, all queues ask for their mean all the time."""
+    """Duration of each burst; with 0 all queues have their mean load all the time."""
     cycles: int = 2
     peak_vms: float = 6.0
-    """What a queue in its turn keeps busy if served at once."""
+    """VMs that a queue's burst keeps busy if its tasks start without delay."""
     task_seconds: float = 0.6
     """Median; jobs have one to three steps."""
     task_millis: int = 2_000
     tasks: int = 5
-    """Tasks of a step on average."""
+    """Average number of tasks of a step."""
     estimate_error: float = 0.4
     """Standard deviation of the logarithm of the submitters' estimates."""
     kills: tuple[float, ...] = ()
-    """Seconds into the traffic at which the controller is killed."""
+    """Times from the start of the load at which the controller is killed."""
     restarts: tuple[float, ...] = ()
-    """Seconds into the traffic at which all processes are killed."""
+    """Times from the start of the load at which all processes are killed."""
 
     @property
     def traffic_seconds(self) -> Seconds:
-        """How long customers submit jobs."""
+        """Duration for which customers submit jobs."""
         return max(self.burst_seconds, 4.0) * self.queues * self.cycles
 
     @property
     def jobs_per_second(self) -> float:
-        """Rate of a queue in its turn."""
+        """Submission rate of a queue during its burst."""
         cores = self.peak_vms * VM_MILLIS / self.task_millis
         return cores / (self.tasks * 2 * self.task_seconds)
 
@@ -93,32 +93,32 @@
 
 @dataclass(slots=True)
 class BurstOutcome:
-    """What came of a play."""
+    """Measurements of a run."""
 
     jobs: int = 0
     in_time: int = 0
     worst_window: float = 1.0
-    """Part of the jobs in time among those that came within 2 s of each other."""
+    """Lowest fraction of jobs in time among those sent in one window of 2 s."""
     paid_vm_seconds: float = 0.0
     moves: int = 0
     breaches: list[Breach] = field(default_factory=list)
 
     @property
     def in_time_part(self) -> float:
-        """Part of all jobs that were complete within their objective."""
+        """Fraction of all jobs that were complete within their objective."""
         return self.in_time / max(self.jobs, 1)
 
 
 @dataclass(slots=True)
 class SentJob:
-    """A job as its customer knows it."""
+    """When a job was sent, and its objective in seconds."""
 
     sent_at: Seconds
     objective: Seconds
 
 
 class BurstRun:
-    """Sends the load of a plan into a world, and measures."""
+    """Sends the load of a plan to an emulated installation, and measures."""
 
     def __init__(self, plan: BurstPlan, world: World, seed: int) -> None:
         self._plan = plan
@@ -129,7 +129,7 @@
         self._paid = 0.0
 
     async def run(self) -> BurstOutcome:
-        """Play the plan to its end."""
+        """Run the plan to its end and return the measurements."""
         await asyncio.sleep(WARM_UP_SECONDS)
         began_at = self._world.clock.now()
         faults = [asyncio.ensure_future(self._kill(at)) for at in self._plan.kills]
@@ -157,7 +157,7 @@
                 self._send(number)
 
     def _find_load_ratio(self, number: int, at: Seconds) -> float:
-        """Return the part of its peak that a queue asks for."""
+        """Return the load of a queue as a fraction of its peak."""
         plan = self._plan
         if not plan.burst_seconds:
             return 1.0 / plan.queues
@@ -188,7 +188,7 @@
         )
 
     def _add_facts(self, job_id: JobId, spec: JobSpec) -> Seconds:
-        """Decide how long the tasks take; returns the longest chain of them."""
+        """Draw the task durations; return that of the longest chain of tasks."""
         chain = 0.0
         self._world.history.specs_by_id[job_id] = spec
         for index, step in enumerate(spec.steps):
@@ -262,7 +262,7 @@
 
 
 def run_bursts(plan: BurstPlan, seed: int) -> BurstOutcome:
-    """Play a plan in virtual time; the same seed gives the same outcome."""
+    """Run a plan in virtual time; the same seed gives the same outcome."""
 
     async def main(clock: VirtualClock) -> BurstOutcome:
         world = World(plan.create_world_plan(), clock, seed)
--- a/packages/bench/src/medlarspring_bench/experiment/mechanisms.py
+++ b/packages/bench/src/medlarspring_bench/experiment/mechanisms.py
@@ -1,4 +1,4 @@
-"""What is believed to help, and how each of it is switched off."""
+"""The policy mechanisms under test, and how each one is disabled."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Mechanism:
-    """One mechanism, and the value in its place that makes it do nothing."""
+    """A mechanism, and the replacement value that disables it."""
 
     name: str
     owner: ModuleType | type
     attribute: str
     off: Any
     purpose: str
-    """The load or the failure that it is meant for."""
+    """The load or the failure that the mechanism is meant for."""
 
     @contextmanager
     def switched_off(self) -> Iterator[None]:
-        """Run without it; the policy reads the value each time it decides."""
+        """Disable the mechanism; the policy reads the value at each decision."""
         with mock.patch.object(self.owner, self.attribute, self.off):
             yield
 
@@ -65,22 +65,22 @@
         job_feed.JobFeed,
         "_find_arrival_time",
         _arrive_now,
-        "a controller that loads jobs in the middle of a turn",
+        "a controller that loads jobs in the middle of a burst",
     ),
     Mechanism(
         "moves-at-once",
         vm_manager.VMManager,
         "_find_start",
         _wait_for_lease,
-        "a takeover while the pool in turn needs VMs",
+        "a takeover while the pool with the burst needs VMs",
     ),
-    Mechanism("trend", demand, "TREND_GAIN", 0.0, "the beginning of a turn"),
+    Mechanism("trend", demand, "TREND_GAIN", 0.0, "the beginning of a burst"),
     Mechanism(
         "reserve",
         pool_needs,
         "LOW_SLACK_SIZE_RATIO",
         0.0,
-        "the first second and a half of a turn of short jobs",
+        "the first second and a half of a burst of short jobs",
     ),
     Mechanism(
         "kept-need",
@@ -115,14 +115,14 @@
         ordering,
         "FEASIBILITY_SLACK",
         FOREVER,
-        "jobs that can't be in time any more",
+        "jobs that can no longer be in time",
     ),
     Mechanism(
         "stalls",
         repair,
         "_look_for_stalls",
         _plan_nothing,
-        "workers on which tasks stand still",
+        "workers on which tasks make no progress",
     ),
 )
 
--- a/packages/bench/src/medlarspring_bench/platform_world/customers.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/customers.py
@@ -1,4 +1,4 @@
-"""Customers of the emulated installation: they submit, ask, repeat and cancel."""
+"""Simulated customers, who submit jobs with retries, poll their status and cancel."""
 
 from __future__ import annotations
 
@@ -39,47 +39,47 @@
 
 
 class Installation(Protocol):
-    """What customers know of where they send their jobs."""
+    """What customers need from the installation they send jobs to."""
 
     @property
     def plan(self) -> WorldPlan:
-        """What stands where, and the rules of the store."""
+        """Size and layout of the installation, and its queues."""
         ...
 
     @property
     def clock(self) -> Clock:
-        """Time that the history is stamped with."""
+        """Clock for the timestamps of the history."""
         ...
 
     @property
     def history(self) -> History:
-        """Everything that customers saw."""
+        """Record of the customers' jobs and calls."""
         ...
 
     @property
     def facts_by_task(self) -> dict[str, TaskFacts]:
-        """What workers do with a task; filled before it is submitted."""
+        """Actual properties of each task, added before its job is submitted."""
         ...
 
     @property
     def nodes_by_name(self) -> Mapping[str, object]:
-        """Entry VMs that run at present."""
+        """Entry VMs that are currently running."""
         ...
 
 
 class JobClient(Protocol):
-    """How a customer's call reaches an entry VM; answers are words."""
+    """Sends a customer's calls to an entry VM; answers are plain strings."""
 
     async def submit(self, node: str, queue: str, job_id: JobId, spec: JobSpec) -> str:
-        """Submit a job: ``ok``, the code of an error, or ``no-answer``."""
+        """Submit a job; return ``ok``, an error code, or ``no-answer``."""
         ...
 
     async def cancel(self, node: str, job_id: JobId) -> str:
-        """Cancel a job: ``ok``, the code of an error, or ``no-answer``."""
+        """Cancel a job; return ``ok``, an error code, or ``no-answer``."""
         ...
 
     async def find_status(self, node: str, job_id: JobId) -> str:
-        """Return a job's status, the code of an error, or ``no-answer``."""
+        """Return a job's status, an error code, or ``no-answer``."""
         ...
 
 
@@ -116,7 +116,7 @@
 
 
 class Customers:
-    """All customers; each job is one customer's."""
+    """All customers; each job belongs to a customer of its own."""
 
     def __init__(
         self,
@@ -132,11 +132,11 @@
         self._following: set[asyncio.Task[None]] = set()
 
     def create_job_id(self) -> JobId:
-        """Return a fresh id."""
+        """Return a new random job id."""
         return JobId(f"{self._rng.getrandbits(64):016x}")
 
     def create_batch(self, *, unrunnable: bool = False) -> tuple[JobId, JobSpec]:
-        """Return a job of one to three steps with few tasks each."""
+        """Return a job of one to three steps with one to six tasks each."""
         job_id = self.create_job_id()
         steps = []
         for index in range(self._rng.randint(1, 3)):
@@ -156,7 +156,7 @@
         return job_id, spec
 
     def create_crashing(self, after: Seconds) -> tuple[JobId, JobSpec]:
-        """Return a job of which one task crashes each worker that starts it."""
+        """Return a job with one task that crashes each worker that starts it."""
         job_id, spec = self.create_batch()
         index = self._rng.randrange(len(spec.steps))
         number = self._rng.randrange(spec.steps[index].count)
@@ -164,7 +164,7 @@
         return job_id, spec
 
     def make_task_crash(self, task_id: str, after: Seconds) -> None:
-        """Let a task crash each worker that starts it, so long after the start."""
+        """Make a task crash each worker that starts it, ``after`` seconds later."""
         facts = self._world.facts_by_task[task_id]
         facts.crashes_after = after
         facts.seconds = max(facts.seconds, after + 0.1)
@@ -187,7 +187,7 @@
     def add_facts(
         self, job_id: JobId, spec: JobSpec, *, unrunnable: bool = False
     ) -> None:
-        """Decide how long the job's tasks take, and whether one can never be done."""
+        """Draw the task durations; the first task of an unrunnable job always fails."""
         self._world.history.specs_by_id[job_id] = spec
         for occurrence in range(max(spec.occurrences, 1)):
             for index, step in enumerate(spec.steps):
@@ -201,20 +201,20 @@
                     )
 
     def send(self, queue: str, job_id: JobId, spec: JobSpec) -> asyncio.Task[None]:
-        """Submit a job in the background and follow it to its end."""
+        """Submit a job in the background and poll its status until it is final."""
         task = asyncio.ensure_future(self._follow_job(queue, job_id, spec))
         self._following.add(task)
         task.add_done_callback(self._following.discard)
         return task
 
     async def leave(self) -> None:
-        """Stop following the jobs that are still open."""
+        """Stop polling the jobs that are still open."""
         for task in self._following:
             task.cancel()
         await asyncio.gather(*self._following, return_exceptions=True)
 
     async def submit(self, queue: str, job_id: JobId, spec: JobSpec) -> bool:
-        """Submit with repeats; tells whether the job was accepted."""
+        """Submit a job with retries; return whether it was accepted."""
         for queue_plan in self._world.plan.queues:
             if queue_plan.name == queue:
                 attempts = queue_plan.max_attempts
@@ -228,7 +228,7 @@
         return False
 
     async def cancel(self, job_id: JobId) -> bool:
-        """Cancel a job with repeats; tells whether that was acknowledged."""
+        """Cancel a job with retries; return whether that was acknowledged."""
         self.cancelled.add(job_id)
         for _ in range(MAX_ATTEMPTS):
             node = self._choose_node()
@@ -242,7 +242,7 @@
         return False
 
     def list_open(self) -> list[JobId]:
-        """Return the accepted jobs that nobody cancelled, newest last."""
+        """Return the accepted jobs that no customer cancelled, newest last."""
         return [
             job_id
             for job_id in self._world.history.specs_by_id
@@ -250,7 +250,7 @@
         ]
 
     async def ask(self, job_id: JobId) -> str:
-        """Return what a node says of a job."""
+        """Return a job's status as reported by a random node, or an error code."""
         node = self._choose_node()
         if node is None:
             return "no-node"
@@ -291,7 +291,7 @@
 async def _wait_for(
     call: Coroutine[None, None, Result[JobStatus | None, IntakeError]],
 ) -> str:
-    """Return the answer as a word; a process that ends leaves its callers without."""
+    """Return the answer as a string; ``no-answer`` if the process ends meanwhile."""
     try:
         async with asyncio.timeout(CALL_TIMEOUT_SECONDS + SLACK_SECONDS):
             result = await call
--- a/packages/bench/src/medlarspring_bench/platform_world/days.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/days.py
@@ -1,4 +1,4 @@
-"""Seeded days of an emulated installation: load, faults, and a verdict."""
+"""Seeded scenarios ("days") of an emulated installation: load, faults, outcome."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class DayOutcome:
-    """What came of a day."""
+    """Outcome of a day, with all violations of the guarantees."""
 
     seed: int
     breaches: list[Breach] = field(default_factory=list)
@@ -70,7 +70,7 @@
 
 
 class Day:
-    """One seeded day; faults are drawn from the table below."""
+    """One seeded day; its faults are drawn from a fault table."""
 
     def __init__(self, world: World, seed: int, table: FaultTable) -> None:
         self.world = world
@@ -80,7 +80,7 @@
         self.faults: list[str] = []
 
     async def play(self, fault_count: int) -> None:
-        """Send load and faults, then wait until all is settled."""
+        """Submit jobs and inject faults, then wait until the installation settles."""
         await asyncio.sleep(WARM_UP_SECONDS)
         long_running_job = self.customers.create_long_running()
         self.customers.send("archive", *long_running_job)
@@ -115,7 +115,7 @@
         await fault(self)
 
     def choose_node(self) -> str | None:
-        """Return a node, the controller as often as not."""
+        """Return a node, the controller with a probability of at least one half."""
         controller = self.world.find_controller()
         if controller is not None and self.rng.random() < 0.5:  # noqa: PLR2004
             return controller
@@ -123,12 +123,12 @@
         return self.rng.choice(names) if names else None
 
     def choose_vm(self) -> VMId:
-        """Return a VM."""
+        """Return a random VM."""
         return self.rng.choice(sorted(self.world.fleet.vms_by_id))
 
 
 async def kill_node(day: Day) -> None:
-    """End a process at once; another one takes its place."""
+    """Kill a process; a new one replaces it after a pause."""
     name = day.choose_node()
     if name is None:
         return
@@ -136,13 +136,13 @@
 
 
 async def kill_all(day: Day) -> None:
-    """End all processes at once."""
+    """Kill all processes; new ones replace them after a pause."""
     names = list(day.world.nodes_by_name)
     await day.world.replace_nodes(names, day.rng.uniform(0.3, 2.0))
 
 
 async def stop_node(day: Day) -> None:
-    """End a process gracefully."""
+    """Stop a process gracefully and start it again."""
     name = day.choose_node()
     if name is None:
         return
@@ -157,7 +157,7 @@
 
 
 async def freeze_node(day: Day) -> None:
-    """Let nothing of a process out or in for a while."""
+    """Suspend all calls of a process for a while."""
     name = day.choose_node()
     if name is None:
         return
@@ -167,7 +167,7 @@
 
 
 async def cut_store_from_node(day: Day) -> None:
-    """Keep one node from the store."""
+    """Partition one node from the store for a while."""
     name = day.choose_node()
     if name is None:
         return
@@ -178,7 +178,10 @@
 
 
 async def cut_node(day: Day) -> None:
-    """Cut one node off from the store and from some workers, with its key taken."""
+    """Partition a node from the store, VM control and some workers.
+
+    With a probability of one half the controllers' keys are deleted too.
+    """
     name = day.choose_node()
     if name is None:
         return
@@ -196,7 +199,7 @@
 
 
 async def cut_worker(day: Day) -> None:
-    """Cut one worker off from all nodes; it runs on."""
+    """Partition one worker from all nodes while it keeps running."""
     vm = day.choose_vm()
     links = {(name, vm) for name in day.world.nodes_by_name}
     day.world.fault_state.cut_links |= links
@@ -205,14 +208,14 @@
 
 
 async def lose_orders(day: Day) -> None:
-    """Leave some orders unanswered, and carry them out seconds later."""
+    """Leave some worker orders without a reply, and apply them seconds later."""
     day.world.fault_state.lost_orders = 0.15
     await asyncio.sleep(day.rng.uniform(1.0, 5.0))
     day.world.fault_state.lost_orders = 0.0
 
 
 async def cancel_without_controller(day: Day) -> None:
-    """End the controller and cancel jobs while nobody controls the cell."""
+    """Kill the controller and cancel jobs while no node controls the cell."""
     name = day.world.find_controller()
     if name is None:
         return
@@ -242,10 +245,10 @@
     ("worker spoilt", spoil_worker),
     ("wave", order_wave),
 )
-"""Names and faults; controllers' faults stand twice.
+"""Names and faults; a fault that is listed twice is drawn twice as often.
 
-The seeds of days that once failed draw from the table of their time, so that they
-stay the same days.
+Seeds of days that once failed use the table they failed with, because a different
+table would give different days. Tables must therefore not change.
 """
 
 SECOND_FAULTS: FaultTable = (
@@ -259,7 +262,7 @@
     ("worker starts again", restart_worker),
     ("pool starts again", restart_pool),
 )
-"""Workers that start again under the ids that they had."""
+"""Restarts of workers under their previous ids."""
 FOURTH_FAULTS: FaultTable = (*THIRD_FAULTS, *RESTARTS)
 CRASHES: FaultTable = (
     ("task crashes its workers", send_crashing_job),
@@ -283,7 +286,7 @@
     plan: WorldPlan | None = None,
     table: FaultTable | None = None,
 ) -> DayOutcome:
-    """Play the day of a seed under virtual time."""
+    """Simulate the day of a seed in virtual time."""
 
     async def main(clock: VirtualClock) -> DayOutcome:
         world = World(plan or WorldPlan(), clock, seed)
--- a/packages/bench/src/medlarspring_bench/platform_world/faults.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/faults.py
@@ -19,7 +19,7 @@
     from medlarspring_tables import VMId
 
 MIN_VMS = 8
-"""Number of VMs that are never removed."""
+"""Minimum number of VMs that remain."""
 CRASH_SECONDS = 0.01
 """Time from the start of a crashing task to the crash of its worker."""
 LATE_CRASH_SECONDS = (0.5, 2.5)
--- a/packages/bench/src/medlarspring_bench/platform_world/worker_model.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/worker_model.py
@@ -97,7 +97,7 @@
     lapsed_at: Seconds = float("-inf")
     """When a lease last expired, with or without active runs."""
     enforces_resources: bool = True
-    """Whether it refuses tasks that exceed its free resources."""
+    """Whether it refuses tasks beyond its free resources, or starts every task."""
     refused_up_to: dict[str, int] = field(default_factory=dict)
     """Highest run number stopped or ended, by task."""
 
--- a/packages/bench/tests/test_experiment.py
+++ b/packages/bench/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""The experiment tool: plays repeat, and each mechanism can be switched off."""
+"""The ablation tool: runs are reproducible, and each mechanism can be disabled."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def test_guarantees_hold_without_any_one_mechanism():
-    """What each mechanism is worth is measured in time, never in broken promises."""
+    """Mechanisms affect only the timing of jobs, so guarantees hold without them."""
     for mechanism in MECHANISMS:
         with mechanism.switched_off():
             assert run_bursts(SHORT, 1).breaches == []
--- a/packages/bench/tests/test_platform_checks.py
+++ b/packages/bench/tests/test_platform_checks.py
@@ -1,4 +1,4 @@
-"""Each check is shown a history that breaks its promise."""
+"""Each check reports a history that violates its guarantee."""
 
 from __future__ import annotations
 
@@ -170,8 +170,8 @@
 
 def test_copy_ordered_before_the_last_attempt_failed_is_no_violation():
     """
-    An order to a slow worker gets no answer, so a copy starts elsewhere and fails
-    for the last time. The first order is carried out half a second later.
+    An order to a slow worker gets no reply, so a copy starts elsewhere and fails as
+    the last attempt. The first order is applied half a second later.
     """
     history = create_history()
     allow_copies(history)
--- a/packages/bench/tests/test_platform_days.py
+++ b/packages/bench/tests/test_platform_days.py
@@ -1,4 +1,4 @@
-"""Seeded days on the emulated platform: every promise holds under faults."""
+"""Seeded days on the emulated platform: all guarantees hold under faults."""
 
 from __future__ import annotations
 
@@ -29,39 +29,39 @@
 LATE_CRASH_SEEDS = range(7_000, 7_006)
 RESTART_SEEDS = range(1_000, 1_012)
 CRASH_SEEDS = (*range(1_000, 1_006), 2_002, 2_006, 2_054, 3_146, 3_207, 3_212)
-"""The last ones once had starts beyond the limit, jobs without an end, or one that was
-given up although it only ran beside crashes."""
+"""The seeds from 2002 on had starts beyond the limit, jobs that did not end, and
+a job that failed although it only ran on workers that other tasks crashed."""
 
 REGRESSION_SEEDS = [
-    # Jobs were forgotten before their end was recorded, and an old listing of the
-    # inbox brought them back: their tasks ran a second time.
+    # Jobs were dropped before their end was recorded, and a stale listing of the
+    # inbox restored them, so their tasks ran a second time.
     (175, 10, FIRST_FAULTS),
-    # Every VM of a pool was drained for two waves at once; its work stood still.
+    # Every VM of a pool was drained for two waves at once, which stopped its work.
     (386, 6, FIRST_FAULTS),
     (203, 20, FIRST_FAULTS),
     (223, 20, FIRST_FAULTS),
     (350, 6, FIRST_FAULTS),
     (363, 6, FIRST_FAULTS),
-    # A job was cancelled while nobody controlled the cell; its tasks ran on.
+    # A job was cancelled while no node controlled the cell; its tasks kept running.
     (536, 10, SECOND_FAULTS),
     (544, 10, SECOND_FAULTS),
-    # A VM was gone for good; its tasks were waited for without end.
+    # A VM was removed permanently; the controller waited for its tasks forever.
     (539, 10, SECOND_FAULTS),
     (558, 10, SECOND_FAULTS),
-    # A successor's record of operations left out its predecessor's: the one after it
-    # moved one of those VMs too soon.
+    # A new controller's record of operations omitted those of the previous one, so
+    # the controller after it moved one of those VMs too soon.
     (4028, 8, FIFTH_FAULTS),
-    # A record of operations whose answer was lost was written late, over a newer one.
+    # A late write of an operations record, whose reply was lost, replaced a newer one.
     (4147, 8, FIFTH_FAULTS),
-    # An acknowledgement was held up by a freeze while its worker started again under
-    # its id, and forgot ends of the next life.
+    # A freeze delayed an acknowledgement while its worker restarted under its id, so
+    # it dropped ends of the next incarnation.
     (3076, 14, FIFTH_FAULTS),
 ]
-"""Seed, faults and their table of days that once showed a breach, with its cause."""
+"""Seed, number of faults and fault table of days that violated a guarantee."""
 
 
 def describe_failure(outcome: DayOutcome) -> str:
-    """Return what a failed day shows, to be read in the test's report."""
+    """Return the failure message of a day."""
     return f"seed {outcome.seed}: {outcome.breaches[:5]} {outcome.unfinished[:5]}" + (
         f" faults: {outcome.faults}"
     )
@@ -90,9 +90,9 @@
 @pytest.mark.parametrize("table", [RESTARTS, FOURTH_FAULTS], ids=["alone", "mixed"])
 def test_guarantees_hold_while_workers_restart_under_their_ids(table: FaultTable):
     """
-    A worker that comes back under its id holds and knows nothing of before. Its
-    ends, numbered from 1 again, were passed over: tasks ran again after they were
-    done, and once more than their attempts allow.
+    A worker that restarts under its id has lost its runs and state. Its ends, numbered
+    from 1 again, were ignored: tasks ran again after they were done, and once more
+    than their attempts allow.
     """
     for seed in RESTART_SEEDS:
         assert_guarantees_held(play_day(seed, FAULTS_PER_DAY, table=table))
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("table", [CRASHES, FIFTH_FAULTS], ids=["alone", "mixed"])
 def test_guarantees_hold_while_tasks_crash_their_workers(table: FaultTable):
-    """Guards against tasks that crash workers without end, and jobs given up for it."""
+    """Guards against unlimited worker crashes, and jobs wrongly failed for crashes."""
     for seed in CRASH_SEEDS:
         assert_guarantees_held(play_day(seed, FAULTS_PER_DAY, table=table))
 
@@ -109,7 +109,7 @@
     ("seed", "flaps", "vms"), [(8_059, 2, 4), (8_020, 4, 8), (8_000, 2, 8)]
 )
 def test_healthy_tasks_are_not_failed_on_flapping_vms(seed: int, flaps: int, vms: int):
-    """Guards against jobs shown as failed for crashes that hit them by chance."""
+    """Guards against jobs reported as failed for crashes they did not cause."""
     assert_guarantees_held(play_day(seed, flaps, WorldPlan(vms_per_pool=vms), FLAPS))
 
 
@@ -121,14 +121,14 @@
 def test_guarantees_hold_while_tasks_crash_their_workers_late(
     faults: int, table: FaultTable
 ):
-    """Guards against tasks that are never among the latest starts when they crash."""
+    """Guards against tasks that are not among the latest starts when they crash."""
     for seed in LATE_CRASH_SEEDS:
         assert_guarantees_held(play_day(seed, faults, table=table))
 
 
 @pytest.mark.parametrize("table", [RESIZES, SIXTH_FAULTS], ids=["alone", "mixed"])
 def test_no_start_exceeds_reduced_resources(table: FaultTable):
-    """Guards against starts by the room that a worker had when it was first listed."""
+    """Guards against starts based on the resources that were first listed."""
     for seed in RESIZE_SEEDS:
         assert_guarantees_held(
             play_day(seed, FAULTS_PER_DAY, WITHOUT_ENFORCEMENT, table)
@@ -137,8 +137,8 @@
 
 def test_job_whose_cancellation_was_always_refused_keeps_running():
     """
-    The only entry VM that was up had lost the store, and refused a cancellation four
-    times as not carried out. The job's tasks went on, as they should.
+    The only running entry VM could not reach the store, and refused a cancellation
+    four times as not applied. The job's tasks must keep running.
     """
     assert_guarantees_held(play_day(4010, 16, table=FOURTH_FAULTS))
 
--- a/packages/bench/tests/test_turn_shapes.py
+++ b/packages/bench/tests/test_turn_shapes.py
@@ -1,7 +1,8 @@
-"""The policy on other fleets and rhythms than it was measured on.
+"""The sizing policy on fleets and load patterns other than the default plan.
 
-Nothing in it may depend on a deployment's size, on how long a turn is, or on how long
-tasks run. Each floor is 0.03 to 0.05 under what the play earned when it was written.
+The policy must not depend on a deployment's size or on the duration of bursts or
+tasks. Each floor is 0.03 to 0.05 below the fraction of jobs in time that was measured
+with the plan.
 """
 
 from __future__ import annotations
