--- a/packages/bench/src/medlarspring_bench/platform_world/fleet_model.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/fleet_model.py
@@ -36,7 +36,7 @@
 REGISTER_SECONDS = 0.2
 MIN_RESTART_SECONDS = 0.06
 """Minimum downtime of a worker that restarts."""
-CRASH_DOWNTIME_SECONDS = (1.0, 4.0)
+CRASHED_SECONDS = (1.0, 4.0)
 """Range of the downtime of a worker that a task crashed."""
 SAME_ID_RATIO = 0.3
 """Fraction of workers crashed by tasks that restart under their previous ids."""
@@ -177,7 +177,7 @@
 
     def _crash_later(self, worker: WorkerModel, after: Seconds) -> None:
         """Schedule the crash of a worker that started a crashing task."""
-        seconds = self._rng.uniform(*CRASH_DOWNTIME_SECONDS)
+        seconds = self._rng.uniform(*CRASHED_SECONDS)
         crash = self.restart if self._rng.random() < SAME_ID_RATIO else self.crash
         self._after(
             after,
