--- a/packages/bench/src/medlarspring_bench/platform_world/fleet_model.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/fleet_model.py
@@ -38,7 +38,7 @@
 """Minimum downtime of a worker that restarts."""
 CRASHED_SECONDS = (1.0, 4.0)
 """Range of the downtime of a worker that a task crashed."""
-SAME_ID_RATIO = 0.3
+SAME_ID_PART = 0.3
 """Fraction of workers crashed by tasks that restart under their previous ids."""
 SHRINK_GRACE_SECONDS = 4.5
 """Time after which starts must respect a reported reduction of resources."""
@@ -178,7 +178,7 @@
     def _crash_later(self, worker: WorkerModel, after: Seconds) -> None:
         """Schedule the crash of a worker that started a crashing task."""
         seconds = self._rng.uniform(*CRASHED_SECONDS)
-        crash = self.restart if self._rng.random() < SAME_ID_RATIO else self.crash
+        crash = self.restart if self._rng.random() < SAME_ID_PART else self.crash
         self._after(
             after,
             lambda: crash(worker.vm_id, seconds) if worker.alive else None,
