--- a/packages/bench/src/medlarspring_bench/platform_world/customers.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/customers.py
@@ -1,4 +1,4 @@
-"""Customers of the emulated installation: they submit, ask, repeat and cancel."""
+"""Simulated customers, who submit jobs with retries, poll their status and cancel."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
     from medlarspring_daemon.scheduling.service import SchedulingService
     from medlarspring_tables import Seconds
 
-PATIENCE_SECONDS = 3.0
+CALL_TIMEOUT_SECONDS = 3.0
 SLACK_SECONDS = 0.5
-TRIES = 4
-ASK_SECONDS = 1.0
+MAX_ATTEMPTS = 4
+STATUS_POLL_SECONDS = 1.0
 FINAL_STATUSES = {
     JobStatus.COMPLETE.value,
     JobStatus.FAILED.value,
@@ -39,51 +39,51 @@
 
 
 class Installation(Protocol):
-    """What customers know of where they send their jobs."""
+    """What customers need from the installation they send jobs to."""
 
     @property
     def plan(self) -> WorldPlan:
-        """What stands where, and the rules of the store."""
+        """Size and layout of the installation, and its queues."""
         ...
 
     @property
     def clock(self) -> Clock:
-        """Time that the history is stamped with."""
+        """Clock for the timestamps of the history."""
         ...
 
     @property
     def history(self) -> History:
-        """Everything that customers saw."""
+        """Record of the customers' jobs and calls."""
         ...
 
     @property
     def facts_by_task(self) -> dict[str, TaskFacts]:
-        """What workers do with a task; filled before it is submitted."""
+        """Actual properties of each task, added before its job is submitted."""
         ...
 
     @property
     def nodes_by_name(self) -> Mapping[str, object]:
-        """Entry VMs that run at present."""
+        """Entry VMs that are currently running."""
         ...
 
 
-class Desk(Protocol):
-    """How a customer's call reaches an entry VM; answers are words."""
+class JobClient(Protocol):
+    """Sends a customer's calls to an entry VM; answers are plain strings."""
 
     async def submit(self, node: str, queue: str, job_id: JobId, spec: JobSpec) -> str:
-        """Submit a job: ``ok``, the code of an error, or ``no-answer``."""
+        """Submit a job; return ``ok``, an error code, or ``no-answer``."""
         ...
 
     async def cancel(self, node: str, job_id: JobId) -> str:
-        """Cancel a job: ``ok``, the code of an error, or ``no-answer``."""
+        """Cancel a job; return ``ok``, an error code, or ``no-answer``."""
         ...
 
     async def find_status(self, node: str, job_id: JobId) -> str:
-        """Return a job's status, the code of an error, or ``no-answer``."""
+        """Return a job's status, an error code, or ``no-answer``."""
         ...
 
 
-class InProcessDesk:
+class InProcessJobClient:
     """Calls the intake of an emulated entry VM directly."""
 
     def __init__(self, world: Installation) -> None:
@@ -96,18 +96,18 @@
         if match is None:
             return "no-such-queue"
         return await _wait_for(
-            service.intake.submit(match.queue, job_id, spec, PATIENCE_SECONDS)
+            service.intake.submit(match.queue, job_id, spec, CALL_TIMEOUT_SECONDS)
         )
 
     async def cancel(self, node: str, job_id: JobId) -> str:
         """Cancel a job."""
         intake = self._find(node).intake
-        return await _wait_for(intake.cancel(job_id, PATIENCE_SECONDS))
+        return await _wait_for(intake.cancel(job_id, CALL_TIMEOUT_SECONDS))
 
     async def find_status(self, node: str, job_id: JobId) -> str:
         """Return a job's status."""
         intake = self._find(node).intake
-        return await _wait_for(intake.find_status(job_id, PATIENCE_SECONDS))
+        return await _wait_for(intake.find_status(job_id, CALL_TIMEOUT_SECONDS))
 
     def _find(self, node: str) -> SchedulingService:
         found = self._world.nodes_by_name[node]
@@ -116,24 +116,27 @@
 
 
 class Customers:
-    """All customers; each job is one customer's."""
+    """All customers; each job belongs to a customer of its own."""
 
     def __init__(
-        self, installation: Installation, rng: random.Random, desk: Desk | None = None
+        self,
+        installation: Installation,
+        rng: random.Random,
+        desk: JobClient | None = None,
     ) -> None:
         self._world = installation
         self._rng = rng
-        self._desk = InProcessDesk(installation) if desk is None else desk
+        self._client = InProcessJobClient(installation) if desk is None else desk
         self.accepted: set[JobId] = set()
         self.cancelled: set[JobId] = set()
         self._following: set[asyncio.Task[None]] = set()
 
     def create_job_id(self) -> JobId:
-        """Return a fresh id."""
+        """Return a new random job id."""
         return JobId(f"{self._rng.getrandbits(64):016x}")
 
-    def create_batch(self, *, hopeless: bool = False) -> tuple[JobId, JobSpec]:
-        """Return a job of one to three steps with few tasks each."""
+    def create_batch(self, *, unrunnable: bool = False) -> tuple[JobId, JobSpec]:
+        """Return a job of one to three steps with one to six tasks each."""
         job_id = self.create_job_id()
         steps = []
         for index in range(self._rng.randint(1, 3)):
@@ -149,25 +152,25 @@
                 )
             )
         spec = JobSpec(payload=f"payload of {job_id}", steps=tuple(steps))
-        self.add_facts(job_id, spec, hopeless=hopeless)
+        self.add_facts(job_id, spec, unrunnable=unrunnable)
         return job_id, spec
 
     def create_crashing(self, after: Seconds) -> tuple[JobId, JobSpec]:
-        """Return a job of which one task crashes each worker that starts it."""
+        """Return a job with one task that crashes each worker that starts it."""
         job_id, spec = self.create_batch()
         index = self._rng.randrange(len(spec.steps))
         number = self._rng.randrange(spec.steps[index].count)
-        self.let_crash(f"{job_id}.0.{index}.{number}", after)
+        self.make_task_crash(f"{job_id}.0.{index}.{number}", after)
         return job_id, spec
 
-    def let_crash(self, task_id: str, after: Seconds) -> None:
-        """Let a task crash each worker that starts it, so long after the start."""
+    def make_task_crash(self, task_id: str, after: Seconds) -> None:
+        """Make a task crash each worker that starts it, ``after`` seconds later."""
         facts = self._world.facts_by_task[task_id]
         facts.crashes_after = after
         facts.seconds = max(facts.seconds, after + 0.1)
         self._world.history.crashing_tasks.add(task_id)
 
-    def create_lasting(self, count: int = 3) -> tuple[JobId, JobSpec]:
+    def create_long_running(self, count: int = 3) -> tuple[JobId, JobSpec]:
         """Return a job whose tasks run until it is cancelled."""
         job_id = self.create_job_id()
         step = StepSpec(
@@ -182,9 +185,9 @@
         return job_id, spec
 
     def add_facts(
-        self, job_id: JobId, spec: JobSpec, *, hopeless: bool = False
+        self, job_id: JobId, spec: JobSpec, *, unrunnable: bool = False
     ) -> None:
-        """Decide how long the job's tasks take, and whether one can never be done."""
+        """Draw the task durations; the first task of an unrunnable job always fails."""
         self._world.history.specs_by_id[job_id] = spec
         for occurrence in range(max(spec.occurrences, 1)):
             for index, step in enumerate(spec.steps):
@@ -194,29 +197,29 @@
                     self._world.facts_by_task[task_id] = TaskFacts(
                         spec=step,
                         seconds=usual * self._rng.uniform(0.8, 1.2),
-                        hopeless=hopeless and index == 0 and number == 0,
+                        unrunnable=unrunnable and index == 0 and number == 0,
                     )
 
     def send(self, queue: str, job_id: JobId, spec: JobSpec) -> asyncio.Task[None]:
-        """Submit a job in the background and follow it to its end."""
-        task = asyncio.ensure_future(self._live(queue, job_id, spec))
+        """Submit a job in the background and poll its status until it is final."""
+        task = asyncio.ensure_future(self._follow_job(queue, job_id, spec))
         self._following.add(task)
         task.add_done_callback(self._following.discard)
         return task
 
     async def leave(self) -> None:
-        """Stop following the jobs that are still open."""
+        """Stop polling the jobs that are still open."""
         for task in self._following:
             task.cancel()
         await asyncio.gather(*self._following, return_exceptions=True)
 
     async def submit(self, queue: str, job_id: JobId, spec: JobSpec) -> bool:
-        """Submit with repeats; tells whether the job was accepted."""
+        """Submit a job with retries; return whether it was accepted."""
         for queue_plan in self._world.plan.queues:
             if queue_plan.name == queue:
                 attempts = queue_plan.max_attempts
                 self._world.history.max_attempts_by_id[job_id] = attempts
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             answer = await self._submit_once(queue, job_id, spec)
             if answer == "ok":
                 self.accepted.add(job_id)
@@ -225,21 +228,21 @@
         return False
 
     async def cancel(self, job_id: JobId) -> bool:
-        """Cancel a job with repeats; tells whether that was acknowledged."""
+        """Cancel a job with retries; return whether that was acknowledged."""
         self.cancelled.add(job_id)
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             node = self._choose_node()
             if node is not None:
                 sent_at = self._world.clock.now()
-                answer = await self._desk.cancel(node, job_id)
-                self._note(CallKind.CANCEL, job_id, sent_at, node, answer)
+                answer = await self._client.cancel(node, job_id)
+                self._record_call(CallKind.CANCEL, job_id, sent_at, node, answer)
                 if answer in ("ok", "no-such-job"):
                     return True
             await asyncio.sleep(self._rng.uniform(0.2, 1.0))
         return False
 
     def list_open(self) -> list[JobId]:
-        """Return the accepted jobs that nobody cancelled, newest last."""
+        """Return the accepted jobs that no customer cancelled, newest last."""
         return [
             job_id
             for job_id in self._world.history.specs_by_id
@@ -247,20 +250,20 @@
         ]
 
     async def ask(self, job_id: JobId) -> str:
-        """Return what a node says of a job."""
+        """Return a job's status as reported by a random node, or an error code."""
         node = self._choose_node()
         if node is None:
             return "no-node"
         sent_at = self._world.clock.now()
-        answer = await self._desk.find_status(node, job_id)
-        self._note(CallKind.STATUS, job_id, sent_at, node, answer)
+        answer = await self._client.find_status(node, job_id)
+        self._record_call(CallKind.STATUS, job_id, sent_at, node, answer)
         return answer
 
-    async def _live(self, queue: str, job_id: JobId, spec: JobSpec) -> None:
+    async def _follow_job(self, queue: str, job_id: JobId, spec: JobSpec) -> None:
         if not await self.submit(queue, job_id, spec):
             return
         while True:
-            await asyncio.sleep(ASK_SECONDS * self._rng.uniform(0.5, 1.5))
+            await asyncio.sleep(STATUS_POLL_SECONDS * self._rng.uniform(0.5, 1.5))
             if await self.ask(job_id) in FINAL_STATUSES:
                 return
 
@@ -269,15 +272,15 @@
         sent_at = self._world.clock.now()
         if node is None:
             return "no-node"
-        answer = await self._desk.submit(node, queue, job_id, spec)
-        self._note(CallKind.SUBMIT, job_id, sent_at, node, answer)
+        answer = await self._client.submit(node, queue, job_id, spec)
+        self._record_call(CallKind.SUBMIT, job_id, sent_at, node, answer)
         return answer
 
     def _choose_node(self) -> str | None:
         names = list(self._world.nodes_by_name)
         return self._rng.choice(names) if names else None
 
-    def _note(
+    def _record_call(
         self, kind: CallKind, job_id: JobId, sent_at: Seconds, node: str, answer: str
     ) -> None:
         self._world.history.calls.append(
@@ -288,9 +291,9 @@
 async def _wait_for(
     call: Coroutine[None, None, Result[JobStatus | None, IntakeError]],
 ) -> str:
-    """Return the answer as a word; a process that ends leaves its callers without."""
+    """Return the answer as a string; ``no-answer`` if the process ends meanwhile."""
     try:
-        async with asyncio.timeout(PATIENCE_SECONDS + SLACK_SECONDS):
+        async with asyncio.timeout(CALL_TIMEOUT_SECONDS + SLACK_SECONDS):
             result = await call
     except TimeoutError:
         return "no-answer"
@@ -300,4 +303,4 @@
     return "ok" if status is None else status.value
 
 
-__all__ = ["Customers", "Desk", "InProcessDesk", "Installation"]
+__all__ = ["Customers", "JobClient", "InProcessJobClient", "Installation"]
--- a/packages/bench/src/medlarspring_bench/platform_world/days.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/days.py
@@ -1,4 +1,4 @@
-"""Seeded days of an emulated installation: load, faults, and a verdict."""
+"""Seeded scenarios ("days") of an emulated installation: load, faults, outcome."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from medlarspring_bench.platform_world.calls import VM_CONTROL
 from medlarspring_bench.platform_world.checks import check_history
 from medlarspring_bench.platform_world.customers import Customers
+from medlarspring_bench.platform_world.fault_state import StoreMode
 from medlarspring_bench.platform_world.faults import (
     crash_worker,
     drain_worker,
@@ -28,14 +29,13 @@
     spoil_worker,
     take_store_down,
 )
-from medlarspring_bench.platform_world.plans import WorldPlan
-from medlarspring_bench.platform_world.verdicts import (
+from medlarspring_bench.platform_world.outcomes import (
     count_complete,
     find_left_running,
     find_unfinished,
 )
+from medlarspring_bench.platform_world.plans import WorldPlan
 from medlarspring_bench.platform_world.virtual_time import run_virtual
-from medlarspring_bench.platform_world.weather import StoreMood
 from medlarspring_bench.platform_world.world import World
 
 if TYPE_CHECKING:
@@ -49,13 +49,13 @@
 TRAFFIC_SECONDS = 20.0
 SETTLE_SECONDS = 40.0
 JOBS_PER_SECOND = 2.0
-CANCELLED_PART = 0.05
-HOPELESS_PART = 0.03
+CANCELLED_RATIO = 0.05
+UNRUNNABLE_PART = 0.03
 
 
 @dataclass(slots=True)
-class Verdict:
-    """What came of a day."""
+class DayOutcome:
+    """Outcome of a day, with all violations of the guarantees."""
 
     seed: int
     breaches: list[Breach] = field(default_factory=list)
@@ -70,7 +70,7 @@
 
 
 class Day:
-    """One seeded day; faults are drawn from the table below."""
+    """One seeded day; its faults are drawn from a fault table."""
 
     def __init__(self, world: World, seed: int, table: FaultTable) -> None:
         self.world = world
@@ -80,11 +80,13 @@
         self.faults: list[str] = []
 
     async def play(self, fault_count: int) -> None:
-        """Send load and faults, then wait until all is settled."""
+        """Submit jobs and inject faults, then wait until the installation settles."""
         await asyncio.sleep(WARM_UP_SECONDS)
-        lasting = self.customers.create_lasting()
-        self.customers.send("archive", *lasting)
-        faults = [asyncio.ensure_future(self._strike()) for _ in range(fault_count)]
+        long_running_job = self.customers.create_long_running()
+        self.customers.send("archive", *long_running_job)
+        faults = [
+            asyncio.ensure_future(self._inject_fault()) for _ in range(fault_count)
+        ]
         ends_at = self.world.clock.now() + TRAFFIC_SECONDS
         while self.world.clock.now() < ends_at:
             await asyncio.sleep(self.rng.expovariate(JOBS_PER_SECOND))
@@ -93,11 +95,11 @@
         await asyncio.sleep(SETTLE_SECONDS)
 
     def _send_one(self) -> None:
-        hopeless = self.rng.random() < HOPELESS_PART
-        job_id, spec = self.customers.create_batch(hopeless=hopeless)
+        unrunnable = self.rng.random() < UNRUNNABLE_PART
+        job_id, spec = self.customers.create_batch(unrunnable=unrunnable)
         queue = self.rng.choice(("lookup", "check"))
         self.customers.send(queue, job_id, spec)
-        if self.rng.random() < CANCELLED_PART:
+        if self.rng.random() < CANCELLED_RATIO:
             asyncio.get_running_loop().call_later(
                 self.rng.uniform(0.1, 2.0), self._cancel, job_id
             )
@@ -106,14 +108,14 @@
         if job_id in self.customers.accepted:
             asyncio.ensure_future(self.customers.cancel(job_id))
 
-    async def _strike(self) -> None:
+    async def _inject_fault(self) -> None:
         await asyncio.sleep(self.rng.uniform(0.0, TRAFFIC_SECONDS))
         name, fault = self.rng.choice(self._table)
         self.faults.append(f"{name} at {self.world.clock.now():.2f}")
         await fault(self)
 
     def choose_node(self) -> str | None:
-        """Return a node, the controller as often as not."""
+        """Return a node, the controller with a probability of at least one half."""
         controller = self.world.find_controller()
         if controller is not None and self.rng.random() < 0.5:  # noqa: PLR2004
             return controller
@@ -121,12 +123,12 @@
         return self.rng.choice(names) if names else None
 
     def choose_vm(self) -> VMId:
-        """Return a VM."""
+        """Return a random VM."""
         return self.rng.choice(sorted(self.world.fleet.vms_by_id))
 
 
 async def kill_node(day: Day) -> None:
-    """End a process at once; another one takes its place."""
+    """Kill a process; a new one replaces it after a pause."""
     name = day.choose_node()
     if name is None:
         return
@@ -134,83 +136,86 @@
 
 
 async def kill_all(day: Day) -> None:
-    """End all processes at once."""
+    """Kill all processes; new ones replace them after a pause."""
     names = list(day.world.nodes_by_name)
     await day.world.replace_nodes(names, day.rng.uniform(0.3, 2.0))
 
 
 async def stop_node(day: Day) -> None:
-    """End a process gracefully."""
+    """Stop a process gracefully and start it again."""
     name = day.choose_node()
     if name is None:
         return
     await day.world.stop_node(name)
     await asyncio.sleep(0.5)
-    await _start_again(day, name)
+    await _restart_node(day, name)
 
 
-async def _start_again(day: Day, name: str) -> None:
+async def _restart_node(day: Day, name: str) -> None:
     if name not in day.world.nodes_by_name:
         await day.world.start_node(name)
 
 
 async def freeze_node(day: Day) -> None:
-    """Let nothing of a process out or in for a while."""
+    """Suspend all calls of a process for a while."""
     name = day.choose_node()
     if name is None:
         return
     seconds = day.rng.uniform(1.0, 5.0)
-    day.world.weather.frozen_until[name] = day.world.clock.now() + seconds
+    day.world.fault_state.frozen_until[name] = day.world.clock.now() + seconds
     await asyncio.sleep(seconds)
 
 
 async def cut_store_from_node(day: Day) -> None:
-    """Keep one node from the store."""
+    """Partition one node from the store for a while."""
     name = day.choose_node()
     if name is None:
         return
-    mood = day.rng.choice((StoreMood.BUSY, StoreMood.SILENT))
-    day.world.weather.moods_by_node[name] = mood
+    mode = day.rng.choice((StoreMode.BUSY, StoreMode.SILENT))
+    day.world.fault_state.store_modes_by_node[name] = mode
     await asyncio.sleep(day.rng.uniform(1.0, 8.0))
-    day.world.weather.moods_by_node.pop(name, None)
+    day.world.fault_state.store_modes_by_node.pop(name, None)
 
 
 async def cut_node(day: Day) -> None:
-    """Cut one node off from the store and from some workers, with its key taken."""
+    """Partition a node from the store, VM control and some workers.
+
+    With a probability of one half the controllers' keys are deleted too.
+    """
     name = day.choose_node()
     if name is None:
         return
-    weather = day.world.weather
-    weather.moods_by_node[name] = StoreMood.SILENT
+    fault_state = day.world.fault_state
+    fault_state.store_modes_by_node[name] = StoreMode.SILENT
     vms = [vm for vm in day.world.fleet.vms_by_id if day.rng.random() < 0.5]  # noqa: PLR2004
     links = {(name, vm) for vm in vms} | {(name, VM_CONTROL)}
-    weather.cut_links |= links
+    fault_state.cut_links |= links
     if day.rng.random() < 0.5:  # noqa: PLR2004
         await asyncio.sleep(0.05)
         day.world.revoke_controller()
     await asyncio.sleep(day.rng.uniform(1.0, 7.0))
-    weather.moods_by_node.pop(name, None)
-    weather.cut_links -= links
+    fault_state.store_modes_by_node.pop(name, None)
+    fault_state.cut_links -= links
 
 
 async def cut_worker(day: Day) -> None:
-    """Cut one worker off from all nodes; it runs on."""
+    """Partition one worker from all nodes while it keeps running."""
     vm = day.choose_vm()
     links = {(name, vm) for name in day.world.nodes_by_name}
-    day.world.weather.cut_links |= links
+    day.world.fault_state.cut_links |= links
     await asyncio.sleep(day.rng.uniform(1.0, 12.0))
-    day.world.weather.cut_links -= links
+    day.world.fault_state.cut_links -= links
 
 
 async def lose_orders(day: Day) -> None:
-    """Leave some orders unanswered, and carry them out seconds later."""
-    day.world.weather.lost_orders = 0.15
+    """Leave some worker orders without a reply, and apply them seconds later."""
+    day.world.fault_state.lost_orders = 0.15
     await asyncio.sleep(day.rng.uniform(1.0, 5.0))
-    day.world.weather.lost_orders = 0.0
+    day.world.fault_state.lost_orders = 0.0
 
 
 async def cancel_without_controller(day: Day) -> None:
-    """End the controller and cancel jobs while nobody controls the cell."""
+    """Kill the controller and cancel jobs while no node controls the cell."""
     name = day.world.find_controller()
     if name is None:
         return
@@ -218,7 +223,7 @@
     for job_id in day.customers.list_open()[:3]:
         await day.customers.cancel(job_id)
     await asyncio.sleep(day.rng.uniform(0.3, 3.0))
-    await _start_again(day, name)
+    await _restart_node(day, name)
 
 
 FIRST_FAULTS: FaultTable = (
@@ -240,10 +245,10 @@
     ("worker spoilt", spoil_worker),
     ("wave", order_wave),
 )
-"""Names and faults; controllers' faults stand twice.
+"""Names and faults; a fault that is listed twice is drawn twice as often.
 
-The seeds of days that once failed draw from the table of their time, so that they
-stay the same days.
+Seeds of days that once failed use the table they failed with, because a different
+table would give different days. Tables must therefore not change.
 """
 
 SECOND_FAULTS: FaultTable = (
@@ -257,7 +262,7 @@
     ("worker starts again", restart_worker),
     ("pool starts again", restart_pool),
 )
-"""Workers that start again under the ids that they had."""
+"""Restarts of workers under their previous ids."""
 FOURTH_FAULTS: FaultTable = (*THIRD_FAULTS, *RESTARTS)
 CRASHES: FaultTable = (
     ("task crashes its workers", send_crashing_job),
@@ -280,30 +285,30 @@
     fault_count: int = 4,
     plan: WorldPlan | None = None,
     table: FaultTable | None = None,
-) -> Verdict:
-    """Play the day of a seed under virtual time."""
+) -> DayOutcome:
+    """Simulate the day of a seed in virtual time."""
 
-    async def main(clock: VirtualClock) -> Verdict:
+    async def main(clock: VirtualClock) -> DayOutcome:
         world = World(plan or WorldPlan(), clock, seed)
         day = Day(world, seed, FAULTS if table is None else table)
         await world.start()
         await day.play(fault_count)
-        verdict = await _judge(day, seed)
+        outcome = await _evaluate(day, seed)
         await world.stop()
-        return verdict
+        return outcome
 
     return run_virtual(main)
 
 
-async def _judge(day: Day, seed: int) -> Verdict:
+async def _evaluate(day: Day, seed: int) -> DayOutcome:
     customers, history = day.customers, day.world.history
-    verdict = Verdict(seed, faults=day.faults, accepted=len(customers.accepted))
-    verdict.unfinished = await find_unfinished(customers, history)
-    verdict.complete = count_complete(history)
-    verdict.breaches = check_history(history)
-    verdict.breaches += find_left_running(customers, history, day.world.fleet)
-    verdict.logs = [(name, log.getvalue()) for name, log in day.world.logs]
-    return verdict
+    outcome = DayOutcome(seed, faults=day.faults, accepted=len(customers.accepted))
+    outcome.unfinished = await find_unfinished(customers, history)
+    outcome.complete = count_complete(history)
+    outcome.breaches = check_history(history)
+    outcome.breaches += find_left_running(customers, history, day.world.fleet)
+    outcome.logs = [(name, log.getvalue()) for name, log in day.world.logs]
+    return outcome
 
 
 __all__ = [
@@ -318,6 +323,6 @@
     "SECOND_FAULTS",
     "SIXTH_FAULTS",
     "THIRD_FAULTS",
-    "Verdict",
+    "DayOutcome",
     "play_day",
 ]
--- /dev/null
+++ b/packages/bench/src/medlarspring_bench/platform_world/fault_state.py
@@ -0,0 +1,78 @@
+"""The faults currently injected into links, the store, orders and processes."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass, field
+from enum import Enum
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import random
+
+    from medlarspring_tables import Seconds
+
+
+LATE_SECONDS = (0.5, 4.0)
+"""Range of the delay after which a write without a reply is applied late."""
+
+
+class StoreMode(Enum):
+    """How the store responds to a node."""
+
+    WELL = "well"
+    BUSY = "busy"
+    """Refuses calls immediately, without effect."""
+    SILENT = "silent"
+    """Applies nothing and never responds."""
+
+
+@dataclass(slots=True)
+class FaultState:
+    """Current faults; the simulated components read them on every call."""
+
+    rng: random.Random
+    store_mode: StoreMode = StoreMode.WELL
+    leases_pause: bool = False
+    """Whether leases stop expiring while the store is unavailable to all nodes."""
+    store_seconds: Seconds = 0.004
+    """Response time of the store."""
+    store_modes_by_node: dict[str, StoreMode] = field(default_factory=dict)
+    lost_replies: float = 0.0
+    """Fraction of writes whose replies are lost."""
+    late_writes: float = 0.0
+    """Fraction of the writes with lost replies that are applied seconds later."""
+    lost_orders: float = 0.0
+    """Fraction of worker orders that get no reply and are applied later."""
+    lost_answers: float = 0.0
+    """Fraction of worker orders that are applied immediately but get no reply."""
+    cut_links: set[tuple[str, str]] = field(default_factory=set)
+    """Partitioned pairs of node and VM, or of node and VM control."""
+    dead_incarnations: set[int] = field(default_factory=set)
+    """Incarnations of killed nodes; their pending calls have no effect."""
+    frozen_until: dict[str, Seconds] = field(default_factory=dict)
+
+    def mode(self, node_id: str) -> StoreMode:
+        """Return how the store responds to a node."""
+        if self.store_mode is not StoreMode.WELL:
+            return self.store_mode
+        return self.store_modes_by_node.get(node_id, StoreMode.WELL)
+
+    def is_cut(self, node_id: str, other: str) -> bool:
+        """Return whether calls from a node to a VM or the VM control are lost."""
+        return (node_id, other) in self.cut_links
+
+    async def wait_until_runnable(
+        self, node_id: str, incarnation: int, now: Seconds
+    ) -> None:
+        """Delay a call while its node is frozen; never return if the node is dead."""
+        if incarnation in self.dead_incarnations:
+            await asyncio.Event().wait()
+        wait = self.frozen_until.get(node_id, 0.0) - now
+        if wait > 0:
+            await asyncio.sleep(wait)
+        if incarnation in self.dead_incarnations:
+            await asyncio.Event().wait()
+
+
+__all__ = ["LATE_SECONDS", "StoreMode", "FaultState"]
--- a/packages/bench/src/medlarspring_bench/platform_world/http_store.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/http_store.py
@@ -1,7 +1,7 @@
 """The emulated platform's store over HTTP, with its faults.
 
-Each entry VM reaches the store at a gate of its own, whose name tells the store
-whose call it is.
+Each entry VM reaches the store through its own gate, whose name identifies the
+caller.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
     TxnReply,
     prefix_end,
 )
-from medlarspring_bench.platform_world.virtual_time import spawn_apart
-from medlarspring_bench.platform_world.weather import LATE_SECONDS, StoreMood
+from medlarspring_bench.platform_world.fault_state import LATE_SECONDS, StoreMode
+from medlarspring_bench.platform_world.virtual_time import spawn_detached
 from medlarspring_bench.standins.server import GATE_KEY, json_response
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
 
     from medlarspring_bench.key_value_ops import Commit
     from medlarspring_bench.key_value_state import KeyValueState
-    from medlarspring_bench.platform_world.weather import Weather
+    from medlarspring_bench.platform_world.fault_state import FaultState
 
     Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
@@ -68,7 +68,7 @@
 
 
 class Txn(Struct, rename="camel"):
-    """All or nothing."""
+    """An atomic transaction."""
 
     expected_rev: list[Condition] = []
     puts: list[Write] = []
@@ -76,18 +76,18 @@
 
 
 class HttpStore:
-    """Handlers over one ``KeyValueState``, under the faults of a ``Weather``."""
+    """HTTP handlers on a ``KeyValueState``, with the faults of a ``FaultState``."""
 
-    def __init__(self, state: KeyValueState, weather: Weather) -> None:
+    def __init__(self, state: KeyValueState, fault_state: FaultState) -> None:
         self._state = state
-        self._weather = weather
+        self._fault_state = fault_state
         self._late: set[asyncio.Task[None]] = set()
         self._next_commit: asyncio.Future[None] | None = None
-        state.listeners.append(self._note_commit)
+        state.listeners.append(self._handle_commit)
 
     def create_app(self) -> web.Application:
         """Return the application of the store's address."""
-        app = web.Application(middlewares=[self._apply_weather])
+        app = web.Application(middlewares=[self._inject_faults])
         app.router.add_get("/api/kv-key", self._get_key)
         app.router.add_get("/api/kv-range", self._get_range)
         app.router.add_get(WATCH_PATH, self._watch)
@@ -98,33 +98,33 @@
         return app
 
     @web.middleware
-    async def _apply_weather(
+    async def _inject_faults(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        """Refuse, swallow, delay or lose a call, as the weather says."""
-        weather = self._weather
-        mood = weather.mood(request[GATE_KEY].name)
-        if mood is StoreMood.BUSY:
+        """Refuse, drop, delay or lose a call according to the fault state."""
+        fault_state = self._fault_state
+        mode = fault_state.mode(request[GATE_KEY].name)
+        if mode is StoreMode.BUSY:
             return web.Response(status=BUSY)
-        if mood is StoreMood.SILENT:
+        if mode is StoreMode.SILENT:
             await asyncio.Event().wait()
-        await asyncio.sleep(weather.store_seconds)
+        await asyncio.sleep(fault_state.store_seconds)
         is_write = request.path == TXN_PATH
-        if is_write and weather.rng.random() < weather.lost_replies:
+        if is_write and fault_state.rng.random() < fault_state.lost_replies:
             await self._lose(request)
         return await handler(request)
 
     async def _lose(self, request: web.Request) -> None:
-        """Carry a write out, now or late, and never answer."""
+        """Apply a write, now or late, and never respond."""
         txn = msgspec.json.decode(await request.read(), type=Txn)
-        if self._weather.rng.random() < self._weather.late_writes:
-            spawn_apart(self._apply_late(txn), self._late)
+        if self._fault_state.rng.random() < self._fault_state.late_writes:
+            spawn_detached(self._apply_late(txn), self._late)
         else:
             self._apply(txn)
         await asyncio.Event().wait()
 
     async def _apply_late(self, txn: Txn) -> None:
-        await asyncio.sleep(self._weather.rng.uniform(*LATE_SECONDS))
+        await asyncio.sleep(self._fault_state.rng.uniform(*LATE_SECONDS))
         self._apply(txn)
 
     async def _get_key(self, request: web.Request) -> web.Response:
@@ -160,18 +160,19 @@
                 return web.Response(status=GONE)
             left = until - asyncio.get_running_loop().time()
             if events or left <= 0:
-                # Read and stamped in one moment: a commit in between would be
-                # skipped by the next watch, which continues from the stamp.
+                # The events and the revision are read without an await in between:
+                # the next watch continues from this revision and would skip a
+                # commit made in between.
                 return json_response({"events": events, "asOf": self._state.revision})
             await asyncio.wait((changed,), timeout=left)
 
     def _await_commit(self) -> asyncio.Future[None]:
-        """Return a future that ends with the next commit."""
+        """Return a future that completes at the next commit."""
         if self._next_commit is None or self._next_commit.done():
             self._next_commit = asyncio.get_running_loop().create_future()
         return self._next_commit
 
-    def _note_commit(self, _: Commit) -> None:
+    def _handle_commit(self, _: Commit) -> None:
         if self._next_commit is not None and not self._next_commit.done():
             self._next_commit.set_result(None)
 
@@ -182,7 +183,7 @@
         return self._answer_txn(txn, self._apply(txn))
 
     def _apply(self, txn: Txn) -> bool | None:
-        """Carry a transaction out; None if it names a lease that is gone."""
+        """Apply a transaction; return None if it names a lease that does not exist."""
         compares = tuple(
             Compare(
                 each.key.encode(),
--- a/packages/bench/src/medlarspring_bench/platform_world/world.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/world.py
@@ -14,6 +14,7 @@
 from medlarspring_bench.key_value_ops import DeleteOp, PutOp, RangeOp, RangeReply
 from medlarspring_bench.key_value_state import KeyValueState
 from medlarspring_bench.platform_world.calls import SimulatedLifecycle, SimulatedOrders
+from medlarspring_bench.platform_world.fault_state import FaultState, StoreMode
 from medlarspring_bench.platform_world.fleet_model import FleetModel
 from medlarspring_bench.platform_world.history import History
 from medlarspring_bench.platform_world.plans import (
@@ -24,7 +25,6 @@
     write_operator_config,
 )
 from medlarspring_bench.platform_world.store import SimulatedStore
-from medlarspring_bench.platform_world.weather import StoreMood, Weather
 from medlarspring_daemon.scheduling.context import SchedulingNode
 from medlarspring_daemon.scheduling.service import create_scheduling_service
 from medlarspring_platform.operator_records import PlatformCodec
@@ -44,7 +44,7 @@
 LEASE_TICK_SECONDS = 0.05
 RUN_TICK_SECONDS = 0.02
 WATCH_SECONDS = 0.1
-"""As often as a controller looks at what waits."""
+"""Interval of the check for waiting tasks that are in no queue."""
 
 _owner: contextvars.ContextVar[int] = contextvars.ContextVar("owner", default=0)
 
@@ -68,7 +68,7 @@
         self.clock = clock
         self.rng = random.Random(seed)
         self.history = History()
-        self.weather = Weather(random.Random(seed + 1))
+        self.fault_state = FaultState(random.Random(seed + 1))
         self.state = KeyValueState(clock)
         self.facts_by_task: dict[str, TaskFacts] = {}
         self.fleet = FleetModel(
@@ -78,7 +78,7 @@
             self.history,
             {PoolId(STANDBY_POOL)},
             self.facts_by_task.get,
-            unguarded_pools=frozenset(map(PoolId, plan.unguarded_pools)),
+            unenforced_pools=frozenset(map(PoolId, plan.unenforced_pools)),
         )
         self.nodes_by_name: dict[str, Node] = {}
         self.logs: list[tuple[str, io.StringIO]] = []
@@ -87,7 +87,7 @@
         self._stores: list[SimulatedStore] = []
         self._background: list[asyncio.Task[None]] = []
 
-    # Life of the world
+    # Lifecycle
 
     async def start(self) -> None:
         """Write the configuration, boot the VMs and start all nodes."""
@@ -103,14 +103,14 @@
             await self.start_node(f"entry-{number}")
 
     async def stop(self) -> None:
-        """End everything."""
+        """Kill all nodes and stop the platform."""
         for name in list(self.nodes_by_name):
             self.kill_node(name)
         for task in self._background:
             task.cancel()
 
     def write_config(self, dropped: tuple[str, ...] = ()) -> None:
-        """Write a newer configuration, as the operator does."""
+        """Write a new version of the configuration, as the operator does."""
         self._config_version += 1
         config = write_operator_config(self.plan, self._config_version, dropped)
         self.state.apply(PutOp(b"op/config", json.dumps(config).encode()))
@@ -122,7 +122,7 @@
         order_wave(self.state, self.fleet, number, vms, most, seconds)
 
     def read_wave_state(self, number: int) -> str:
-        """Return what the system told the operator of a wave."""
+        """Return the reported state of a wave, or an empty string if there is none."""
         reply = self.state.apply(RangeOp(f"status/wave/{number}".encode()))
         assert isinstance(reply, RangeReply)
         if not reply.kvs:
@@ -130,13 +130,13 @@
         return str(json.loads(reply.kvs[0].value)["state"])
 
     def forget_history(self) -> None:
-        """Let the store drop its history and cut all watches."""
+        """Compact the store's history and end all watches."""
         self.state.compact(self.state.revision)
         for store in self._stores:
             store.cut_watches()
 
     def revoke_controller(self) -> None:
-        """Let the store take the controllers' keys away."""
+        """Delete the controllers' keys from the store."""
         reply = self.state.apply(RangeOp(b"controllers/", b"controllers0"))
         assert isinstance(reply, RangeReply)
         for kv in reply.kvs:
@@ -145,7 +145,7 @@
     # Nodes
 
     async def start_node(self, name: str, adviser: Adviser | None = None) -> Node:
-        """Start a process; one of that name must not be running."""
+        """Start a process; none of that name may be running."""
         incarnation = self.rng.getrandbits(60)
         node = Node(name, incarnation)
         token = _owner.set(incarnation)
@@ -161,16 +161,16 @@
         return node
 
     def kill_node(self, name: str) -> None:
-        """End a process at once; nothing it still wanted to do has effect."""
+        """Kill a process; its pending calls have no effect."""
         node = self.nodes_by_name.pop(name, None)
         if node is None:
             return
-        self.weather.dead_nodes.add(node.incarnation)
+        self.fault_state.dead_incarnations.add(node.incarnation)
         for task in list(self._tasks_by_owner.pop(node.incarnation, ())):
             task.cancel()
 
     async def stop_node(self, name: str) -> None:
-        """End a process gracefully."""
+        """Stop a process gracefully."""
         node = self.nodes_by_name.pop(name, None)
         if node is None:
             return
@@ -179,12 +179,12 @@
             await node.service.stop()
         finally:
             _owner.reset(token)
-        self.weather.dead_nodes.add(node.incarnation)
+        self.fault_state.dead_incarnations.add(node.incarnation)
         for task in list(self._tasks_by_owner.pop(node.incarnation, ())):
             task.cancel()
 
     async def replace_nodes(self, names: Sequence[str], pause: Seconds) -> None:
-        """End processes at once; others of their names start after a pause."""
+        """Kill processes, and start new ones of the same names after a pause."""
         for name in names:
             self.kill_node(name)
         await asyncio.sleep(pause)
@@ -193,14 +193,14 @@
                 await self.start_node(name)
 
     def find_controller(self) -> str | None:
-        """Return the node that controls the cell, by its own belief."""
+        """Return the first node that considers itself the controller, or None."""
         for name, node in self.nodes_by_name.items():
             if node.service.is_controlling():
                 return name
         return None
 
     def _create_context(self, node: Node, adviser: Adviser | None) -> SchedulingNode:
-        parts = (self.weather, self.clock, node.name, node.incarnation)
+        parts = (self.fault_state, self.clock, node.name, node.incarnation)
         store = SimulatedStore(self.state, *parts)
         self._stores.append(store)
         return SchedulingNode(
@@ -229,12 +229,15 @@
             task.add_done_callback(lambda done: tasks.pop(done, None))
         return task
 
-    # The platform's own time
+    # Background tasks of the platform
 
     async def _expire_leases(self) -> None:
         while True:
-            weather = self.weather
-            if weather.leases_pause and weather.store_mood is not StoreMood.WELL:
+            fault_state = self.fault_state
+            if (
+                fault_state.leases_pause
+                and fault_state.store_mode is not StoreMode.WELL
+            ):
                 for lease in self.state.leases_by_id.values():
                     lease.expires_at += LEASE_TICK_SECONDS
             self.state.expire_leases()
@@ -249,13 +252,13 @@
             await asyncio.sleep(RUN_TICK_SECONDS)
 
     async def _watch_tables(self) -> None:
-        """Look for tasks that a controller has lost sight of."""
+        """Record waiting tasks that are missing from a controller's queues."""
         while True:
             now = self.clock.now()
             for node in self.nodes_by_name.values():
                 for tables in node.service.list_tables():
                     for task in list_unqueued_tasks(tables):
-                        self.history.forgotten_at.setdefault(task.id, now)
+                        self.history.unqueued_at.setdefault(task.id, now)
             await asyncio.sleep(WATCH_SECONDS)
 
 
