--- a/packages/bench/src/medlarspring_bench/soak/__main__.py
+++ b/packages/bench/src/medlarspring_bench/soak/__main__.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from medlarspring_bench.soak.play import SoakPlan, SoakVerdict, play_soak
+from medlarspring_bench.soak.runner import SoakPlan, SoakResult, run_soak
 
 DEFAULT_AT_ONCE = 4
 """Each soak has four processes, at about half of a core together."""
@@ -23,8 +23,8 @@
     if arguments.fresh:
         seeds = [random.SystemRandom().getrandbits(31) for _ in range(arguments.fresh)]
     plan = SoakPlan(fault_count=arguments.faults)
-    verdicts = uvloop.run(_play_all(seeds, plan, arguments.at_once, arguments.logs))
-    broken = [verdict for verdict in verdicts if not verdict.kept]
+    verdicts = uvloop.run(_run_all(seeds, plan, arguments.at_once, arguments.logs))
+    broken = [verdict for verdict in verdicts if not verdict.passed]
     print(f"{len(verdicts)} soaks, {len(broken)} with broken promises")
     return 1 if broken else 0
 
@@ -40,29 +40,29 @@
     return parser.parse_args()
 
 
-async def _play_all(
+async def _run_all(
     seeds: list[int], plan: SoakPlan, at_once: int, logs: Path | None
-) -> list[SoakVerdict]:
-    turns = asyncio.Semaphore(at_once)
+) -> list[SoakResult]:
+    free_slots = asyncio.Semaphore(at_once)
 
-    async def play(seed: int) -> SoakVerdict:
-        async with turns:
-            verdict = await play_soak(seed, plan)
+    async def play(seed: int) -> SoakResult:
+        async with free_slots:
+            verdict = await run_soak(seed, plan)
         _report(verdict, logs)
         return verdict
 
     return await asyncio.gather(*(play(seed) for seed in seeds))
 
 
-def _report(verdict: SoakVerdict, logs: Path | None) -> None:
-    state = "kept" if verdict.kept else "BROKEN"
+def _report(verdict: SoakResult, logs: Path | None) -> None:
+    state = "kept" if verdict.passed else "BROKEN"
     print(f"seed {verdict.seed}: {state}, {verdict.accepted} jobs; {verdict.faults}")
     for breach in verdict.breaches[:10]:
         print(f"  {breach.rule} {breach.subject}: {breach.detail}")
     for line in verdict.unfinished[:10]:
         print(f"  unfinished {line}")
     sys.stdout.flush()
-    if logs is None or verdict.kept:
+    if logs is None or verdict.passed:
         return
     logs.mkdir(parents=True, exist_ok=True)
     for number, (name, text) in enumerate(verdict.logs):
--- a/packages/bench/src/medlarspring_bench/soak/entry_vms.py
+++ b/packages/bench/src/medlarspring_bench/soak/entry_vms.py
@@ -53,11 +53,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Overdue:
+class OverdueStop:
     """A process that had not ended when its grace was over."""
 
     node: str
-    told_at: Seconds
+    stop_requested_at: Seconds
     killed_at: Seconds
 
 
@@ -71,7 +71,7 @@
         self._starts = 0
         self.logs: list[tuple[str, Process]] = []
         """Every process that was ever started, with its VM's name."""
-        self.overdue: list[Overdue] = []
+        self.overdue_stops: list[OverdueStop] = []
         """Entry VMs that had to be killed when their grace was over."""
 
     async def start(self, name: str) -> None:
@@ -129,7 +129,9 @@
             await asyncio.to_thread(entry_vm.process.wait, GRACE_SECONDS)
         except subprocess.TimeoutExpired:
             killed_at = self._installation.clock.now()
-            self.overdue.append(Overdue(name, entry_vm.stopping_since, killed_at))
+            self.overdue_stops.append(
+                OverdueStop(name, entry_vm.stopping_since, killed_at)
+            )
         await asyncio.to_thread(entry_vm.process.kill)
         if self._installation.nodes_by_name.get(name) is entry_vm:
             del self._installation.nodes_by_name[name]
--- a/packages/bench/src/medlarspring_bench/soak/faults.py
+++ b/packages/bench/src/medlarspring_bench/soak/faults.py
@@ -26,136 +26,142 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from medlarspring_bench.soak.play import SoakDay
     from medlarspring_bench.soak.proxy import Link
+    from medlarspring_bench.soak.runner import SoakRun
 
-SoakFault: TypeAlias = "Callable[[SoakDay], Awaitable[None]]"
+SoakFault: TypeAlias = "Callable[[SoakRun], Awaitable[None]]"
 
 DOWN_SECONDS = (0.2, 3.0)
 """How long a process is away before it is started again."""
-CUT_SECONDS = (0.5, 8.0)
+PARTITION_SECONDS = (0.5, 8.0)
 """How long links are cut: shorter and longer than any lease."""
 DELAY_SECONDS = (0.05, 0.4)
 
 
-async def kill_node(day: SoakDay) -> None:
+async def kill_node(soak_run: SoakRun) -> None:
     """End a process at once, and start it again."""
-    name = day.choose_node()
+    name = soak_run.choose_node()
     if name is None:
         return
-    day.note_harm(name)
-    await day.entry_vms.kill(name)
-    await asyncio.sleep(day.rng.uniform(*DOWN_SECONDS))
-    await day.entry_vms.start(name)
+    soak_run.record_disruption(name)
+    await soak_run.entry_vms.kill(name)
+    await asyncio.sleep(soak_run.rng.uniform(*DOWN_SECONDS))
+    await soak_run.entry_vms.start(name)
 
 
-async def kill_all(day: SoakDay) -> None:
+async def kill_all(soak_run: SoakRun) -> None:
     """End all processes at once."""
-    names = list(day.world.nodes_by_name)
+    names = list(soak_run.world.nodes_by_name)
     for name in names:
-        day.note_harm(name)
-    await asyncio.gather(*(day.entry_vms.kill(name) for name in names))
-    await asyncio.sleep(day.rng.uniform(*DOWN_SECONDS))
-    await asyncio.gather(*(day.entry_vms.start(name) for name in names))
+        soak_run.record_disruption(name)
+    await asyncio.gather(*(soak_run.entry_vms.kill(name) for name in names))
+    await asyncio.sleep(soak_run.rng.uniform(*DOWN_SECONDS))
+    await asyncio.gather(*(soak_run.entry_vms.start(name) for name in names))
 
 
-async def stop_node(day: SoakDay) -> None:
+async def stop_node(soak_run: SoakRun) -> None:
     """Stop a process gracefully, and start it again."""
-    name = day.choose_node()
+    name = soak_run.choose_node()
     if name is None:
         return
-    await day.entry_vms.terminate(name)
-    await day.entry_vms.start(name)
+    await soak_run.entry_vms.terminate(name)
+    await soak_run.entry_vms.start(name)
 
 
-async def roll_nodes(day: SoakDay) -> None:
+async def restart_nodes_in_turn(soak_run: SoakRun) -> None:
     """Stop and start all processes, one after the other."""
-    for name in sorted(day.world.nodes_by_name):
-        await day.entry_vms.terminate(name)
-        await day.entry_vms.start(name)
+    for name in sorted(soak_run.world.nodes_by_name):
+        await soak_run.entry_vms.terminate(name)
+        await soak_run.entry_vms.start(name)
 
 
-async def freeze_node(day: SoakDay) -> None:
+async def pause_node(soak_run: SoakRun) -> None:
     """Pause a process for seconds, longer than its lease as often as not."""
-    name = day.choose_node()
+    name = soak_run.choose_node()
     if name is None:
         return
-    entry_vm = day.entry_vms.pause(name)
+    entry_vm = soak_run.entry_vms.pause(name)
     if entry_vm is None:
         return
-    day.note_harm(name)
-    await asyncio.sleep(day.rng.uniform(0.3, 5.0))
-    day.entry_vms.resume(entry_vm)
-    day.note_harm(name)
+    soak_run.record_disruption(name)
+    await asyncio.sleep(soak_run.rng.uniform(0.3, 5.0))
+    soak_run.entry_vms.resume(entry_vm)
+    soak_run.record_disruption(name)
 
 
-async def keep_node_from_store(day: SoakDay) -> None:
+async def deny_store_to_node(soak_run: SoakRun) -> None:
     """Let the store turn one entry VM down, or never answer it."""
-    name = day.choose_node()
+    name = soak_run.choose_node()
     if name is None:
         return
-    moods = day.world.weather.moods_by_node
-    moods[name] = day.rng.choice((StoreMood.BUSY, StoreMood.SILENT))
-    await asyncio.sleep(day.rng.uniform(*CUT_SECONDS))
+    moods = soak_run.world.weather.moods_by_node
+    moods[name] = soak_run.rng.choice((StoreMood.BUSY, StoreMood.SILENT))
+    await asyncio.sleep(soak_run.rng.uniform(*PARTITION_SECONDS))
     moods.pop(name, None)
 
 
-async def cut_node(day: SoakDay) -> None:
+async def partition_node(soak_run: SoakRun) -> None:
     """Cut an entry VM off from everything, in one direction or both."""
-    name = day.choose_node()
+    name = soak_run.choose_node()
     if name is None:
         return
-    links = day.world.links_by_node[name].list_all()
-    day.note_harm(name)
-    await _hold(day, links)
-    day.note_harm(name)
+    links = soak_run.world.links_by_node[name].list_all()
+    soak_run.record_disruption(name)
+    await _partition_links(soak_run, links)
+    soak_run.record_disruption(name)
 
 
-async def cut_node_from_store(day: SoakDay) -> None:
+async def partition_node_from_store(soak_run: SoakRun) -> None:
     """Cut an entry VM off from the store, in one direction or both."""
-    name = day.choose_node()
+    name = soak_run.choose_node()
     if name is not None:
-        await _hold(day, (day.world.links_by_node[name].store,))
+        await _partition_links(soak_run, (soak_run.world.links_by_node[name].store,))
 
 
-async def cut_worker(day: SoakDay) -> None:
+async def partition_worker(soak_run: SoakRun) -> None:
     """Cut a worker off, in one direction or both; it runs on."""
-    await _hold(day, (day.world.links_by_vm[day.choose_vm()],))
+    await _partition_links(
+        soak_run, (soak_run.world.links_by_vm[soak_run.choose_vm()],)
+    )
 
 
-async def _hold(day: SoakDay, links: tuple[Link, ...]) -> None:
-    forward, backward = day.rng.choice(((True, True), (True, False), (False, True)))
+async def _partition_links(soak_run: SoakRun, links: tuple[Link, ...]) -> None:
+    forward, backward = soak_run.rng.choice(
+        ((True, True), (True, False), (False, True))
+    )
     for link in links:
         link.faults.hold_forward = forward
         link.faults.hold_backward = backward
-    await asyncio.sleep(day.rng.uniform(*CUT_SECONDS))
+    await asyncio.sleep(soak_run.rng.uniform(*PARTITION_SECONDS))
     for link in links:
-        link.heal()
+        link.clear_faults()
 
 
-async def delay_links(day: SoakDay) -> None:
+async def delay_links(soak_run: SoakRun) -> None:
     """Delay everything that passes some of the proxies."""
-    links = [link for link in day.world.list_links() if day.rng.random() < 0.5]  # noqa: PLR2004
+    links = [
+        link for link in soak_run.world.list_links() if soak_run.rng.random() < 0.5
+    ]  # noqa: PLR2004
     for link in links:
-        link.faults.delay_seconds = day.rng.uniform(*DELAY_SECONDS)
-    await asyncio.sleep(day.rng.uniform(1.0, 4.0))
+        link.faults.delay_seconds = soak_run.rng.uniform(*DELAY_SECONDS)
+    await asyncio.sleep(soak_run.rng.uniform(1.0, 4.0))
     for link in links:
-        link.heal()
+        link.clear_faults()
 
 
-async def reset_links(day: SoakDay) -> None:
+async def reset_links(soak_run: SoakRun) -> None:
     """Reset the open connections of all proxies."""
-    for name in day.world.links_by_node:
-        day.note_harm(name)
-    for link in day.world.list_links():
+    for name in soak_run.world.links_by_node:
+        soak_run.record_disruption(name)
+    for link in soak_run.world.list_links():
         link.reset()
 
 
-async def silence_links(day: SoakDay) -> None:
+async def silence_links(soak_run: SoakRun) -> None:
     """Let all open connections go silent for good; new ones work."""
-    for name in day.world.links_by_node:
-        day.note_harm(name)
-    for link in day.world.list_links():
+    for name in soak_run.world.links_by_node:
+        soak_run.record_disruption(name)
+    for link in soak_run.world.list_links():
         link.silence()
 
 
@@ -165,13 +171,13 @@
     ("kill all nodes", kill_all),
     ("stop a node", stop_node),
     ("stop a node", stop_node),
-    ("roll all nodes", roll_nodes),
-    ("freeze a node", freeze_node),
-    ("freeze a node", freeze_node),
-    ("keep a node from the store", keep_node_from_store),
-    ("cut a node", cut_node),
-    ("cut a node from the store", cut_node_from_store),
-    ("cut a worker", cut_worker),
+    ("roll all nodes", restart_nodes_in_turn),
+    ("freeze a node", pause_node),
+    ("freeze a node", pause_node),
+    ("keep a node from the store", deny_store_to_node),
+    ("cut a node", partition_node),
+    ("cut a node from the store", partition_node_from_store),
+    ("cut a worker", partition_worker),
     ("delay links", delay_links),
     ("reset links", reset_links),
     ("silence links", silence_links),
--- a/packages/bench/src/medlarspring_bench/soak/desk.py
+++ b/packages/bench/src/medlarspring_bench/soak/job_client.py
@@ -17,11 +17,11 @@
 
 HTTP_OK = 200
 DEADLINE_HEADER = "X-Medlarspring-Deadline-Ms"
-WORDS_BY_STATE = {"canceled": "cancelled"}
+STATUS_BY_PLATFORM_STATE = {"canceled": "cancelled"}
 """Where the platform's word for a status is not ours."""
 
 
-class HttpDesk:
+class HttpJobClient:
     """Implements ``Desk`` with one session for each entry VM."""
 
     def __init__(self, installation: Installation) -> None:
@@ -82,7 +82,7 @@
     if method != "GET":
         return "ok"
     state = str(msgspec.json.decode(body)["state"])
-    return WORDS_BY_STATE.get(state, state)
+    return STATUS_BY_PLATFORM_STATE.get(state, state)
 
 
 def encode_job(spec: JobSpec) -> bytes:
@@ -107,4 +107,4 @@
     return {name: value for name, value in fields.items() if value}
 
 
-__all__ = ["HttpDesk", "encode_job"]
+__all__ = ["HttpJobClient", "encode_job"]
--- a/packages/bench/src/medlarspring_bench/soak/proxy.py
+++ b/packages/bench/src/medlarspring_bench/soak/proxy.py
@@ -51,7 +51,7 @@
         self.faults = Faults()
         self.address = ""
         self._server: asyncio.Server | None = None
-        self._pipes: dict[Pipe, None] = {}
+        self._connections: dict[ProxiedConnection, None] = {}
 
     async def open(self, host: str = "127.0.0.1") -> None:
         """Listen on a port of the kernel's choice."""
@@ -67,21 +67,21 @@
 
     def reset(self) -> None:
         """Reset all open connections."""
-        for pipe in list(self._pipes):
-            pipe.abort()
+        for connection in list(self._connections):
+            connection.abort()
 
     def silence(self) -> None:
         """Let nothing pass on the open connections any more; new ones work."""
-        for pipe in self._pipes:
-            pipe.silent = True
+        for connection in self._connections:
+            connection.silent = True
 
-    def holds(self, *, forward: bool) -> bool:
+    def is_holding(self, *, forward: bool) -> bool:
         """Tell whether data of one direction is held back now."""
         if forward:
             return self.faults.hold_forward
         return self.faults.hold_backward
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         """End the faults; silenced connections stay silent."""
         self.faults = Faults()
 
@@ -99,18 +99,18 @@
             # without the proxy.
             _abort(writer)
             return
-        pipe = Pipe(self, writer, inner_writer)
-        self._pipes[pipe] = None
+        connection = ProxiedConnection(self, writer, inner_writer)
+        self._connections[connection] = None
         try:
-            await pipe.run(reader, inner_reader)
+            await connection.run(reader, inner_reader)
         except asyncio.CancelledError:
             # The proxy is closing; asyncio's server would log this as an error.
             return
         finally:
-            self._pipes.pop(pipe, None)
+            self._connections.pop(connection, None)
 
 
-class Pipe:
+class ProxiedConnection:
     """One proxied connection."""
 
     def __init__(
@@ -127,18 +127,18 @@
         self, outer_reader: asyncio.StreamReader, inner_reader: asyncio.StreamReader
     ) -> None:
         """Pass data on in both directions until either end closes."""
-        ways = [
+        directions = [
             asyncio.ensure_future(self._pass(outer_reader, self._inner, forward=True)),
             asyncio.ensure_future(self._pass(inner_reader, self._outer, forward=False)),
         ]
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
-            if ways[1].done() and self._sent_at is not None:
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
+            if directions[1].done() and self._sent_at is not None:
                 self._link.cuts.append(Cut(self._sent_at, time.monotonic()))
         finally:
-            for way in ways:
-                way.cancel()
-            await asyncio.gather(*ways, return_exceptions=True)
+            for direction in directions:
+                direction.cancel()
+            await asyncio.gather(*directions, return_exceptions=True)
             for writer in (self._outer, self._inner):
                 writer.close()
 
@@ -166,7 +166,7 @@
                 return
             if self._link.faults.delay_seconds:
                 await asyncio.sleep(self._link.faults.delay_seconds)
-            while self._link.holds(forward=forward):
+            while self._link.is_holding(forward=forward):
                 await asyncio.sleep(POLL_SECONDS)
             self._sent_at = time.monotonic() if forward else None
             writer.write(data)
--- a/packages/bench/src/medlarspring_bench/soak/play.py
+++ b/packages/bench/src/medlarspring_bench/soak/runner.py
@@ -16,10 +16,10 @@
     find_left_running,
     find_unfinished,
 )
-from medlarspring_bench.soak.desk import HttpDesk
 from medlarspring_bench.soak.entry_vms import EntryVMs
 from medlarspring_bench.soak.faults import FAULTS
 from medlarspring_bench.soak.installation import Installation
+from medlarspring_bench.soak.job_client import HttpJobClient
 
 if TYPE_CHECKING:
     from medlarspring_bench.soak.faults import SoakFault
@@ -30,13 +30,13 @@
 """Most time after the last fault until every job has ended."""
 CHECK_SECONDS = 2.0
 """How often the promises are checked while the day goes on."""
-HARM_SECONDS = 1.5
+DISRUPTION_SECONDS = 1.5
 """Calls that break so soon before or after a fault are the fault's doing."""
 CUT_AFTER_SECONDS = 0.2
 """A connection that ends sooner was closed before its process read the call."""
-CANCELLED_PART = 0.05
-HOPELESS_PART = 0.03
-CONTROLLER_PART = 0.5
+CANCELLED_SHARE = 0.05
+HOPELESS_SHARE = 0.03
+CONTROLLER_FAULT_SHARE = 0.5
 """Part of the faults of entry VMs that strike the controller."""
 
 
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class SoakVerdict:
+class SoakResult:
     """What came of a soak."""
 
     seed: int
@@ -64,12 +64,12 @@
     logs: list[tuple[str, str]] = field(default_factory=list)
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """Whether every promise was kept."""
         return not self.breaches and not self.unfinished and self.accepted > 0
 
 
-class SoakDay:
+class SoakRun:
     """One soak while it goes on; implements ``Scene`` for the platform's faults."""
 
     def __init__(
@@ -79,12 +79,12 @@
         self.world = world
         self.entry_vms = entry_vms
         self.rng = random.Random(seed)
-        self.desk = HttpDesk(world)
+        self.desk = HttpJobClient(world)
         self.customers = Customers(world, random.Random(seed + 7), self.desk)
         self.faults: list[str] = []
         self.breaches: list[Breach] = []
         self._schedule = self._draw_schedule(seed)
-        self._harmed_at: dict[str, list[Seconds]] = {}
+        self._disrupted_at: dict[str, list[Seconds]] = {}
 
     async def play(self) -> None:
         """Send load and faults, then wait until everything has ended."""
@@ -92,7 +92,7 @@
         checking = asyncio.create_task(self._check_forever())
         self.customers.send("archive", *self.customers.create_lasting())
         faults = [
-            asyncio.create_task(self._strike(wait, name, fault))
+            asyncio.create_task(self._inject_fault(wait, name, fault))
             for wait, name, fault in self._schedule
         ]
         ends_at = self.world.clock.now() + self.plan.traffic_seconds
@@ -108,7 +108,7 @@
         """Return an entry VM, the controller as often as not."""
         names = sorted(self.world.nodes_by_name)
         controller = self.entry_vms.find_controller()
-        if controller in names and self.rng.random() < CONTROLLER_PART:
+        if controller in names and self.rng.random() < CONTROLLER_FAULT_SHARE:
             return controller
         return self.rng.choice(names) if names else None
 
@@ -116,15 +116,15 @@
         """Return a VM."""
         return self.rng.choice(sorted(self.world.fleet.vms_by_id))
 
-    def note_harm(self, node: str) -> None:
+    def record_disruption(self, node: str) -> None:
         """Note that a fault may break connections of an entry VM's customers."""
-        self._harmed_at.setdefault(node, []).append(self.world.clock.now())
+        self._disrupted_at.setdefault(node, []).append(self.world.clock.now())
 
     def _send_one(self) -> None:
-        hopeless = self.rng.random() < HOPELESS_PART
+        hopeless = self.rng.random() < HOPELESS_SHARE
         job_id, spec = self.customers.create_batch(hopeless=hopeless)
         self.customers.send(self.rng.choice(("lookup", "check")), job_id, spec)
-        if self.rng.random() < CANCELLED_PART:
+        if self.rng.random() < CANCELLED_SHARE:
             asyncio.get_running_loop().call_later(
                 self.rng.uniform(0.1, 2.0), self._cancel, job_id
             )
@@ -144,7 +144,7 @@
             for _ in range(self.plan.fault_count)
         ]
 
-    async def _strike(self, wait: Seconds, name: str, fault: SoakFault) -> None:
+    async def _inject_fault(self, wait: Seconds, name: str, fault: SoakFault) -> None:
         await asyncio.sleep(wait)
         began_at = self.world.clock.now()
         await fault(self)
@@ -164,32 +164,34 @@
             await asyncio.sleep(CHECK_SECONDS)
             self.breaches = check_history(self.world.history)
 
-    def check_cuts(self) -> list[Breach]:
+    def check_cut_calls(self) -> list[Breach]:
         """A process that is told to stop cuts no call that it has read."""
         return [
             Breach("cut", node, f"sent at {cut.sent_at:.2f}, cut at {cut.cut_at:.2f}")
             for node, links in self.world.links_by_node.items()
             for cut in links.customers.cuts
             if cut.cut_at - cut.sent_at > CUT_AFTER_SECONDS
-            and not self._was_harmed(node, cut.sent_at, cut.cut_at)
+            and not self._was_disrupted(node, cut.sent_at, cut.cut_at)
         ]
 
-    def check_grace(self) -> list[Breach]:
+    def check_stop_times(self) -> list[Breach]:
         """A process that is told to stop, and runs, ends within its grace."""
         return [
             Breach("grace", each.node, "did not end in time")
-            for each in self.entry_vms.overdue
-            if not self._was_harmed(each.node, each.told_at, each.killed_at)
+            for each in self.entry_vms.overdue_stops
+            if not self._was_disrupted(
+                each.node, each.stop_requested_at, each.killed_at
+            )
         ]
 
-    def _was_harmed(self, node: str, since: Seconds, until: Seconds) -> bool:
+    def _was_disrupted(self, node: str, since: Seconds, until: Seconds) -> bool:
         return any(
-            since - HARM_SECONDS <= at <= until + HARM_SECONDS
-            for at in self._harmed_at.get(node, ())
+            since - DISRUPTION_SECONDS <= at <= until + DISRUPTION_SECONDS
+            for at in self._disrupted_at.get(node, ())
         )
 
 
-async def play_soak(seed: int, plan: SoakPlan | None = None) -> SoakVerdict:
+async def run_soak(seed: int, plan: SoakPlan | None = None) -> SoakResult:
     """Play the soak of a seed in real time."""
     plan = plan or SoakPlan()
     names = [f"entry-{number}" for number in range(plan.world.nodes)]
@@ -199,27 +201,33 @@
         try:
             await world.start()
             await asyncio.gather(*(entry_vms.start(name) for name in names))
-            day = SoakDay(plan, seed, world, entry_vms)
-            await day.play()
-            return await _judge(day, seed)
+            soak_run = SoakRun(plan, seed, world, entry_vms)
+            await soak_run.play()
+            return await _collect_result(soak_run, seed)
         finally:
             entry_vms.close()
             await world.stop()
 
 
-async def _judge(day: SoakDay, seed: int) -> SoakVerdict:
-    verdict = SoakVerdict(seed, faults=day.faults, accepted=len(day.customers.accepted))
-    verdict.unfinished = await find_unfinished(day.customers, day.world.history)
-    verdict.breaches = check_history(day.world.history)
+async def _collect_result(soak_run: SoakRun, seed: int) -> SoakResult:
+    verdict = SoakResult(
+        seed, faults=soak_run.faults, accepted=len(soak_run.customers.accepted)
+    )
+    verdict.unfinished = await find_unfinished(
+        soak_run.customers, soak_run.world.history
+    )
+    verdict.breaches = check_history(soak_run.world.history)
     verdict.breaches += find_left_running(
-        day.customers, day.world.history, day.world.fleet
+        soak_run.customers, soak_run.world.history, soak_run.world.fleet
     )
-    verdict.breaches += day.check_cuts()
-    verdict.breaches += day.check_grace()
-    verdict.logs = [(name, process.output()) for name, process in day.entry_vms.logs]
-    await day.customers.leave()
-    await day.desk.close()
+    verdict.breaches += soak_run.check_cut_calls()
+    verdict.breaches += soak_run.check_stop_times()
+    verdict.logs = [
+        (name, process.output()) for name, process in soak_run.entry_vms.logs
+    ]
+    await soak_run.customers.leave()
+    await soak_run.desk.close()
     return verdict
 
 
-__all__ = ["SoakDay", "SoakPlan", "SoakVerdict", "play_soak"]
+__all__ = ["SoakRun", "SoakPlan", "SoakResult", "run_soak"]
--- a/packages/bench/src/medlarspring_bench/standins/balancer.py
+++ b/packages/bench/src/medlarspring_bench/standins/balancer.py
@@ -22,7 +22,7 @@
     split_address,
     wait_for_end,
 )
-from medlarspring_bench.standins.splice import Front
+from medlarspring_bench.standins.tcp_proxy import ClientConnection
 
 CHECK_SECONDS = 0.25
 CHECK_TIMEOUT_SECONDS = 1.0
@@ -92,7 +92,7 @@
 async def serve(options: argparse.Namespace) -> None:
     """Serve until SIGTERM."""
     balancer = Balancer(random.Random(options.seed))
-    gate = Gate("all", lambda: Front(balancer.choose, balancer.count_open))
+    gate = Gate("all", lambda: ClientConnection(balancer.choose, balancer.count_open))
     host, port = split_address(options.listen)
     await gate.open(host, port)
     control = create_control_app(gate.change)
--- a/packages/bench/src/medlarspring_bench/standins/call_counts.py
+++ b/packages/bench/src/medlarspring_bench/standins/call_counts.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from medlarspring_adapters.clock import Clock
 
-KEPT_SECONDS = 600
+RETENTION_SECONDS = 600
 
 
 class CallCounts:
@@ -19,7 +19,9 @@
         self.by_client: Counter[str] = Counter()
         self.open_watches = 0
         self._clock = clock
-        self._by_second: deque[tuple[int, Counter[str]]] = deque(maxlen=KEPT_SECONDS)
+        self._by_second: deque[tuple[int, Counter[str]]] = deque(
+            maxlen=RETENTION_SECONDS
+        )
 
     def count(self, kind: str, client: str) -> None:
         """Count one call."""
--- a/packages/bench/src/medlarspring_bench/standins/faults.py
+++ b/packages/bench/src/medlarspring_bench/standins/faults.py
@@ -62,14 +62,14 @@
         self.connections_refused = 0
         self._make_protocol = make_protocol
         self._server: asyncio.Server | None = None
-        self._reserved: socket.socket | None = None
+        self._port_reservation: socket.socket | None = None
         """Keeps the port while nothing listens on it."""
         self._blackhole: list[socket.socket] = []
 
     async def open(self, host: str, port: int) -> None:
         """Listen; port 0 lets the kernel choose."""
-        self._reserved = _bind(host, port)
-        bound_host, bound_port = self._reserved.getsockname()[:2]
+        self._port_reservation = _bind(host, port)
+        bound_host, bound_port = self._port_reservation.getsockname()[:2]
         self.address = f"{bound_host}:{bound_port}"
         await self._listen()
 
@@ -85,8 +85,8 @@
         self._stop_listening()
         self._drop_blackhole()
         self.reset()
-        if self._reserved is not None:
-            self._reserved.close()
+        if self._port_reservation is not None:
+            self._port_reservation.close()
 
     async def change(self, change: FaultsChange) -> None:
         """Switch faults."""
@@ -98,12 +98,12 @@
             self.silence()
         if self.faults.down or self.faults.resetting:
             self.reset()
-        await self._follow_faults()
+        await self._update_listener()
         if not self.faults.frozen:
             for connection in list(self.connections):
-                connection.thaw()
+                connection.deliver_held_data()
 
-    async def _follow_faults(self) -> None:
+    async def _update_listener(self) -> None:
         """Listen or not, as the faults say."""
         if self.faults.down or self.faults.unreachable:
             self._stop_listening()
@@ -138,7 +138,7 @@
         for connection in list(self.connections):
             connection.abort()
 
-    def takes_more(self) -> bool:
+    def can_accept(self) -> bool:
         """Say whether the newest connection may stay."""
         if self.faults.resetting:
             return False
@@ -226,7 +226,7 @@
         self._transport = cast("asyncio.Transport", transport)
         self.gate.connections.add(self)
         self._inner.connection_made(GateTransport(self._transport, self))
-        if not self.gate.takes_more():
+        if not self.gate.can_accept():
             self.abort()
 
     def data_received(self, data: bytes) -> None:
@@ -238,7 +238,7 @@
             return
         self._inner.data_received(data)
 
-    def thaw(self) -> None:
+    def deliver_held_data(self) -> None:
         """Pass on what was held."""
         held, self._held = self._held, []
         for data in held:
--- a/packages/bench/src/medlarspring_bench/standins/links.py
+++ b/packages/bench/src/medlarspring_bench/standins/links.py
@@ -18,7 +18,7 @@
     split_address,
     wait_for_end,
 )
-from medlarspring_bench.standins.splice import Front
+from medlarspring_bench.standins.tcp_proxy import ClientConnection
 
 if TYPE_CHECKING:
     import asyncio
@@ -48,7 +48,7 @@
         if gate is None:
 
             def make_protocol() -> asyncio.Protocol:
-                return Front(lambda: link.target)
+                return ClientConnection(lambda: link.target)
 
             gate = Gate(link.name, make_protocol)
             await gate.open(self._host, 0)
--- a/packages/bench/src/medlarspring_bench/standins/server.py
+++ b/packages/bench/src/medlarspring_bench/standins/server.py
@@ -48,7 +48,7 @@
         _transport(request).abort()
     elif gate.faults.truncate_replies > 0 and isinstance(response, web.Response):
         gate.faults.truncate_replies -= 1
-        _send_half(request, response)
+        _send_truncated(request, response)
     return response
 
 
@@ -68,7 +68,7 @@
     return request.transport
 
 
-def _send_half(request: web.Request, response: web.Response) -> None:
+def _send_truncated(request: web.Request, response: web.Response) -> None:
     body = response.body if isinstance(response.body, bytes) else b""
     head = f"HTTP/1.1 {response.status} OK\r\nContent-Length: {len(body) + 2}\r\n\r\n"
     transport = _transport(request)
@@ -143,7 +143,7 @@
     return host, int(port)
 
 
-_ended = asyncio.Event()
+_stop_requested = asyncio.Event()
 """Set once this process was told to end."""
 
 
@@ -156,14 +156,14 @@
     """
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, _ended.set)
+        loop.add_signal_handler(number, _stop_requested.set)
     sys.stdout.write(msgspec.json.encode(addresses).decode() + "\n")
     sys.stdout.flush()
 
 
 async def wait_for_end() -> None:
     """Wait for SIGTERM or SIGINT."""
-    await _ended.wait()
+    await _stop_requested.wait()
 
 
 def run(main: Coroutine[object, object, None]) -> None:
--- a/packages/bench/src/medlarspring_bench/standins/statsd.py
+++ b/packages/bench/src/medlarspring_bench/standins/statsd.py
@@ -23,7 +23,7 @@
     from medlarspring_bench.standins.faults import FaultsChange
 
 
-class Sink(asyncio.DatagramProtocol):
+class MetricsReceiver(asyncio.DatagramProtocol):
     """Adds up counters and keeps the last value of all else."""
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
 
 async def serve(options: argparse.Namespace) -> None:
     """Serve until SIGTERM."""
-    sink = Sink()
+    sink = MetricsReceiver()
     host, port = split_address(options.listen)
     loop = asyncio.get_running_loop()
     transport, _ = await loop.create_datagram_endpoint(
--- a/packages/bench/src/medlarspring_bench/standins/splice.py
+++ b/packages/bench/src/medlarspring_bench/standins/tcp_proxy.py
@@ -13,11 +13,11 @@
 CONNECT_SECONDS = 2.0
 
 
-class Half(asyncio.Protocol):
+class ProxyConnection(asyncio.Protocol):
     """One of the two connections; closes with the other one."""
 
     def __init__(self, on_close: Callable[[], None] | None = None) -> None:
-        self.other: Half | None = None
+        self.other: ProxyConnection | None = None
         self.transport: asyncio.Transport | None = None
         self._on_close = on_close
 
@@ -52,7 +52,7 @@
             self.other.transport.resume_reading()
 
 
-class Front(Half):
+class ClientConnection(ProxyConnection):
     """The accepted half; connects to the target that ``choose`` names."""
 
     def __init__(
@@ -66,7 +66,7 @@
         self._on_open = on_open
         self._on_closed = on_closed
         self._target = ""
-        self._early: list[bytes] = []
+        self._buffered: list[bytes] = []
         self._connecting: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -77,7 +77,7 @@
     def data_received(self, data: bytes) -> None:
         """Pass bytes on, or keep them until the target is connected."""
         if self.other is None:
-            self._early.append(data)
+            self._buffered.append(data)
             return
         super().data_received(data)
 
@@ -90,7 +90,7 @@
         self._target = target
         if self._on_open is not None:
             self._on_open(target)
-        back = Half()
+        back = ProxyConnection()
         try:
             async with asyncio.timeout(CONNECT_SECONDS):
                 host, port = split_address(target)
@@ -99,9 +99,9 @@
         except OSError:
             self.transport.abort()
             return
-        self._join(back)
+        self._link_connections(back)
 
-    def _join(self, back: Half) -> None:
+    def _link_connections(self, back: ProxyConnection) -> None:
         assert self.transport is not None
         assert back.transport is not None
         if self.transport.is_closing():
@@ -109,13 +109,13 @@
             return
         back.other = self
         self.other = back
-        for data in self._early:
+        for data in self._buffered:
             back.transport.write(data)
-        self._early.clear()
+        self._buffered.clear()
 
     def _closed(self) -> None:
         if self._target and self._on_closed is not None:
             self._on_closed(self._target)
 
 
-__all__ = ["Front"]
+__all__ = ["ClientConnection"]
--- a/packages/bench/src/medlarspring_bench/standins/upstream.py
+++ b/packages/bench/src/medlarspring_bench/standins/upstream.py
@@ -107,7 +107,7 @@
         self.max_running = 0
         self.runs: list[Run] = []
         self.refusals: list[Refusal] = []
-        self.tasks = WorkerTasks(id_, SystemClock(), self._true_task)
+        self.tasks = WorkerTasks(id_, SystemClock(), self._draw_actual_task)
         self._slots: int = options.slots
         self._seed = options.seed
         self._mean_seconds = options.service_ms / 1000
@@ -171,7 +171,7 @@
         response.headers["Request-Id"] = record.request_id
         return response
 
-    def _true_task(self, order: TaskOrder) -> TrueTask:
+    def _draw_actual_task(self, order: TaskOrder) -> TrueTask:
         """Return what a job really needs: far from what was declared."""
         rng = random.Random(f"{self._seed}/{order.job_id}")
         scale = rng.lognormvariate(0.0, LOGNORMAL_SIGMA)
--- a/packages/bench/src/medlarspring_bench/standins/vm_control.py
+++ b/packages/bench/src/medlarspring_bench/standins/vm_control.py
@@ -54,7 +54,7 @@
     controls: list[str]
 
 
-class UpstreamSays(Struct):
+class UpstreamReport(Struct):
     """What an upstream stand-in says of one VM."""
 
     running: int
@@ -67,7 +67,7 @@
         self.state = VMControlState(SystemClock())
         self._listing = listing
         self._controls: list[str] = []
-        self._shown_by_id: dict[str, Condition] = {}
+        self._published_by_id: dict[str, Condition] = {}
         self._control_by_id: dict[str, str] = {}
 
     def add_entries(self, entries: list[ListEntry]) -> None:
@@ -84,7 +84,7 @@
                     zone=labels.get("zone", ""),
                 )
             )
-            self._shown_by_id.setdefault(labels["id"], Condition.SERVING)
+            self._published_by_id.setdefault(labels["id"], Condition.SERVING)
 
     def add_routes(self, app: web.Application) -> None:
         """Add the platform's own routes."""
@@ -117,8 +117,8 @@
                     await self._count_running(session)
                 self.state.step()
                 for row in self.state.rows_by_id.values():
-                    if self._shown_by_id.get(row.id) is not row.condition:
-                        await self._show(session, row)
+                    if self._published_by_id.get(row.id) is not row.condition:
+                        await self._publish_condition(session, row)
                 await asyncio.sleep(STEP_SECONDS)
 
     async def _count_running(self, session: aiohttp.ClientSession) -> None:
@@ -128,12 +128,14 @@
         for control in self._controls:
             async with session.get(f"http://{control}/control/vms") as response:
                 body = await response.read()
-            says_by_id = msgspec.json.decode(body, type=dict[str, UpstreamSays])
-            for id_, says in says_by_id.items():
-                self.state.running_by_id[id_] = says.running
-
-    async def _show(self, session: aiohttp.ClientSession, row: VMRow) -> None:
-        self._shown_by_id[row.id] = row.condition
+            reports_by_id = msgspec.json.decode(body, type=dict[str, UpstreamReport])
+            for id_, upstream_report in reports_by_id.items():
+                self.state.running_by_id[id_] = upstream_report.running
+
+    async def _publish_condition(
+        self, session: aiohttp.ClientSession, row: VMRow
+    ) -> None:
+        self._published_by_id[row.id] = row.condition
         serves = row.condition is Condition.SERVING
         listed = "live" if serves else "leaving"
         state = "live" if serves else "draining"
--- a/packages/bench/src/medlarspring_bench/standins/vm_list.py
+++ b/packages/bench/src/medlarspring_bench/standins/vm_list.py
@@ -62,12 +62,12 @@
         """Set all entries; the first list of all is shown at once."""
         first = not self._entries_by_id
         self._entries_by_id = {entry.labels["id"]: entry for entry in entries}
-        self._keep(0.0 if first else self._now())
+        self._save_snapshot(0.0 if first else self._now())
 
     def put(self, entry: ListEntry) -> None:
         """Add or change one entry."""
         self._entries_by_id[entry.labels["id"]] = entry
-        self._keep(self._now())
+        self._save_snapshot(self._now())
 
     def change(self, id_: str, **labels: str) -> bool:
         """Change labels of one entry; False if it is not listed."""
@@ -80,7 +80,7 @@
     def remove(self, id_: str) -> None:
         """Drop one entry."""
         self._entries_by_id.pop(id_, None)
-        self._keep(self._now())
+        self._save_snapshot(self._now())
 
     def visible(self) -> list[ListEntry]:
         """Return the list as it stood ``lag_seconds`` ago."""
@@ -89,7 +89,7 @@
             self._snapshots.popleft()
         return self._snapshots[0][1]
 
-    def _keep(self, at: float) -> None:
+    def _save_snapshot(self, at: float) -> None:
         self._snapshots.append((at, list(self._entries_by_id.values())))
 
 
@@ -105,7 +105,7 @@
         """Answer as the list stood a while ago."""
         targets_by_id = self._targets_by_gate.get(request[GATE_KEY].name, {})
         return json_response(
-            [_shown(entry, targets_by_id) for entry in self.list.visible()]
+            [_with_gate_target(entry, targets_by_id) for entry in self.list.visible()]
         )
 
     def add_control(self, app: web.Application) -> None:
@@ -144,7 +144,7 @@
         return json_response({})
 
 
-def _shown(entry: ListEntry, targets_by_id: dict[str, str]) -> ListEntry:
+def _with_gate_target(entry: ListEntry, targets_by_id: dict[str, str]) -> ListEntry:
     target = targets_by_id.get(entry.labels["id"])
     return entry if target is None else ListEntry([target], entry.labels)
 
--- a/packages/bench/tests/test_key_value.py
+++ b/packages/bench/tests/test_key_value.py
@@ -31,7 +31,7 @@
         return dict(await response.json())
 
 
-async def switch(gateway: Gateway, **faults: object) -> None:
+async def set_faults(gateway: Gateway, **faults: object) -> None:
     http, _, control = gateway
     async with http.post(f"{control}/control/faults", json=faults) as response:
         assert response.status == 200
@@ -149,14 +149,14 @@
 
 
 async def test_lost_reply_leaves_the_write_in_place(gateway: Gateway):
-    await switch(gateway, lose_replies=1)
+    await set_faults(gateway, lose_replies=1)
     with pytest.raises(aiohttp.ClientError):
         await put(gateway, "a", "x")
     assert (await read(gateway, "a"))["count"] == "1"
 
 
 async def test_truncated_answer_is_noticed(gateway: Gateway):
-    await switch(gateway, truncate_replies=1)
+    await set_faults(gateway, truncate_replies=1)
     with pytest.raises(aiohttp.ClientPayloadError):
         await read(gateway, "a")
 
@@ -165,12 +165,12 @@
 async def test_new_connections_fail_until_the_fault_ends(gateway: Gateway, fault: str):
     _, url, _ = gateway
     expected = TimeoutError if fault == "unreachable" else aiohttp.ClientError
-    await switch(gateway, **{fault: True})
+    await set_faults(gateway, **{fault: True})
     async with aiohttp.ClientSession() as fresh:
         with pytest.raises(expected):
             async with asyncio.timeout(0.5):
                 await read((fresh, url, ""), "a")
-        await switch(gateway, **{fault: False})
+        await set_faults(gateway, **{fault: False})
         assert "header" in await read((fresh, url, ""), "a")
 
 
@@ -178,7 +178,7 @@
     """Something between the ends forgets a connection: only new ones work."""
     http, url, _ = gateway
     await read(gateway, "a")
-    await switch(gateway, silence=True)
+    await set_faults(gateway, silence=True)
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.5):
             await read(gateway, "a")
@@ -187,11 +187,11 @@
 
 
 async def test_frozen_gate_answers_after_the_thaw(gateway: Gateway):
-    await switch(gateway, frozen=True)
+    await set_faults(gateway, frozen=True)
     reading = asyncio.create_task(read(gateway, "a"))
     with pytest.raises(TimeoutError):
         await asyncio.wait_for(asyncio.shield(reading), 0.3)
-    await switch(gateway, frozen=False)
+    await set_faults(gateway, frozen=False)
     assert "header" in await reading
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from medlarspring_bench.soak.play import SoakPlan, play_soak
+from medlarspring_bench.soak.runner import SoakPlan, run_soak
 
 SHORT = SoakPlan(traffic_seconds=6.0, fault_count=3)
 FRESH_SEEDS = (101, 102)
@@ -32,7 +32,7 @@
 @pytest.mark.timeout(180)
 @pytest.mark.parametrize("seed", FRESH_SEEDS)
 async def test_promises_hold_under_faults_from_outside(seed: int):
-    verdict = await play_soak(seed, SHORT)
+    verdict = await run_soak(seed, SHORT)
     assert verdict.breaches == [], verdict.faults
     assert verdict.unfinished == [], verdict.faults
     assert verdict.accepted > 0
@@ -45,6 +45,6 @@
 async def test_promises_hold_in_soaks_that_once_broke_them(
     schedule: tuple[tuple[float, str], ...],
 ):
-    verdict = await play_soak(1, SoakPlan(traffic_seconds=6.0, schedule=schedule))
+    verdict = await run_soak(1, SoakPlan(traffic_seconds=6.0, schedule=schedule))
     assert verdict.breaches == [], verdict.faults
     assert verdict.unfinished == [], verdict.faults
