--- a/packages/bench/src/medlarspring_bench/standins/__init__.py
+++ b/packages/bench/src/medlarspring_bench/standins/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins of the platform: each module is one process."""
+"""Stand-ins for the services of the platform; each service is one process."""
 
 from __future__ import annotations
--- a/packages/bench/src/medlarspring_bench/standins/balancer.py
+++ b/packages/bench/src/medlarspring_bench/standins/balancer.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's balancer: TCP, by weight, with health checks."""
+"""Stand-in for the platform's load balancer: weighted TCP with health checks."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 
 class Backend(Struct):
-    """A daemon's caller port and its part of the connections."""
+    """A daemon's caller port and its weight among the backends."""
 
     address: str
     weight: float = 1.0
 
 
 class Balancer:
-    """Sends each new connection to a ready daemon."""
+    """Forwards each new connection to a ready daemon."""
 
     def __init__(self, rng: random.Random) -> None:
         self.connections_by_address: Counter[str] = Counter()
@@ -45,12 +45,12 @@
         self._ready: set[str] = set()
 
     def set_backends(self, backends: list[Backend]) -> None:
-        """Replace all backends; each one has to prove ready first."""
+        """Replace all backends; new ones get connections after a health check."""
         self._backends = backends
         self._ready &= {backend.address for backend in backends}
 
     def choose(self) -> str | None:
-        """Choose a ready backend by weight."""
+        """Choose a ready backend at random by weight; None if none is ready."""
         ready = [
             backend for backend in self._backends if backend.address in self._ready
         ]
@@ -60,15 +60,15 @@
         return self._rng.choices(ready, weights)[0].address
 
     def ready(self) -> list[str]:
-        """Return the backends that take connections."""
+        """Return the sorted addresses of the backends that are ready."""
         return sorted(self._ready)
 
     def count_open(self, address: str) -> None:
-        """Count a connection that was sent on."""
+        """Count a connection that is forwarded to a backend."""
         self.connections_by_address[address] += 1
 
     async def check_health(self) -> None:
-        """Ask every backend's ``/readyz`` again and again."""
+        """Poll ``/readyz`` of every backend until cancelled."""
         timeout = aiohttp.ClientTimeout(total=CHECK_TIMEOUT_SECONDS)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
--- a/packages/bench/src/medlarspring_bench/standins/call_counts.py
+++ b/packages/bench/src/medlarspring_bench/standins/call_counts.py
@@ -1,4 +1,4 @@
-"""Counts calls of a stand-in as the platform would."""
+"""Counts the calls that a stand-in receives, as the platform's services do."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CallCounts:
-    """How often the service was called, as the platform would count."""
+    """Numbers of calls by kind, by client and by second."""
 
     def __init__(self, clock: Clock) -> None:
         self.by_kind: Counter[str] = Counter()
@@ -33,7 +33,7 @@
         self._by_second[-1][1][kind] += 1
 
     def summary(self) -> dict[str, object]:
-        """Return all counts and the busiest second of each kind."""
+        """Return all counts and, for each kind, its highest number in one second."""
         peak_by_kind: Counter[str] = Counter()
         for _, counts in self._by_second:
             peak_by_kind |= counts
--- a/packages/bench/src/medlarspring_bench/standins/faults.py
+++ b/packages/bench/src/medlarspring_bench/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a stand-in's connections, switched while it runs."""
+"""Listening ports of stand-ins with faults that can be set while they run."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 
 
 class Faults(Struct, kw_only=True):
-    """What goes wrong at one gate until it is set back."""
+    """Faults of one gate; each lasts until it is cleared."""
 
     down: bool = False
-    """Open connections are reset, new ones refused."""
+    """Open connections are reset and new ones are refused."""
     resetting: bool = False
-    """Open connections are reset, new ones too once they are taken."""
+    """Open connections are reset; new ones are accepted and then reset."""
     unreachable: bool = False
-    """Open connections go silent for good, new ones get no answer at all."""
+    """Open connections stay silent for good; new attempts get no answer."""
     frozen: bool = False
-    """Connections are taken, but nothing is read until the thaw."""
+    """Connections are accepted, but data is not processed until this is cleared."""
     slow_seconds: float = 0.0
-    """Delay before a request is handled."""
+    """Delay in seconds before a request is handled."""
     lose_replies: int = 0
-    """So many of the next writes take effect and lose their reply."""
+    """Number of next writes that take effect but whose reply is lost."""
     truncate_replies: int = 0
-    """So many of the next answers end in the middle of their body."""
+    """Number of next responses that end in the middle of their body."""
     fail_all: bool = False
     """Every request is answered with status 500 and has no effect."""
 
 
 class FaultsChange(Struct, forbid_unknown_fields=True, kw_only=True):
-    """Body of ``POST /control/faults``; keys left out stay as they are."""
+    """Body of ``POST /control/faults``; faults without a key stay unchanged."""
 
     gate: str | None = None
-    """The gate concerned; all gates if left out."""
+    """Name of the gate to change; None changes all gates."""
     silence: bool = False
-    """Open connections go silent for good; new ones work."""
+    """Open connections stay silent for good; new ones work."""
     down: bool | None = None
     resetting: bool | None = None
     unreachable: bool | None = None
@@ -51,7 +51,7 @@
 
 
 class Gate:
-    """One listening port with its own faults; a zone may have its own gate."""
+    """One listening port with its own faults, for example one for each zone."""
 
     def __init__(self, name: str, make_protocol: Callable[[], asyncio.Protocol]):
         self.name = name
@@ -63,11 +63,11 @@
         self._make_protocol = make_protocol
         self._server: asyncio.Server | None = None
         self._port_reservation: socket.socket | None = None
-        """Keeps the port while nothing listens on it."""
+        """Socket that keeps the port reserved while nothing listens on it."""
         self._blackhole: list[socket.socket] = []
 
     async def open(self, host: str, port: int) -> None:
-        """Listen; port 0 lets the kernel choose."""
+        """Start to listen; with port 0 the kernel chooses the port."""
         self._port_reservation = _bind(host, port)
         bound_host, bound_port = self._port_reservation.getsockname()[:2]
         self.address = f"{bound_host}:{bound_port}"
@@ -81,7 +81,7 @@
         )
 
     def close(self) -> None:
-        """Stop listening and reset what is open."""
+        """Stop listening and reset all open connections."""
         self._stop_listening()
         self._drop_blackhole()
         self.reset()
@@ -89,7 +89,7 @@
             self._port_reservation.close()
 
     async def change(self, change: FaultsChange) -> None:
-        """Switch faults."""
+        """Set or clear faults and apply them to the open connections."""
         for name in Faults.__struct_fields__:
             value = getattr(change, name)
             if value is not None:
@@ -104,7 +104,7 @@
                 connection.deliver_held_data()
 
     async def _update_listener(self) -> None:
-        """Listen or not, as the faults say."""
+        """Start or stop listening according to the faults."""
         if self.faults.down or self.faults.unreachable:
             self._stop_listening()
         if self.faults.unreachable and not self._blackhole:
@@ -129,7 +129,7 @@
         self._blackhole = []
 
     def silence(self) -> None:
-        """Let no byte pass on any open connection from now on."""
+        """Drop all data of the connections that are open now, in both directions."""
         for connection in self.connections:
             connection.silent = True
 
@@ -139,7 +139,7 @@
             connection.abort()
 
     def can_accept(self) -> bool:
-        """Say whether the newest connection may stay."""
+        """Return whether the newest connection may stay open."""
         if self.faults.resetting:
             return False
         if self.max_connections is None:
@@ -151,7 +151,7 @@
 
 
 class GateTransport(asyncio.Transport):
-    """Passes calls on, but drops what a silent connection would send."""
+    """Wraps a transport and drops what a silent connection would send."""
 
     def __init__(self, inner: asyncio.Transport, connection: GateConnection) -> None:
         super().__init__()
@@ -159,60 +159,60 @@
         self._connection = connection
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Send, unless the connection went silent."""
+        """Send data unless the connection is silent."""
         if not self._connection.silent:
             self._inner.write(data)
 
     def writelines(self, list_of_data: object) -> None:
-        """Send, unless the connection went silent."""
+        """Send data unless the connection is silent."""
         if not self._connection.silent:
             self._inner.writelines(list_of_data)  # type: ignore[arg-type]
 
     def close(self) -> None:
-        """Close; the other end of a silent connection never learns of it."""
+        """Close the connection, unless it is silent: its peer must not see a FIN."""
         if not self._connection.silent:
             self._inner.close()
 
     def abort(self) -> None:
-        """Reset; the other end of a silent connection never learns of it."""
+        """Reset the connection, unless it is silent: its peer must not see an RST."""
         if not self._connection.silent:
             self._inner.abort()
 
     def is_closing(self) -> bool:
-        """Say whether the connection closes."""
+        """Return whether the connection is closing."""
         return self._inner.is_closing()
 
     def get_extra_info(self, name: str, default: object = None) -> object:
-        """Return facts of the connection; ``gate`` names the gate."""
+        """Return information on the connection; ``gate`` returns its ``Gate``."""
         if name == "gate":
             return self._connection.gate
         return self._inner.get_extra_info(name, default)
 
     def pause_reading(self) -> None:
-        """Read no more for now."""
+        """Pause reading from the connection."""
         self._inner.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read on."""
+        """Resume reading from the connection."""
         self._inner.resume_reading()
 
     def is_reading(self) -> bool:
-        """Say whether bytes are read."""
+        """Return whether the connection is being read."""
         return self._inner.is_reading()
 
     def get_write_buffer_size(self) -> int:
-        """Return the bytes not sent yet."""
+        """Return the number of bytes that are not sent yet."""
         return self._inner.get_write_buffer_size()
 
     def set_write_buffer_limits(
         self, high: int | None = None, low: int | None = None
     ) -> None:
-        """Set when the protocol is told to pause."""
+        """Set the buffer sizes at which the protocol pauses and resumes writing."""
         self._inner.set_write_buffer_limits(high, low)
 
 
 class GateConnection(asyncio.Protocol):
-    """One accepted connection: an inner protocol behind the gate's faults."""
+    """One accepted connection: applies the gate's faults to an inner protocol."""
 
     def __init__(self, gate: Gate, inner: asyncio.Protocol) -> None:
         self.gate = gate
@@ -222,7 +222,7 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Reset the connection when the gate is down or full."""
+        """Register the connection; reset it if the gate resets it or is full."""
         self._transport = cast("asyncio.Transport", transport)
         self.gate.connections.add(self)
         self._inner.connection_made(GateTransport(self._transport, self))
@@ -230,7 +230,7 @@
             self.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes on, hold them while frozen, drop them when silent."""
+        """Forward data; hold it while the gate is frozen, drop it when silent."""
         if self.silent:
             return
         if self.gate.faults.frozen or self._held:
@@ -239,26 +239,26 @@
         self._inner.data_received(data)
 
     def deliver_held_data(self) -> None:
-        """Pass on what was held."""
+        """Forward the data that was held while the gate was frozen."""
         held, self._held = self._held, []
         for data in held:
             self.data_received(data)
 
     def eof_received(self) -> bool | None:
-        """Pass the end of the stream on."""
+        """Forward the end of the stream."""
         return self._inner.eof_received()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Remove the connection from its gate."""
         self.gate.connections.discard(self)
         self._inner.connection_lost(exc)
 
     def pause_writing(self) -> None:
-        """Pass back-pressure on."""
+        """Forward the start of back-pressure."""
         self._inner.pause_writing()
 
     def resume_writing(self) -> None:
-        """Pass the end of back-pressure on."""
+        """Forward the end of back-pressure."""
         self._inner.resume_writing()
 
     def abort(self) -> None:
@@ -277,10 +277,10 @@
 
 
 def _open_blackhole(host: str, port: int) -> list[socket.socket]:
-    """Let connection attempts wait for ever, as behind a network partition.
+    """Make connection attempts hang, as behind a network partition.
 
-    The kernel drops further attempts once the queue of connections that nobody
-    accepts is full; two of our own fill it.
+    The kernel drops further attempts once the backlog of the listener is full;
+    two connections from this process fill it. Returns the sockets to close.
     """
     listener = _bind(host, port)
     listener.listen(0)
--- a/packages/bench/src/medlarspring_bench/standins/key_value.py
+++ b/packages/bench/src/medlarspring_bench/standins/key_value.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's key-value service: the etcd v3 JSON gateway."""
+"""Stand-in for the platform's key-value service: the etcd v3 JSON gateway."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class KeyValueService:
-    """HTTP handlers over the state machine."""
+    """HTTP handlers of the key-value state machine."""
 
     def __init__(self, delay_seconds: float, progress_seconds: float) -> None:
         clock = SystemClock()
@@ -57,7 +57,7 @@
         self._progress_seconds = progress_seconds
 
     def create_app(self) -> web.Application:
-        """Return the application."""
+        """Return the application with the routes of the gateway."""
         app = web.Application(client_max_size=MAX_BODY_BYTES)
         routes: dict[str, Callable[[web.Request], Awaitable[web.StreamResponse]]] = {
             "/v3/kv/range": self._op("range", messages.RangeRequest),
@@ -89,7 +89,7 @@
         return app
 
     async def tick(self) -> None:
-        """Let leases lapse on time."""
+        """Expire leases on time until cancelled."""
         while True:
             self.state.expire_leases()
             await asyncio.sleep(LEASE_TICK_SECONDS)
--- a/packages/bench/src/medlarspring_bench/standins/key_value_messages.py
+++ b/packages/bench/src/medlarspring_bench/standins/key_value_messages.py
@@ -26,7 +26,7 @@
 )
 
 JsonObject = dict[str, Any]
-"""A JSON document on the wire, just before or after its encoding."""
+"""A JSON object as it is before encoding or after decoding."""
 
 ZERO_IS_ABSENT = ("count", "deleted", "lease")
 
@@ -141,13 +141,13 @@
 
 
 class LeaseRequest(Struct, rename={"id": "ID"}):
-    """Body of the calls that name a lease."""
+    """Body of the calls that renew, revoke or query a lease."""
 
     id: int
 
 
 class WatchCreateRequest(Struct):
-    """What a watch wants to see."""
+    """Key range and first revision of a watch."""
 
     key: bytes
     range_end: bytes = b""
@@ -162,7 +162,7 @@
 
 
 def decode(body: bytes, type_: type[Any]) -> Any:
-    """Decode a body; names in camel case and integers as strings are taken too."""
+    """Decode a body; accepts camel-case names and integers as strings too."""
     document = _snake_case(msgspec.json.decode(body))
     return msgspec.convert(document, type_, strict=False)
 
@@ -181,7 +181,7 @@
 
 
 def header(revision: int) -> JsonObject:
-    """Return the header of every answer."""
+    """Return the header that every response has."""
     return {
         "cluster_id": "14841639068965178418",
         "member_id": "10276657743932975437",
@@ -191,7 +191,7 @@
 
 
 def kv_message(kv: KeyValue) -> JsonObject:
-    """Return a key as the gateway writes it: zeros are left out."""
+    """Return a key in the gateway's format, which omits zeros."""
     message: JsonObject = {"key": kv.key}
     for name in ("create_revision", "mod_revision", "version", "lease"):
         number = getattr(kv, name)
@@ -203,7 +203,7 @@
 
 
 def event_message(change: Change) -> JsonObject:
-    """Return one event of a watch; the type of a put is left out."""
+    """Return one event of a watch; the gateway omits the type of a put."""
     message: JsonObject = {"kv": kv_message(change.kv)}
     if change.deleted:
         message["type"] = "DELETE"
@@ -211,7 +211,7 @@
 
 
 def reply_message(reply: Reply, revision: int) -> JsonObject:
-    """Return the answer to one operation."""
+    """Return the response to one operation."""
     message: JsonObject = {"header": header(revision)}
     if isinstance(reply, RangeReply):
         if reply.kvs:
--- a/packages/bench/src/medlarspring_bench/standins/links.py
+++ b/packages/bench/src/medlarspring_bench/standins/links.py
@@ -1,4 +1,4 @@
-"""Stand-in of the network between zones: TCP links that can be cut."""
+"""Stand-in for the network between zones: TCP proxies with faults."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Link(Struct):
-    """A port that leads to a target; faults are switched by group."""
+    """A proxied port and its target; faults are set by name or by group."""
 
     name: str
     target: str
@@ -43,7 +43,7 @@
         self._groups_by_name: dict[str, str] = {}
 
     async def open(self, link: Link) -> str:
-        """Open a link, or return the address of the one that is open."""
+        """Open a link unless it is open, and return its address."""
         gate = self._gates_by_name.get(link.name)
         if gate is None:
 
@@ -57,7 +57,7 @@
         return gate.address
 
     async def change_faults(self, change: FaultsChange) -> None:
-        """Switch faults of the links whose name or group is named."""
+        """Set faults of the links whose name or group is ``gate``, or of all."""
         for name, gate in self._gates_by_name.items():
             if change.gate in (None, name, self._groups_by_name[name]):
                 await gate.change(change)
--- a/packages/bench/src/medlarspring_bench/standins/server.py
+++ b/packages/bench/src/medlarspring_bench/standins/server.py
@@ -1,4 +1,4 @@
-"""What every HTTP stand-in shares: gates, control port, start and end."""
+"""Shared code of the stand-ins: gated applications, control port, start and stop."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 MAX_BODY_BYTES = 8 * 1_048_576
 READ_KEY = web.RequestKey("read", bool)
-"""Set by handlers of calls that change nothing, whatever their method."""
+"""Set by handlers to True for read-only calls, whatever their HTTP method."""
 GATE_KEY = web.RequestKey("gate", Gate)
 
 
 def json_response(value: object, status: int = 200) -> web.Response:
-    """Return a JSON answer encoded by msgspec."""
+    """Return a JSON response encoded by msgspec."""
     return web.Response(
         body=msgspec.json.encode(value), status=status, content_type="application/json"
     )
@@ -33,7 +33,7 @@
 
 @web.middleware
 async def apply_faults(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Delay, fail, lose or truncate answers as the gate's faults say."""
+    """Delay, fail, lose or truncate responses according to the gate's faults."""
     gate = _gate_of(request)
     if gate is None:
         return await handler(request)
@@ -77,7 +77,7 @@
 
 
 class GatedApp:
-    """An application behind one gate per name."""
+    """An application that is served through one gate for each name."""
 
     def __init__(self, app: web.Application, gate_names: Iterable[str]) -> None:
         app.middlewares.insert(0, apply_faults)
@@ -91,7 +91,7 @@
         return self._runner.server()
 
     async def open(self, host: str, port: int) -> None:
-        """Open all gates; only the first one gets a wanted port."""
+        """Open all gates; the first one gets ``port``, the others any free port."""
         await self._runner.setup()
         for gate in self.gates_by_name.values():
             await gate.open(host, port)
@@ -104,7 +104,7 @@
         await self._runner.cleanup()
 
     async def change_faults(self, change: FaultsChange) -> None:
-        """Switch faults at one gate or at all."""
+        """Set faults of the gate that the change names, or of all gates."""
         for gate in self.gates_by_name.values():
             if change.gate in (None, gate.name):
                 await gate.change(change)
@@ -113,7 +113,7 @@
 def create_control_app(
     change_faults: Callable[[FaultsChange], Awaitable[None]],
 ) -> web.Application:
-    """Return the application of the control port; it has no faults itself."""
+    """Return the application of the control port, to which no faults apply."""
 
     async def post_faults(request: web.Request) -> web.Response:
         try:
@@ -129,7 +129,7 @@
 
 
 async def open_control(app: web.Application, host: str) -> str:
-    """Open the control port on a port of the kernel's choice."""
+    """Serve the control port on any free port and return its address."""
     runner = web.AppRunner(app, access_log=None)
     await runner.setup()
     await web.TCPSite(runner, host, 0).start()
@@ -144,15 +144,15 @@
 
 
 _stop_requested = asyncio.Event()
-"""Set once this process was told to end."""
+"""Set when this process receives a signal to stop."""
 
 
 def announce(**addresses: object) -> None:
-    """Print the line that tells the starter where this stand-in listens.
+    """Print the JSON line that tells the parent process the addresses.
 
-    Signals are caught from before on: a starter that ends a stand-in as soon as it
-    has read the line would otherwise kill it, on a busy machine, before it listens
-    for them.
+    The signal handlers are installed before the line is printed. A parent that
+    stops the stand-in as soon as it has read the line would otherwise kill it if
+    the machine is busy and the signal arrives before the handlers are installed.
     """
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -167,7 +167,7 @@
 
 
 def run(main: Coroutine[object, object, None]) -> None:
-    """Run a stand-in on uvloop."""
+    """Run the main coroutine of a stand-in on uvloop."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(main)
 
--- a/packages/bench/src/medlarspring_bench/standins/statsd.py
+++ b/packages/bench/src/medlarspring_bench/standins/statsd.py
@@ -1,4 +1,4 @@
-"""Stand-in of the metrics collector: counts what statsd clients send."""
+"""Stand-in for the metrics collector: aggregates what statsd clients send."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class MetricsReceiver(asyncio.DatagramProtocol):
-    """Adds up counters and keeps the last value of all else."""
+    """Adds up counters and keeps the last value of every other metric."""
 
     def __init__(self) -> None:
         self.counters: Counter[str] = Counter()
         self.values: dict[str, float] = {}
 
     def datagram_received(self, data: bytes, addr: tuple[str | object, int]) -> None:
-        """Take the lines of one datagram; wrong ones are skipped."""
+        """Record the lines of one datagram; skips lines without a number."""
         for line in data.decode(errors="replace").splitlines():
             name, _, rest = line.partition(":")
             number, _, kind = rest.partition("|")
@@ -46,7 +46,7 @@
 
 
 async def _ignore_faults(change: FaultsChange) -> None:
-    """Datagrams have no connections that could fail."""
+    """Do nothing: connection faults do not apply to datagrams."""
 
 
 async def serve(options: argparse.Namespace) -> None:
--- a/packages/bench/src/medlarspring_bench/standins/tcp_proxy.py
+++ b/packages/bench/src/medlarspring_bench/standins/tcp_proxy.py
@@ -1,4 +1,4 @@
-"""Passes the bytes of one connection on to another."""
+"""Forwards TCP connections to a target that is chosen for each connection."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ProxyConnection(asyncio.Protocol):
-    """One of the two connections; closes with the other one."""
+    """One of the two connections of a proxied pair; both close together."""
 
     def __init__(self, on_close: Callable[[], None] | None = None) -> None:
         self.other: ProxyConnection | None = None
@@ -22,28 +22,28 @@
         self._on_close = on_close
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = cast("asyncio.Transport", transport)
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes on."""
+        """Forward data to the other connection."""
         if self.other is not None and self.other.transport is not None:
             self.other.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Close the other half after what it still has to send."""
+        """Close the other connection after its buffered data is sent."""
         if self.other is not None and self.other.transport is not None:
             self.other.transport.close()
         if self._on_close is not None:
             self._on_close()
 
     def pause_writing(self) -> None:
-        """Read no more from the other half than this one can send."""
+        """Pause reading from the other connection while this one can't send."""
         if self.other is not None and self.other.transport is not None:
             self.other.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """Read on from the other half."""
+        """Resume reading from the other connection."""
         if (
             self.other is not None
             and self.other.transport is not None
@@ -53,7 +53,10 @@
 
 
 class ClientConnection(ProxyConnection):
-    """The accepted half; connects to the target that ``choose`` names."""
+    """The accepted connection; connects to the target that ``choose`` returns.
+
+    It is reset if ``choose`` returns None or the target cannot be reached.
+    """
 
     def __init__(
         self,
@@ -70,12 +73,12 @@
         self._connecting: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to connect."""
+        """Start to connect to the target."""
         super().connection_made(transport)
         self._connecting = asyncio.create_task(self._connect())
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes on, or keep them until the target is connected."""
+        """Forward data, or buffer it until the target is connected."""
         if self.other is None:
             self._buffered.append(data)
             return
--- a/packages/bench/src/medlarspring_bench/standins/upstream.py
+++ b/packages/bench/src/medlarspring_bench/standins/upstream.py
@@ -1,4 +1,4 @@
-"""Stand-in of upstream VMs: one process serves many, each on its own port."""
+"""Stand-in for upstream VMs: one process serves many, each on its own port."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Run(Struct, kw_only=True):
-    """One request that a VM began to run; times are of the monotonic clock."""
+    """One request that a VM started; times are of the monotonic clock."""
 
     vm: str
     request_id: str
@@ -54,7 +54,7 @@
 
 
 class Refusal(Struct, kw_only=True):
-    """A request that a VM did not run."""
+    """A request that a VM refused to run; ``at`` is of the monotonic clock."""
 
     vm: str
     request_id: str
@@ -66,17 +66,17 @@
     """Body of ``POST /control/vms/<id>``."""
 
     state: str
-    """``live``; ``leaving``: still answers; ``draining``: refuses new work."""
+    """``live``, ``leaving`` (still answers) or ``draining`` (refuses new work)."""
     fails_tasks: bool = False
     """Every task that the VM starts fails."""
 
 
 class VMReport(Struct):
-    """What one VM saw."""
+    """State and counts of one VM."""
 
     state: str
     left_at: float
-    """When the VM began to leave; 0 while it is live."""
+    """Monotonic time at which the VM began to leave; 0 while it is live."""
     running: int
     max_running: int
     connections: int
@@ -84,7 +84,7 @@
 
 
 class Answer(Struct):
-    """Body of an upstream's answer."""
+    """Body of an upstream's response."""
 
     vm: str
     request_id: str
@@ -92,12 +92,12 @@
     method: str
     path: str
     digest: str
-    """SHA-256 of the request's body."""
+    """SHA-256 of the request's body, in hexadecimal."""
     padding: str = ""
 
 
 class UpstreamVM:
-    """One VM: slots, service times and the record of what it ran."""
+    """One VM: its slots, its service times and records of its requests."""
 
     def __init__(self, id_: str, options: argparse.Namespace) -> None:
         self.id = id_
@@ -120,16 +120,16 @@
 
     @property
     def gate(self) -> Gate:
-        """The VM's port."""
+        """The gate of the VM's port."""
         return self.gated.gates_by_name[self.id]
 
     def set_state(self, state: str) -> None:
-        """Begin to leave, or come back."""
+        """Set the state and record when the VM first stopped being live."""
         self.left_at = 0.0 if state == "live" else self.left_at or time.monotonic()
         self.state = state
 
     def report(self) -> VMReport:
-        """Return what this VM saw."""
+        """Return the state and the counts of this VM."""
         return VMReport(
             state=self.state,
             left_at=self.left_at,
@@ -140,7 +140,7 @@
         )
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Run one request in a slot, or refuse it before it starts."""
+        """Run one request in a slot; refuse it when draining or without a slot."""
         if self.state == "draining":
             return self._refuse(request, "leaving")
         if self.running >= self._slots:
@@ -172,7 +172,7 @@
         return response
 
     def _draw_actual_task(self, order: TaskOrder) -> TrueTask:
-        """Return what a job really needs: far from what was declared."""
+        """Draw a job's actual size and duration, which differ from the declared."""
         rng = random.Random(f"{self._seed}/{order.job_id}")
         scale = rng.lognormvariate(0.0, LOGNORMAL_SIGMA)
         size = Size(
@@ -222,7 +222,7 @@
         self.vms_by_id = {id_: UpstreamVM(id_, options) for id_ in ids}
 
     async def change_faults(self, change: FaultsChange) -> None:
-        """Switch faults of one VM or of all; the gate's name is the VM's id."""
+        """Set faults of one VM or of all; the gate's name is the VM's id."""
         for vm in self.vms_by_id.values():
             await vm.gated.change_faults(change)
 
--- a/packages/bench/src/medlarspring_bench/standins/vm_control.py
+++ b/packages/bench/src/medlarspring_bench/standins/vm_control.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's VM control, served beside the VM list."""
+"""Stand-in for the platform's VM control, in one process with the VM list."""
 
 from __future__ import annotations
 
@@ -31,14 +31,17 @@
 
 
 class Action(Struct):
-    """Body of an action."""
+    """Body of a call that drains, reboots, restores or assigns a VM."""
 
     revision: int
     pool: str = ""
 
 
 class ControlFaults(Struct):
-    """Body of ``POST /control/vm-faults``; what is named is set, not added."""
+    """Body of ``POST /control/vm-faults``.
+
+    ``never_return`` and ``fail`` replace the former sets of VM ids.
+    """
 
     never_return: list[str] | None = None
     fail: list[str] | None = None
@@ -55,13 +58,13 @@
 
 
 class UpstreamReport(Struct):
-    """What an upstream stand-in says of one VM."""
+    """The part of an upstream stand-in's report on one VM that is used here."""
 
     running: int
 
 
 class VMControlService:
-    """Handlers of the control, and the loop that moves VMs along."""
+    """HTTP handlers of VM control and the loop that advances VM conditions."""
 
     def __init__(self, listing: LaggingList) -> None:
         self.state = VMControlState(SystemClock())
@@ -71,7 +74,7 @@
         self._control_by_id: dict[str, str] = {}
 
     def add_entries(self, entries: list[ListEntry]) -> None:
-        """Take control of the upstream VMs among the entries."""
+        """Add the upstream VMs among the entries to the VMs under control."""
         for entry in entries:
             labels = entry.labels
             if labels.get("role", UPSTREAM_ROLE) != UPSTREAM_ROLE:
@@ -87,7 +90,7 @@
             self._published_by_id.setdefault(labels["id"], Condition.SERVING)
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the platform's own routes."""
+        """Add the routes that VM control offers to its clients."""
         state = self.state
         app.router.add_get("/control/vms", self._get_vms)
         actions: dict[str, Callable[[str, Action], VMRow]] = {
@@ -107,12 +110,12 @@
         app.router.add_post("/control/upstreams", self._post_upstreams)
 
     async def run(self) -> None:
-        """Move VMs along; show their conditions to the list and the upstreams."""
+        """Advance VMs and publish their conditions to the list and the upstreams."""
         timeout = aiohttp.ClientTimeout(total=POLL_SECONDS)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
-                # A stand-in of an upstream that is paused or gone must not
-                # stop the platform; its VMs are asked again next time.
+                # An upstream stand-in that is paused or gone must not stop this
+                # loop; its VMs are polled again in the next pass.
                 with suppress(aiohttp.ClientError, TimeoutError):
                     await self._count_running(session)
                 self.state.step()
--- a/packages/bench/src/medlarspring_bench/standins/vm_list.py
+++ b/packages/bench/src/medlarspring_bench/standins/vm_list.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's VM list: Prometheus HTTP service discovery."""
+"""Stand-in for the platform's VM list: Prometheus HTTP service discovery."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ListEntry(Struct):
-    """One target group, as the published format has it."""
+    """One target group in the format of Prometheus service discovery."""
 
     targets: list[str]
     labels: dict[str, str]
@@ -43,14 +43,14 @@
 
 
 class GateTargets(Struct):
-    """How one gate shows addresses: through the links of its zone."""
+    """Addresses that one gate shows: those of the links of its zone."""
 
     gate: str
     targets_by_id: dict[str, str] = field(default_factory=dict)
 
 
 class LaggingList:
-    """The list as it was some time ago."""
+    """A list of VMs whose changes become visible after a delay."""
 
     def __init__(self, lag_seconds: float, now: Callable[[], float]) -> None:
         self.lag_seconds = lag_seconds
@@ -59,7 +59,7 @@
         self._snapshots: deque[tuple[float, list[ListEntry]]] = deque([(0.0, [])])
 
     def replace(self, entries: list[ListEntry]) -> None:
-        """Set all entries; the first list of all is shown at once."""
+        """Replace all entries; entries put into an empty list show at once."""
         first = not self._entries_by_id
         self._entries_by_id = {entry.labels["id"]: entry for entry in entries}
         self._save_snapshot(0.0 if first else self._now())
@@ -70,7 +70,7 @@
         self._save_snapshot(self._now())
 
     def change(self, id_: str, **labels: str) -> bool:
-        """Change labels of one entry; False if it is not listed."""
+        """Change labels of one entry; returns False if it is not listed."""
         entry = self._entries_by_id.get(id_)
         if entry is None:
             return False
@@ -78,12 +78,12 @@
         return True
 
     def remove(self, id_: str) -> None:
-        """Drop one entry."""
+        """Remove one entry if it is listed."""
         self._entries_by_id.pop(id_, None)
         self._save_snapshot(self._now())
 
     def visible(self) -> list[ListEntry]:
-        """Return the list as it stood ``lag_seconds`` ago."""
+        """Return the entries as they were ``lag_seconds`` ago."""
         horizon = self._now() - self.lag_seconds
         while len(self._snapshots) > 1 and self._snapshots[1][0] <= horizon:
             self._snapshots.popleft()
@@ -102,7 +102,7 @@
         self._targets_by_gate: dict[str, dict[str, str]] = {}
 
     async def get_targets(self, request: web.Request) -> web.Response:
-        """Answer as the list stood a while ago."""
+        """Return the visible entries with the addresses of the request's gate."""
         targets_by_id = self._targets_by_gate.get(request[GATE_KEY].name, {})
         return json_response(
             [_with_gate_target(entry, targets_by_id) for entry in self.list.visible()]
