--- a/packages/bench/src/medlarspring_bench/soak/__init__.py
+++ b/packages/bench/src/medlarspring_bench/soak/__init__.py
@@ -1,7 +1,7 @@
-"""A soak of the real programs: processes on loopback, faults from outside them.
+"""Soak tests of the real programs on loopback, with faults injected from outside.
 
-The platform (store, VM control, workers) runs in the driver's process; entry VMs
-are processes of their own, reached and reaching out only through proxies.
+The platform (store, VM control, workers) runs in the driver's process. Each entry
+VM is a separate process, and all its connections pass through proxies.
 """
 
 from __future__ import annotations
--- a/packages/bench/src/medlarspring_bench/soak/__main__.py
+++ b/packages/bench/src/medlarspring_bench/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m medlarspring_bench.soak``: plays seeds, several at a time."""
+"""``python -m medlarspring_bench.soak``: runs soaks of several seeds concurrently."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from medlarspring_bench.soak.runner import SoakPlan, SoakResult, run_soak
 
 DEFAULT_AT_ONCE = 4
-"""Each soak has four processes, at about half of a core together."""
+"""Each soak has four processes, which use about half of a core together."""
 
 
 def main() -> int:
-    """Play the seeds asked for; returns 1 if a promise was broken."""
+    """Run the requested seeds; returns 1 if a soak failed."""
     arguments = _parse()
     seeds = list(range(arguments.first, arguments.first + arguments.count))
     if arguments.fresh:
--- a/packages/bench/src/medlarspring_bench/soak/entry_vms.py
+++ b/packages/bench/src/medlarspring_bench/soak/entry_vms.py
@@ -1,4 +1,4 @@
-"""Entry VMs of a soak: real processes, started, signalled and replaced."""
+"""Entry VMs of a soak: processes that are started, signalled and replaced."""
 
 from __future__ import annotations
 
@@ -37,24 +37,24 @@
 bounds.migrateS=1.5
 bounds.maintenanceS=2
 """
-"""The settings file as the platform writes it; 0 lets the kernel choose a port."""
+"""Settings file in the platform's format; with port 0 the kernel chooses a port."""
 GRACE_SECONDS = 6.0
-"""Between the signal to stop and the kill."""
+"""Time between the signal to stop and the kill."""
 
 
 class EntryVM:
-    """One entry VM whose process runs."""
+    """One entry VM with its process."""
 
     def __init__(self, name: str, process: Process) -> None:
         self.name = name
         self.process = process
         self.stopping_since: Seconds | None = None
-        """When it was told to stop."""
+        """Time of the signal to stop; None if none was sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class OverdueStop:
-    """A process that had not ended when its grace was over."""
+    """A process that did not end within ``GRACE_SECONDS`` and was killed."""
 
     node: str
     stop_requested_at: Seconds
@@ -70,12 +70,12 @@
         self._processes = Processes()
         self._starts = 0
         self.logs: list[tuple[str, Process]] = []
-        """Every process that was ever started, with its VM's name."""
+        """Names of VMs and all processes that were started for them."""
         self.overdue_stops: list[OverdueStop] = []
-        """Entry VMs that had to be killed when their grace was over."""
+        """Entry VMs that were killed because they did not stop in time."""
 
     async def start(self, name: str) -> None:
-        """Start a process unless one of that name runs."""
+        """Start the process of an entry VM unless it runs."""
         if name in self._installation.nodes_by_name:
             return
         self._starts += 1
@@ -89,8 +89,8 @@
             ),
             encoding="utf-8",
         )
-        # In a thread: a fork holds the proxies up for a quarter of a second on a
-        # busy machine, and calls refused meanwhile would look as if they were cut.
+        # In a thread: on a busy machine a fork blocks the proxies for 0.25 s, and
+        # calls that are refused in that time would be counted as cut.
         process = await asyncio.to_thread(
             self._processes.start,
             f"{name}-{self._starts}",
@@ -105,20 +105,21 @@
         except ProcessFailed:
             if process.status is None:
                 raise
-            # Another fault ended it while it started, and starts its successor.
+            # Another fault ended the process during its start; that fault also
+            # starts the replacement.
             return
         links.customers.target = str(listening["caller"])
 
     async def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process."""
         entry_vm = self._installation.nodes_by_name.pop(name, None)
         if entry_vm is not None:
             await asyncio.to_thread(entry_vm.process.kill)
 
     async def terminate(self, name: str) -> None:
-        """End a process as the platform does: a signal, then a kill.
+        """Stop a process as the platform does: a signal, then a kill.
 
-        Customers keep using its connections until it is gone.
+        Customers keep using its connections until it has ended.
         """
         entry_vm = self._installation.nodes_by_name.get(name)
         if entry_vm is None or entry_vm.stopping_since is not None:
@@ -137,7 +138,7 @@
             del self._installation.nodes_by_name[name]
 
     def pause(self, name: str) -> EntryVM | None:
-        """Freeze a process."""
+        """Pause a process; returns None if it does not run."""
         entry_vm = self._installation.nodes_by_name.get(name)
         if entry_vm is None or entry_vm.process.status is not None:
             return None
@@ -145,12 +146,12 @@
         return entry_vm
 
     def resume(self, entry_vm: EntryVM) -> None:
-        """Let a frozen process go on."""
+        """Resume a paused process unless it has ended."""
         if entry_vm.process.status is None:
             entry_vm.process.resume()
 
     def find_controller(self) -> str | None:
-        """Return the entry VM that last said that it holds the cell."""
+        """Return the entry VM that logged the latest acquisition of the cell."""
         best: tuple[float, str] | None = None
         for name, entry_vm in self._installation.nodes_by_name.items():
             for record in entry_vm.process.records(Event.CELL_HELD.number):
@@ -159,7 +160,7 @@
         return best[1] if best else None
 
     def close(self) -> None:
-        """Kill everything that still runs."""
+        """Kill all processes that still run."""
         self._processes.close()
 
 
--- a/packages/bench/src/medlarspring_bench/soak/faults.py
+++ b/packages/bench/src/medlarspring_bench/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak: signals to processes, and the proxies between them."""
+"""Faults of a soak: signals to processes and faults of the proxies between them."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 SoakFault: TypeAlias = "Callable[[SoakRun], Awaitable[None]]"
 
 DOWN_SECONDS = (0.2, 3.0)
-"""How long a process is away before it is started again."""
+"""Range of the time between a process's end and its restart."""
 PARTITION_SECONDS = (0.5, 8.0)
-"""How long links are cut: shorter and longer than any lease."""
+"""Range of the duration of partitions: from below to above every lease's time."""
 DELAY_SECONDS = (0.05, 0.4)
 
 
 async def kill_node(soak_run: SoakRun) -> None:
-    """End a process at once, and start it again."""
+    """Kill an entry VM's process and restart it."""
     name = soak_run.choose_node()
     if name is None:
         return
@@ -50,7 +50,7 @@
 
 
 async def kill_all(soak_run: SoakRun) -> None:
-    """End all processes at once."""
+    """Kill all processes together and restart them."""
     names = list(soak_run.world.nodes_by_name)
     for name in names:
         soak_run.record_disruption(name)
@@ -60,7 +60,7 @@
 
 
 async def stop_node(soak_run: SoakRun) -> None:
-    """Stop a process gracefully, and start it again."""
+    """Stop a process gracefully and restart it."""
     name = soak_run.choose_node()
     if name is None:
         return
@@ -69,14 +69,14 @@
 
 
 async def restart_nodes_in_turn(soak_run: SoakRun) -> None:
-    """Stop and start all processes, one after the other."""
+    """Restart all processes gracefully, one after the other."""
     for name in sorted(soak_run.world.nodes_by_name):
         await soak_run.entry_vms.terminate(name)
         await soak_run.entry_vms.start(name)
 
 
 async def pause_node(soak_run: SoakRun) -> None:
-    """Pause a process for seconds, longer than its lease as often as not."""
+    """Pause a process for 0.3 to 5 s: shorter or longer than its lease."""
     name = soak_run.choose_node()
     if name is None:
         return
@@ -90,7 +90,7 @@
 
 
 async def deny_store_to_node(soak_run: SoakRun) -> None:
-    """Let the store turn one entry VM down, or never answer it."""
+    """Make the store reject the calls of one entry VM or leave them unanswered."""
     name = soak_run.choose_node()
     if name is None:
         return
@@ -101,7 +101,7 @@
 
 
 async def partition_node(soak_run: SoakRun) -> None:
-    """Cut an entry VM off from everything, in one direction or both."""
+    """Partition an entry VM from all others, in one direction or both."""
     name = soak_run.choose_node()
     if name is None:
         return
@@ -112,14 +112,14 @@
 
 
 async def partition_node_from_store(soak_run: SoakRun) -> None:
-    """Cut an entry VM off from the store, in one direction or both."""
+    """Partition an entry VM from the store, in one direction or both."""
     name = soak_run.choose_node()
     if name is not None:
         await _partition_links(soak_run, (soak_run.world.links_by_node[name].store,))
 
 
 async def partition_worker(soak_run: SoakRun) -> None:
-    """Cut a worker off, in one direction or both; it runs on."""
+    """Partition a running worker, in one direction or both."""
     await _partition_links(
         soak_run, (soak_run.world.links_by_vm[soak_run.choose_vm()],)
     )
@@ -138,7 +138,7 @@
 
 
 async def delay_links(soak_run: SoakRun) -> None:
-    """Delay everything that passes some of the proxies."""
+    """Delay all data through a random half of the proxies."""
     links = [
         link for link in soak_run.world.list_links() if soak_run.rng.random() < 0.5
     ]  # noqa: PLR2004
@@ -158,7 +158,7 @@
 
 
 async def silence_links(soak_run: SoakRun) -> None:
-    """Let all open connections go silent for good; new ones work."""
+    """Make all open connections silent for good; new ones work."""
     for name in soak_run.world.links_by_node:
         soak_run.record_disruption(name)
     for link in soak_run.world.list_links():
@@ -196,7 +196,7 @@
     ("task crashes its workers late", send_late_crashing_job),
     ("worker shrinks and grows", resize_worker),
 )
-"""Names and faults; what befalls processes stands twice."""
+"""Names and faults; some are listed twice to be drawn more often."""
 
 
 __all__ = ["FAULTS", "SoakFault"]
--- a/packages/bench/src/medlarspring_bench/soak/installation.py
+++ b/packages/bench/src/medlarspring_bench/soak/installation.py
@@ -1,4 +1,4 @@
-"""The platform of a soak: store, VM control and workers, reached through proxies."""
+"""The platform of a soak: store, VM control and workers behind proxies."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 HOST = "127.0.0.1"
 TICK_SECONDS = 0.02
-"""How often workers advance and leases are looked at."""
+"""Interval at which workers advance and leases expire."""
 
 
 @dataclass(slots=True)
@@ -48,12 +48,12 @@
     customers: Link
 
     def list_all(self) -> tuple[Link, ...]:
-        """Return all of them."""
+        """Return all proxies of the entry VM."""
         return (self.store, self.vm_control, self.customers)
 
 
 class Installation:
-    """Implements the customers' ``Installation`` over real time and real ports."""
+    """Implements the customers' ``Installation`` in real time on real ports."""
 
     def __init__(self, plan: WorldPlan, seed: int, node_names: Sequence[str]) -> None:
         self.plan = plan
@@ -64,7 +64,7 @@
         self.state = KeyValueState(self.clock)
         self.facts_by_task: dict[str, TaskFacts] = {}
         self.nodes_by_name: dict[str, EntryVM] = {}
-        """Entry VMs whose process runs."""
+        """Entry VMs that run, by name."""
         self.links_by_node = {
             name: NodeLinks(Link(), Link(), Link()) for name in node_names
         }
@@ -84,7 +84,7 @@
         self._ticking: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Open all ports and boot the VMs."""
+        """Open all ports, add the VMs and start to advance workers and leases."""
         self.write_config()
         handlers = HttpFleet(self.fleet, self.clock)
         store = GatedApp(
@@ -132,7 +132,7 @@
         return links + list(self.links_by_vm.values())
 
     def write_config(self, dropped: tuple[str, ...] = ()) -> None:
-        """Write a newer configuration, as the operator does."""
+        """Write the operator's configuration under the next version."""
         self._config_version += 1
         config = write_operator_config(self.plan, self._config_version, dropped)
         self.state.apply(PutOp(b"op/config", json.dumps(config).encode()))
@@ -140,11 +140,11 @@
     def order_wave(
         self, number: int, vms: Sequence[str], most: int, seconds: int
     ) -> None:
-        """Order maintenance, as the operator does."""
+        """Order a maintenance wave, as the operator does."""
         order_wave(self.state, self.fleet, number, vms, most, seconds)
 
     def forget_history(self) -> None:
-        """Let the store drop its history and cut all connections to it."""
+        """Compact the store's history and reset all connections to the store."""
         self.state.compact(self.state.revision)
         for links in self.links_by_node.values():
             links.store.reset()
--- a/packages/bench/src/medlarspring_bench/soak/job_client.py
+++ b/packages/bench/src/medlarspring_bench/soak/job_client.py
@@ -1,4 +1,4 @@
-"""Customers' calls over HTTP; connections are kept until their process is gone."""
+"""HTTP client of the customers' job interface, with persistent connections."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 HTTP_OK = 200
 DEADLINE_HEADER = "X-Medlarspring-Deadline-Ms"
 STATUS_BY_PLATFORM_STATE = {"canceled": "cancelled"}
-"""Where the platform's word for a status is not ours."""
+"""Statuses that the platform spells differently from the customers' model."""
 
 
 class HttpJobClient:
@@ -30,16 +30,16 @@
         self._queues_by_job: dict[JobId, str] = {}
 
     async def submit(self, node: str, queue: str, job_id: JobId, spec: JobSpec) -> str:
-        """Submit a job."""
+        """Submit a job; returns ``ok`` or an error code."""
         self._queues_by_job[job_id] = queue
         return await self._call("POST", node, job_id, encode_job(spec))
 
     async def cancel(self, node: str, job_id: JobId) -> str:
-        """Cancel a job."""
+        """Cancel a job; returns ``ok`` or an error code."""
         return await self._call("DELETE", node, job_id)
 
     async def find_status(self, node: str, job_id: JobId) -> str:
-        """Return a job's status."""
+        """Return a job's status or an error code."""
         return await self._call("GET", node, job_id)
 
     async def close(self) -> None:
@@ -64,7 +64,7 @@
             ) as response:
                 return _read_answer(method, response.status, await response.read())
         except (TimeoutError, aiohttp.ClientError):
-            # What the connection's end means is judged where it is proxied.
+            # Whether the connection may end here is checked at the proxy (``Cut``).
             return "no-answer"
 
     def _find_session(self, node: str) -> aiohttp.ClientSession:
@@ -86,7 +86,7 @@
 
 
 def encode_job(spec: JobSpec) -> bytes:
-    """Return a job as the platform's customers spell it."""
+    """Return a job in the JSON format of the platform's customers."""
     return msgspec.json.encode(
         {"spec": spec.payload, "steps": [_to_wire(step) for step in spec.steps]}
     )
--- a/packages/bench/src/medlarspring_bench/soak/proxy.py
+++ b/packages/bench/src/medlarspring_bench/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback whose connections can be delayed, reset, cut or silenced."""
+"""TCP proxy on loopback whose connections can be delayed, held, reset or silenced."""
 
 from __future__ import annotations
 
@@ -14,53 +14,53 @@
 
 CHUNK_BYTES = 65_536
 POLL_SECONDS = 0.02
-"""How soon held data moves on after the fault."""
+"""Interval at which held data is checked for the end of the fault."""
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""Socket option value: closing discards what is unsent and resets."""
+"""Value of SO_LINGER: closing discards unsent data and resets the connection."""
 
 
 @dataclass(slots=True)
 class Faults:
-    """What goes wrong on a link until it is set back."""
+    """Faults of one link; each lasts until it is cleared."""
 
     delay_seconds: Seconds = 0.0
-    """Added to each piece of data, in either direction."""
+    """Delay of each chunk of data, in either direction."""
     hold_forward: bool = False
-    """What the client sends arrives only after the fault, as TCP repeats it."""
+    """The client's data arrives after the fault, as with TCP retransmission."""
     hold_backward: bool = False
-    """What the other end answers arrives only after the fault."""
+    """The target's data arrives after the fault."""
     refuse: bool = False
     """New connections are reset."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """A connection that the other end closed with a call unanswered."""
+    """A connection that the target closed before it answered a call."""
 
     sent_at: Seconds
     cut_at: Seconds
 
 
 class Link:
-    """Passes connections on to one address; faults change while they are open."""
+    """Forwards connections to one address; faults apply to open connections too."""
 
     def __init__(self, target: str = "") -> None:
         self.cuts: list[Cut] = []
         self.target = target
-        """``IP:PORT``; may change, as when a process starts again."""
+        """``IP:PORT``; changes when the target's process restarts."""
         self.faults = Faults()
         self.address = ""
         self._server: asyncio.Server | None = None
         self._connections: dict[ProxiedConnection, None] = {}
 
     async def open(self, host: str = "127.0.0.1") -> None:
-        """Listen on a port of the kernel's choice."""
+        """Listen on any free port."""
         self._server = await asyncio.start_server(self._accept, host, 0)
         bound_host, bound_port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{bound_host}:{bound_port}"
 
     def close(self) -> None:
-        """Stop listening and reset what is open."""
+        """Stop listening and reset all open connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
@@ -71,18 +71,18 @@
             connection.abort()
 
     def silence(self) -> None:
-        """Let nothing pass on the open connections any more; new ones work."""
+        """Drop all data of the connections that are open now; new ones work."""
         for connection in self._connections:
             connection.silent = True
 
     def is_holding(self, *, forward: bool) -> bool:
-        """Tell whether data of one direction is held back now."""
+        """Return whether data of one direction is held now."""
         if forward:
             return self.faults.hold_forward
         return self.faults.hold_backward
 
     def clear_faults(self) -> None:
-        """End the faults; silenced connections stay silent."""
+        """Clear the faults; silenced connections stay silent."""
         self.faults = Faults()
 
     async def _accept(
@@ -95,8 +95,8 @@
         try:
             inner_reader, inner_writer = await asyncio.open_connection(host, int(port))
         except OSError:
-            # The other end is gone: the caller sees its port refuse, as it would
-            # without the proxy.
+            # The target does not listen. The client's connection is reset, much as
+            # it would be refused without the proxy.
             _abort(writer)
             return
         connection = ProxiedConnection(self, writer, inner_writer)
@@ -104,7 +104,8 @@
         try:
             await connection.run(reader, inner_reader)
         except asyncio.CancelledError:
-            # The proxy is closing; asyncio's server would log this as an error.
+            # The proxy is closing; asyncio's server would log the cancellation as
+            # an error.
             return
         finally:
             self._connections.pop(connection, None)
@@ -118,7 +119,7 @@
     ) -> None:
         self.silent = False
         self._sent_at: Seconds | None = None
-        """When the client's last piece of a call was passed on; None if answered."""
+        """When the client's last data was forwarded; None once it is answered."""
         self._link = link
         self._outer = outer
         self._inner = inner
@@ -126,7 +127,7 @@
     async def run(
         self, outer_reader: asyncio.StreamReader, inner_reader: asyncio.StreamReader
     ) -> None:
-        """Pass data on in both directions until either end closes."""
+        """Forward data in both directions until either end closes."""
         directions = [
             asyncio.ensure_future(self._pass(outer_reader, self._inner, forward=True)),
             asyncio.ensure_future(self._pass(inner_reader, self._outer, forward=False)),
@@ -143,7 +144,7 @@
                 writer.close()
 
     def abort(self) -> None:
-        """Reset both ends."""
+        """Reset the connections to both ends."""
         for writer in (self._outer, self._inner):
             _abort(writer)
 
@@ -160,7 +161,7 @@
             except ConnectionError:
                 return
             if self.silent:
-                # The ends must not learn of each other's closing either.
+                # Neither end may see that the other one closes.
                 await asyncio.Event().wait()
             if not data:
                 return
--- a/packages/bench/src/medlarspring_bench/soak/runner.py
+++ b/packages/bench/src/medlarspring_bench/soak/runner.py
@@ -1,4 +1,4 @@
-"""One seeded soak: load, faults from outside, and the promises checked throughout."""
+"""Runs one seeded soak: load, injected faults and checks of the guarantees."""
 
 from __future__ import annotations
 
@@ -27,34 +27,34 @@
 
 WARM_UP_SECONDS = 4.0
 SETTLE_SECONDS = 25.0
-"""Most time after the last fault until every job has ended."""
+"""Maximum time from the last fault until every job has ended."""
 CHECK_SECONDS = 2.0
-"""How often the promises are checked while the day goes on."""
+"""Interval of the checks of the guarantees during the soak."""
 DISRUPTION_SECONDS = 1.5
-"""Calls that break so soon before or after a fault are the fault's doing."""
+"""Calls that break within this time of a fault are attributed to the fault."""
 CUT_AFTER_SECONDS = 0.2
-"""A connection that ends sooner was closed before its process read the call."""
+"""A connection that ends sooner after a call closed before the call was read."""
 CANCELLED_SHARE = 0.05
 HOPELESS_SHARE = 0.03
 CONTROLLER_FAULT_SHARE = 0.5
-"""Part of the faults of entry VMs that strike the controller."""
+"""Share of the faults of entry VMs that target the controller."""
 
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """Size of a soak."""
+    """Size, load and faults of a soak."""
 
     world: WorldPlan = WorldPlan(unguarded_pools=("survey",))
     traffic_seconds: Seconds = 15.0
     jobs_per_second: float = 2.0
     fault_count: int = 6
     schedule: tuple[tuple[Seconds, str], ...] = ()
-    """When which fault strikes, by name; drawn from the seed if empty."""
+    """Start times and names of the faults; drawn from the seed if empty."""
 
 
 @dataclass(slots=True)
 class SoakResult:
-    """What came of a soak."""
+    """Result of a soak."""
 
     seed: int
     breaches: list[Breach] = field(default_factory=list)
@@ -65,12 +65,12 @@
 
     @property
     def passed(self) -> bool:
-        """Whether every promise was kept."""
+        """Whether jobs were accepted, all of them ended and no check failed."""
         return not self.breaches and not self.unfinished and self.accepted > 0
 
 
 class SoakRun:
-    """One soak while it goes on; implements ``Scene`` for the platform's faults."""
+    """One running soak; implements ``Scene`` for the platform's faults."""
 
     def __init__(
         self, plan: SoakPlan, seed: int, world: Installation, entry_vms: EntryVMs
@@ -87,7 +87,7 @@
         self._disrupted_at: dict[str, list[Seconds]] = {}
 
     async def play(self) -> None:
-        """Send load and faults, then wait until everything has ended."""
+        """Send load and inject faults, then wait until all jobs have ended."""
         await asyncio.sleep(WARM_UP_SECONDS)
         checking = asyncio.create_task(self._check_forever())
         self.customers.send("archive", *self.customers.create_lasting())
@@ -96,7 +96,7 @@
             for wait, name, fault in self._schedule
         ]
         ends_at = self.world.clock.now() + self.plan.traffic_seconds
-        # No more load after the first breach: its trace stays short.
+        # Stops the load after the first breach, to keep its trace short.
         while self.world.clock.now() < ends_at and not self.breaches:
             await asyncio.sleep(self.rng.expovariate(self.plan.jobs_per_second))
             self._send_one()
@@ -105,7 +105,7 @@
         checking.cancel()
 
     def choose_node(self) -> str | None:
-        """Return an entry VM, the controller as often as not."""
+        """Return a random running entry VM, in half of the calls the controller."""
         names = sorted(self.world.nodes_by_name)
         controller = self.entry_vms.find_controller()
         if controller in names and self.rng.random() < CONTROLLER_FAULT_SHARE:
@@ -113,11 +113,11 @@
         return self.rng.choice(names) if names else None
 
     def choose_vm(self) -> VMId:
-        """Return a VM."""
+        """Return a random VM of the fleet."""
         return self.rng.choice(sorted(self.world.fleet.vms_by_id))
 
     def record_disruption(self, node: str) -> None:
-        """Note that a fault may break connections of an entry VM's customers."""
+        """Record that a fault may break an entry VM's customer connections now."""
         self._disrupted_at.setdefault(node, []).append(self.world.clock.now())
 
     def _send_one(self) -> None:
@@ -134,7 +134,7 @@
             asyncio.ensure_future(self.customers.cancel(job_id))
 
     def _draw_schedule(self, seed: int) -> list[tuple[Seconds, str, SoakFault]]:
-        """Draw all faults ahead, so that a seed keeps them whatever else happens."""
+        """Draw all faults in advance, so that they depend on the seed only."""
         if self.plan.schedule:
             by_name = dict(FAULTS)
             return [(wait, name, by_name[name]) for wait, name in self.plan.schedule]
@@ -152,7 +152,7 @@
         self.faults.append(f"{name} at {wait:.2f} for {took:.2f} s")
 
     async def _settle(self) -> None:
-        """Wait until no job is open, for a bounded time."""
+        """Wait until all jobs have ended, for at most ``SETTLE_SECONDS``."""
         ends_at = self.world.clock.now() + SETTLE_SECONDS
         while self.world.clock.now() < ends_at:
             await asyncio.sleep(CHECK_SECONDS)
@@ -165,7 +165,7 @@
             self.breaches = check_history(self.world.history)
 
     def check_cut_calls(self) -> list[Breach]:
-        """A process that is told to stop cuts no call that it has read."""
+        """Return a breach for each call that was read but cut without a fault."""
         return [
             Breach("cut", node, f"sent at {cut.sent_at:.2f}, cut at {cut.cut_at:.2f}")
             for node, links in self.world.links_by_node.items()
@@ -175,7 +175,7 @@
         ]
 
     def check_stop_times(self) -> list[Breach]:
-        """A process that is told to stop, and runs, ends within its grace."""
+        """Return a breach for each process that did not stop in time."""
         return [
             Breach("grace", each.node, "did not end in time")
             for each in self.entry_vms.overdue_stops
@@ -192,7 +192,7 @@
 
 
 async def run_soak(seed: int, plan: SoakPlan | None = None) -> SoakResult:
-    """Play the soak of a seed in real time."""
+    """Run the soak of a seed in real time."""
     plan = plan or SoakPlan()
     names = [f"entry-{number}" for number in range(plan.world.nodes)]
     world = Installation(plan.world, seed, names)
