--- a/packages/bench/src/medlarspring_bench/soak/__main__.py
+++ b/packages/bench/src/medlarspring_bench/soak/__main__.py
@@ -23,10 +23,10 @@
     if arguments.fresh:
         seeds = [random.SystemRandom().getrandbits(31) for _ in range(arguments.fresh)]
     plan = SoakPlan(fault_count=arguments.faults)
-    verdicts = uvloop.run(_run_all(seeds, plan, arguments.at_once, arguments.logs))
-    broken = [verdict for verdict in verdicts if not verdict.passed]
-    print(f"{len(verdicts)} soaks, {len(broken)} with broken promises")
-    return 1 if broken else 0
+    results = uvloop.run(_run_all(seeds, plan, arguments.at_once, arguments.logs))
+    failed = [result for result in results if not result.passed]
+    print(f"{len(results)} soaks, {len(failed)} with broken promises")
+    return 1 if failed else 0
 
 
 def _parse() -> argparse.Namespace:
@@ -45,28 +45,28 @@
 ) -> list[SoakResult]:
     free_slots = asyncio.Semaphore(at_once)
 
-    async def play(seed: int) -> SoakResult:
+    async def run_seed(seed: int) -> SoakResult:
         async with free_slots:
-            verdict = await run_soak(seed, plan)
-        _report(verdict, logs)
-        return verdict
+            result = await run_soak(seed, plan)
+        _print_result(result, logs)
+        return result
 
-    return await asyncio.gather(*(play(seed) for seed in seeds))
+    return await asyncio.gather(*(run_seed(seed) for seed in seeds))
 
 
-def _report(verdict: SoakResult, logs: Path | None) -> None:
-    state = "kept" if verdict.passed else "BROKEN"
-    print(f"seed {verdict.seed}: {state}, {verdict.accepted} jobs; {verdict.faults}")
-    for breach in verdict.breaches[:10]:
+def _print_result(result: SoakResult, logs: Path | None) -> None:
+    state = "kept" if result.passed else "BROKEN"
+    print(f"seed {result.seed}: {state}, {result.accepted} jobs; {result.faults}")
+    for breach in result.breaches[:10]:
         print(f"  {breach.rule} {breach.subject}: {breach.detail}")
-    for line in verdict.unfinished[:10]:
+    for line in result.unfinished[:10]:
         print(f"  unfinished {line}")
     sys.stdout.flush()
-    if logs is None or verdict.passed:
+    if logs is None or result.passed:
         return
     logs.mkdir(parents=True, exist_ok=True)
-    for number, (name, text) in enumerate(verdict.logs):
-        path = logs / f"{verdict.seed}-{number}-{name}.log"
+    for number, (name, text) in enumerate(result.logs):
+        path = logs / f"{result.seed}-{number}-{name}.log"
         path.write_text(text, encoding="utf-8")
 
 
--- a/packages/bench/src/medlarspring_bench/soak/entry_vms.py
+++ b/packages/bench/src/medlarspring_bench/soak/entry_vms.py
@@ -152,12 +152,12 @@
 
     def find_controller(self) -> str | None:
         """Return the entry VM that logged the latest acquisition of the cell."""
-        best: tuple[float, str] | None = None
+        latest: tuple[float, str] | None = None
         for name, entry_vm in self._installation.nodes_by_name.items():
             for record in entry_vm.process.records(Event.CELL_HELD.number):
                 held = (float(record["fence"]), name)
-                best = held if best is None or held > best else best
-        return best[1] if best else None
+                latest = held if latest is None or held > latest else latest
+        return latest[1] if latest else None
 
     def close(self) -> None:
         """Kill all processes that still run."""
--- a/packages/bench/src/medlarspring_bench/soak/runner.py
+++ b/packages/bench/src/medlarspring_bench/soak/runner.py
@@ -12,7 +12,7 @@
 from medlarspring_bench.platform_world.checks import Breach, check_history
 from medlarspring_bench.platform_world.customers import Customers
 from medlarspring_bench.platform_world.plans import WorldPlan
-from medlarspring_bench.platform_world.verdicts import (
+from medlarspring_bench.platform_world.results import (
     find_left_running,
     find_unfinished,
 )
@@ -86,7 +86,7 @@
         self._schedule = self._draw_schedule(seed)
         self._disrupted_at: dict[str, list[Seconds]] = {}
 
-    async def play(self) -> None:
+    async def run(self) -> None:
         """Send load and inject faults, then wait until all jobs have ended."""
         await asyncio.sleep(WARM_UP_SECONDS)
         checking = asyncio.create_task(self._check_forever())
@@ -202,7 +202,7 @@
             await world.start()
             await asyncio.gather(*(entry_vms.start(name) for name in names))
             soak_run = SoakRun(plan, seed, world, entry_vms)
-            await soak_run.play()
+            await soak_run.run()
             return await _collect_result(soak_run, seed)
         finally:
             entry_vms.close()
@@ -210,24 +210,24 @@
 
 
 async def _collect_result(soak_run: SoakRun, seed: int) -> SoakResult:
-    verdict = SoakResult(
+    result = SoakResult(
         seed, faults=soak_run.faults, accepted=len(soak_run.customers.accepted)
     )
-    verdict.unfinished = await find_unfinished(
+    result.unfinished = await find_unfinished(
         soak_run.customers, soak_run.world.history
     )
-    verdict.breaches = check_history(soak_run.world.history)
-    verdict.breaches += find_left_running(
+    result.breaches = check_history(soak_run.world.history)
+    result.breaches += find_left_running(
         soak_run.customers, soak_run.world.history, soak_run.world.fleet
     )
-    verdict.breaches += soak_run.check_cut_calls()
-    verdict.breaches += soak_run.check_stop_times()
-    verdict.logs = [
+    result.breaches += soak_run.check_cut_calls()
+    result.breaches += soak_run.check_stop_times()
+    result.logs = [
         (name, process.output()) for name, process in soak_run.entry_vms.logs
     ]
     await soak_run.customers.leave()
     await soak_run.desk.close()
-    return verdict
+    return result
 
 
 __all__ = ["SoakRun", "SoakPlan", "SoakResult", "run_soak"]
--- a/packages/bench/src/medlarspring_bench/standins/key_value.py
+++ b/packages/bench/src/medlarspring_bench/standins/key_value.py
@@ -60,26 +60,28 @@
         """Return the application with the routes of the gateway."""
         app = web.Application(client_max_size=MAX_BODY_BYTES)
         routes: dict[str, Callable[[web.Request], Awaitable[web.StreamResponse]]] = {
-            "/v3/kv/range": self._op("range", messages.RangeRequest),
-            "/v3/kv/put": self._op("put", messages.PutRequest),
-            "/v3/kv/deleterange": self._op("deleterange", messages.DeleteRangeRequest),
-            "/v3/kv/txn": self._op("txn", messages.TxnRequest),
-            "/v3/kv/compaction": self._call(
+            "/v3/kv/range": self._operation_handler("range", messages.RangeRequest),
+            "/v3/kv/put": self._operation_handler("put", messages.PutRequest),
+            "/v3/kv/deleterange": self._operation_handler(
+                "deleterange", messages.DeleteRangeRequest
+            ),
+            "/v3/kv/txn": self._operation_handler("txn", messages.TxnRequest),
+            "/v3/kv/compaction": self._call_handler(
                 "compaction", messages.CompactionRequest, self._compact
             ),
-            "/v3/lease/grant": self._call(
+            "/v3/lease/grant": self._call_handler(
                 "lease_grant", messages.LeaseGrantRequest, self._grant
             ),
-            "/v3/lease/keepalive": self._call(
+            "/v3/lease/keepalive": self._call_handler(
                 "lease_keepalive", messages.LeaseRequest, self._keep_alive
             ),
-            "/v3/lease/revoke": self._call(
+            "/v3/lease/revoke": self._call_handler(
                 "lease_revoke", messages.LeaseRequest, self._revoke
             ),
-            "/v3/kv/lease/revoke": self._call(
+            "/v3/kv/lease/revoke": self._call_handler(
                 "lease_revoke", messages.LeaseRequest, self._revoke
             ),
-            "/v3/lease/timetolive": self._call(
+            "/v3/lease/timetolive": self._call_handler(
                 "lease_timetolive", messages.LeaseRequest, self._time_to_live
             ),
             "/v3/watch": self._watch,
@@ -94,7 +96,7 @@
             self.state.expire_leases()
             await asyncio.sleep(LEASE_TICK_SECONDS)
 
-    def _op(
+    def _operation_handler(
         self, kind: str, type_: type[Any]
     ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
         def apply(request: Any) -> dict[str, Any]:
@@ -102,9 +104,9 @@
             reply = self.state.apply(op)
             return messages.reply_message(reply, self.state.revision)
 
-        return self._call(kind, type_, apply)
+        return self._call_handler(kind, type_, apply)
 
-    def _call(
+    def _call_handler(
         self, kind: str, type_: type[Any], apply: Callable[[Any], dict[str, Any]]
     ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
         async def handle(request: web.Request) -> web.StreamResponse:
@@ -160,39 +162,39 @@
     async def _watch(self, request: web.Request) -> web.StreamResponse:
         self.counts.count("watch", _client(request))
         try:
-            wanted = messages.decode(await request.read(), messages.WatchRequest)
+            watch_request = messages.decode(await request.read(), messages.WatchRequest)
         except msgspec.MsgspecError as error:
             return _error(str(error), 400, INVALID_ARGUMENT)
         stream = web.StreamResponse(headers={"Content-Type": "application/json"})
         await stream.prepare(request)
         self.counts.open_watches += 1
         with suppress(ConnectionError):
-            await self._send_changes(stream, wanted.create_request)
+            await self._send_changes(stream, watch_request.create_request)
         self.counts.open_watches -= 1
         return stream
 
     async def _send_changes(
-        self, stream: web.StreamResponse, wanted: messages.WatchCreateRequest
+        self, stream: web.StreamResponse, watch_request: messages.WatchCreateRequest
     ) -> None:
         queue: asyncio.Queue[Commit] = asyncio.Queue()
         self.state.listeners.append(queue.put_nowait)
         try:
             await self._send(stream, {"created": True})
-            start = wanted.start_revision or self.state.revision + 1
+            start = watch_request.start_revision or self.state.revision + 1
             for commit in self.state.commits_since(start):
-                await self._send_commit(stream, wanted, commit)
+                await self._send_commit(stream, watch_request, commit)
                 start = commit.revision + 1
-            await self._follow(stream, wanted, queue, start)
+            await self._stream_commits(stream, watch_request, queue, start)
         except CompactedError as error:
             compacted = str(error.compact_revision)
             await self._send(stream, {"canceled": True, "compact_revision": compacted})
         finally:
             self.state.listeners.remove(queue.put_nowait)
 
-    async def _follow(
+    async def _stream_commits(
         self,
         stream: web.StreamResponse,
-        wanted: messages.WatchCreateRequest,
+        watch_request: messages.WatchCreateRequest,
         queue: asyncio.Queue[Commit],
         start: int,
     ) -> None:
@@ -201,22 +203,22 @@
                 async with asyncio.timeout(self._progress_seconds):
                     commit = await queue.get()
             except TimeoutError:
-                if wanted.progress_notify:
+                if watch_request.progress_notify:
                     await self._send(stream, {})
                 continue
             if commit.revision >= start:
-                await self._send_commit(stream, wanted, commit)
+                await self._send_commit(stream, watch_request, commit)
 
     async def _send_commit(
         self,
         stream: web.StreamResponse,
-        wanted: messages.WatchCreateRequest,
+        watch_request: messages.WatchCreateRequest,
         commit: Commit,
     ) -> None:
         events = [
             messages.event_message(change)
             for change in commit.changes
-            if _in_range(change.kv.key, wanted)
+            if _in_range(change.kv.key, watch_request)
         ]
         if events:
             await self._send(stream, {"events": events}, commit.revision)
@@ -228,10 +230,12 @@
         await stream.write(msgspec.json.encode({"result": result}) + b"\n")
 
 
-def _in_range(key: bytes, wanted: messages.WatchCreateRequest) -> bool:
-    if not wanted.range_end:
-        return key == wanted.key
-    return key >= wanted.key and (wanted.range_end == b"\0" or key < wanted.range_end)
+def _in_range(key: bytes, watch_request: messages.WatchCreateRequest) -> bool:
+    if not watch_request.range_end:
+        return key == watch_request.key
+    return key >= watch_request.key and (
+        watch_request.range_end == b"\0" or key < watch_request.range_end
+    )
 
 
 def _client(request: web.Request) -> str:
--- a/packages/bench/src/medlarspring_bench/standins/links.py
+++ b/packages/bench/src/medlarspring_bench/standins/links.py
@@ -75,8 +75,10 @@
     control = create_control_app(links.change_faults)
 
     async def post_links(request: web.Request) -> web.Response:
-        wanted = msgspec.json.decode(await request.read(), type=list[Link])
-        return json_response({link.name: await links.open(link) for link in wanted})
+        requested_links = msgspec.json.decode(await request.read(), type=list[Link])
+        return json_response(
+            {link.name: await links.open(link) for link in requested_links}
+        )
 
     control.router.add_post("/control/links", post_links)
     announce(name="links", control=await open_control(control, host))
--- a/packages/bench/src/medlarspring_bench/standins/vm_control.py
+++ b/packages/bench/src/medlarspring_bench/standins/vm_control.py
@@ -101,8 +101,10 @@
                 id_, action.revision, action.pool
             ),
         }
-        for name, act in actions.items():
-            app.router.add_post(f"/control/vms/{{id}}/{name}", self._handler(act))
+        for name, apply_action in actions.items():
+            app.router.add_post(
+                f"/control/vms/{{id}}/{name}", self._handler(apply_action)
+            )
 
     def add_control(self, app: web.Application) -> None:
         """Add the routes of the stand-in's control port."""
@@ -139,18 +141,18 @@
         self, session: aiohttp.ClientSession, row: VMRow
     ) -> None:
         self._published_by_id[row.id] = row.condition
-        serves = row.condition is Condition.SERVING
-        listed = "live" if serves else "leaving"
-        state = "live" if serves else "draining"
+        is_serving = row.condition is Condition.SERVING
+        listed = "live" if is_serving else "leaving"
+        state = "live" if is_serving else "draining"
         self._listing.change(row.id, state=listed, pool=row.pool)
         control = self._control_by_id.get(row.id)
         if control is None:
             return
-        gone = row.condition in (Condition.REBOOTING, Condition.DOWN)
+        is_unavailable = row.condition in (Condition.REBOOTING, Condition.DOWN)
         url = f"http://{control}/control"
         with suppress(aiohttp.ClientError, TimeoutError):
             async with session.post(
-                f"{url}/faults", json={"gate": row.id, "down": gone}
+                f"{url}/faults", json={"gate": row.id, "down": is_unavailable}
             ):
                 pass
             async with session.post(f"{url}/vms/{row.id}", json={"state": state}):
@@ -162,12 +164,12 @@
         return json_response(self.state.find(pools, ids))
 
     def _handler(
-        self, act: Callable[[str, Action], VMRow]
+        self, apply_action: Callable[[str, Action], VMRow]
     ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
         async def handle(request: web.Request) -> web.Response:
             try:
                 action = msgspec.json.decode(await request.read(), type=Action)
-                row = act(request.match_info["id"], action)
+                row = apply_action(request.match_info["id"], action)
             except msgspec.MsgspecError as error:
                 return json_response({"reason": str(error)}, 400)
             except KeyError:
@@ -196,10 +198,10 @@
         return json_response({})
 
     async def _post_upstreams(self, request: web.Request) -> web.Response:
-        wanted = msgspec.json.decode(await request.read(), type=UpstreamControls)
-        self._controls = wanted.controls
+        upstreams = msgspec.json.decode(await request.read(), type=UpstreamControls)
+        self._controls = upstreams.controls
         async with aiohttp.ClientSession() as session:
-            for control in wanted.controls:
+            for control in upstreams.controls:
                 async with session.get(f"http://{control}/control/vms") as response:
                     for id_ in await response.json():
                         self._control_by_id[id_] = control
--- a/packages/bench/tests/test_key_value.py
+++ b/packages/bench/tests/test_key_value.py
@@ -45,7 +45,7 @@
     return await call(gateway, "/kv/range", {"key": b64(key)})
 
 
-async def test_published_shape_of_put_and_range(gateway: Gateway):
+async def test_put_and_range_have_the_etcd_format(gateway: Gateway):
     await put(gateway, "a/1", "x")
     await put(gateway, "a/2", "")
     found = await call(
@@ -93,7 +93,7 @@
         assert second["responses"][0]["response_range"]["kvs"][0]["value"] == b64("y")
 
 
-async def test_nested_transactions_decide_each_on_its_own(gateway: Gateway):
+async def test_nested_transactions_are_evaluated_independently(gateway: Gateway):
     await put(gateway, "a", "x")
     nested = [
         {
@@ -118,11 +118,13 @@
         ("/kv/txn", {"success": [{"request_range": {"key": "YQ=="}}] * 129}, 3),
     ],
 )
-async def test_refusals(gateway: Gateway, path: str, body: dict[str, Any], code: int):
+async def test_invalid_requests_are_rejected(
+    gateway: Gateway, path: str, body: dict[str, Any], code: int
+):
     assert (await call(gateway, path, body))["code"] == code
 
 
-async def test_lapsed_lease_deletes_and_watch_shows_it(gateway: Gateway):
+async def test_expired_lease_deletes_its_key_and_watch_reports_it(gateway: Gateway):
     """A holder dies: its lease lapses, its key goes, and a watcher is told."""
     http, url, _ = gateway
     lease_id = (await call(gateway, "/lease/grant", {"TTL": "1"}))["ID"]
@@ -155,7 +157,7 @@
     assert (await read(gateway, "a"))["count"] == "1"
 
 
-async def test_truncated_answer_is_noticed(gateway: Gateway):
+async def test_truncated_response_raises_a_payload_error(gateway: Gateway):
     await set_faults(gateway, truncate_replies=1)
     with pytest.raises(aiohttp.ClientPayloadError):
         await read(gateway, "a")
@@ -166,12 +168,12 @@
     _, url, _ = gateway
     expected = TimeoutError if fault == "unreachable" else aiohttp.ClientError
     await set_faults(gateway, **{fault: True})
-    async with aiohttp.ClientSession() as fresh:
+    async with aiohttp.ClientSession() as new_session:
         with pytest.raises(expected):
             async with asyncio.timeout(0.5):
-                await read((fresh, url, ""), "a")
+                await read((new_session, url, ""), "a")
         await set_faults(gateway, **{fault: False})
-        assert "header" in await read((fresh, url, ""), "a")
+        assert "header" in await read((new_session, url, ""), "a")
 
 
 async def test_silent_connection_never_answers_and_new_one_does(gateway: Gateway):
@@ -182,11 +184,11 @@
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.5):
             await read(gateway, "a")
-    async with aiohttp.ClientSession() as fresh:
-        assert "header" in await read((fresh, url, ""), "a")
+    async with aiohttp.ClientSession() as new_session:
+        assert "header" in await read((new_session, url, ""), "a")
 
 
-async def test_frozen_gate_answers_after_the_thaw(gateway: Gateway):
+async def test_frozen_gate_answers_once_it_is_unfrozen(gateway: Gateway):
     await set_faults(gateway, frozen=True)
     reading = asyncio.create_task(read(gateway, "a"))
     with pytest.raises(TimeoutError):
--- a/packages/bench/tests/test_memory_store.py
+++ b/packages/bench/tests/test_memory_store.py
@@ -41,7 +41,7 @@
     assert second.read_by_key["a"].mod_revision == first.revision
 
 
-async def test_commit_each_decides_each_transaction_on_its_own(store: MemoryStore):
+async def test_commit_each_evaluates_transactions_independently(store: MemoryStore):
     await store.commit(create("a"))
     committed = (await store.commit_each([create("a"), create("b")])).unwrap()
     assert [one.succeeded for one in committed] == [False, True]
@@ -55,7 +55,7 @@
     assert (await store.read("a")).unwrap() is None
 
 
-async def test_lapsed_lease_deletes_its_keys(store: MemoryStore, clock: ManualClock):
+async def test_expired_lease_deletes_its_keys(store: MemoryStore, clock: ManualClock):
     lease_id = (await store.grant_lease(5.0)).unwrap()
     bound = Transaction((), (Put("h", b"me", lease_id),))
     assert is_successful(await store.commit(bound))
@@ -85,7 +85,9 @@
     assert ((await store.read("a")).unwrap() is not None) is applied
 
 
-async def test_watch_yields_history_then_changes_until_down(store: MemoryStore):
+async def test_watch_yields_history_then_changes_and_ends_with_the_store(
+    store: MemoryStore,
+):
     """A watcher starts behind, catches up, follows, and ends when the store does.
 
     An iterator that outlived its store would let a daemon believe that nothing
--- a/packages/bench/tests/test_standins.py
+++ b/packages/bench/tests/test_standins.py
@@ -160,7 +160,7 @@
     assert (await send(http, "GET", f"{balancer['address']}/x"))["vm"] == "b"
 
 
-async def test_cut_link_resets_and_healed_link_works(
+async def test_link_resets_connections_while_down_and_works_afterwards(
     processes: Processes, http: aiohttp.ClientSession
 ):
     upstream = start(processes, "upstream", "--vms", "a")
@@ -202,7 +202,7 @@
         process.wait_for_announcement()
 
 
-def test_paused_process_goes_on_after_resume(processes: Processes):
+def test_paused_process_continues_after_resume(processes: Processes):
     process = processes.start_module("kv", f"{STANDINS}.key_value")
     process.wait_for_announcement()
     process.pause()
@@ -235,7 +235,7 @@
     assert refused == {"reason": "stale"}
 
 
-async def test_signals_are_caught_before_the_line_that_tells_the_address(monkeypatch):  # type: ignore[no-untyped-def]
+async def test_signal_handlers_are_installed_before_the_announcement(monkeypatch):  # type: ignore[no-untyped-def]
     """
     The starter reads a stand-in's line and ends it at once. On a busy machine the
     signal came before the stand-in listened for it, and the stand-in was killed
--- a/packages/bench/tests/test_vm_control_state.py
+++ b/packages/bench/tests/test_vm_control_state.py
@@ -47,7 +47,7 @@
     assert state.find()[0].condition is Condition.SERVING
 
 
-def test_assign_moves_a_drained_vm_and_lets_it_serve(
+def test_assign_moves_a_drained_vm_and_returns_it_to_service(
     state: VMControlState, clock: ManualClock
 ):
     with pytest.raises(ActionRefused, match="not-drained"):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -32,10 +32,10 @@
 @pytest.mark.timeout(180)
 @pytest.mark.parametrize("seed", FRESH_SEEDS)
 async def test_promises_hold_under_faults_from_outside(seed: int):
-    verdict = await run_soak(seed, SHORT)
-    assert verdict.breaches == [], verdict.faults
-    assert verdict.unfinished == [], verdict.faults
-    assert verdict.accepted > 0
+    result = await run_soak(seed, SHORT)
+    assert result.breaches == [], result.faults
+    assert result.unfinished == [], result.faults
+    assert result.accepted > 0
 
 
 @pytest.mark.timeout(180)
@@ -45,6 +45,6 @@
 async def test_promises_hold_in_soaks_that_once_broke_them(
     schedule: tuple[tuple[float, str], ...],
 ):
-    verdict = await run_soak(1, SoakPlan(traffic_seconds=6.0, schedule=schedule))
-    assert verdict.breaches == [], verdict.faults
-    assert verdict.unfinished == [], verdict.faults
+    result = await run_soak(1, SoakPlan(traffic_seconds=6.0, schedule=schedule))
+    assert result.breaches == [], result.faults
+    assert result.unfinished == [], result.faults
