--- a/packages/bench/src/medlarspring_bench/soak/__main__.py
+++ b/packages/bench/src/medlarspring_bench/soak/__main__.py
@@ -25,7 +25,7 @@
     plan = SoakPlan(fault_count=arguments.faults)
     results = uvloop.run(_run_all(seeds, plan, arguments.at_once, arguments.logs))
     failed = [result for result in results if not result.passed]
-    print(f"{len(results)} soaks, {len(failed)} with broken promises")
+    print(f"{len(results)} soaks, {len(failed)} failed")
     return 1 if failed else 0
 
 
@@ -33,10 +33,15 @@
     parser = argparse.ArgumentParser(prog="medlarspring_bench.soak")
     parser.add_argument("--first", type=int, default=1, help="first seed")
     parser.add_argument("--count", type=int, default=4, help="number of seeds")
-    parser.add_argument("--fresh", type=int, default=0, help="seeds drawn just now")
+    parser.add_argument(
+        "--fresh",
+        type=int,
+        default=0,
+        help="number of random seeds, used instead of --first and --count",
+    )
     parser.add_argument("--faults", type=int, default=6, help="faults in each soak")
     parser.add_argument("--at-once", type=int, default=DEFAULT_AT_ONCE)
-    parser.add_argument("--logs", type=Path, help="folder for the logs of failures")
+    parser.add_argument("--logs", type=Path, help="folder for the logs of failed soaks")
     return parser.parse_args()
 
 
@@ -55,7 +60,7 @@
 
 
 def _print_result(result: SoakResult, logs: Path | None) -> None:
-    state = "kept" if result.passed else "BROKEN"
+    state = "passed" if result.passed else "FAILED"
     print(f"seed {result.seed}: {state}, {result.accepted} jobs; {result.faults}")
     for breach in result.breaches[:10]:
         print(f"  {breach.rule} {breach.subject}: {breach.detail}")
--- a/packages/bench/tests/test_key_value.py
+++ b/packages/bench/tests/test_key_value.py
@@ -125,7 +125,7 @@
 
 
 async def test_expired_lease_deletes_its_key_and_watch_reports_it(gateway: Gateway):
-    """A holder dies: its lease lapses, its key goes, and a watcher is told."""
+    """A holder stops renewing: its lease expires and a watch reports the deletion."""
     http, url, _ = gateway
     lease_id = (await call(gateway, "/lease/grant", {"TTL": "1"}))["ID"]
     await call(gateway, "/kv/put", {"key": b64("h"), "lease": lease_id})
@@ -177,7 +177,7 @@
 
 
 async def test_silent_connection_never_answers_and_new_one_does(gateway: Gateway):
-    """Something between the ends forgets a connection: only new ones work."""
+    """A middlebox drops the state of a connection: only new connections work."""
     http, url, _ = gateway
     await read(gateway, "a")
     await set_faults(gateway, silence=True)
--- a/packages/bench/tests/test_memory_store.py
+++ b/packages/bench/tests/test_memory_store.py
@@ -88,10 +88,10 @@
 async def test_watch_yields_history_then_changes_and_ends_with_the_store(
     store: MemoryStore,
 ):
-    """A watcher starts behind, catches up, follows, and ends when the store does.
+    """A watch yields past changes, then new ones, and ends when the store goes down.
 
-    An iterator that outlived its store would let a daemon believe that nothing
-    changes while the table does.
+    If the iterator did not end with its store, a daemon would assume that nothing
+    changes while the table does change.
     """
     first = (await store.commit(create("p/a"))).unwrap()
     await store.commit(create("q/a"))
--- a/packages/bench/tests/test_standins.py
+++ b/packages/bench/tests/test_standins.py
@@ -84,7 +84,7 @@
 async def test_task_of_an_older_attempt_is_refused(
     processes: Processes, http: aiohttp.ClientSession
 ):
-    """A paused holder wakes up: its older attempt must not start again."""
+    """A resumed former holder orders an older attempt, which must not start again."""
     upstream = start(processes, "upstream", "--vms", "a")
     control = HttpWorkerControl(http, timeout=5)
     address = upstream["addresses"]["a"]
@@ -237,9 +237,9 @@
 
 async def test_signal_handlers_are_installed_before_the_announcement(monkeypatch):  # type: ignore[no-untyped-def]
     """
-    The starter reads a stand-in's line and ends it at once. On a busy machine the
-    signal came before the stand-in listened for it, and the stand-in was killed
-    instead of ending by itself.
+    The parent process stops a stand-in as soon as it has read its announcement. On
+    a busy machine the signal arrived before the stand-in had installed its signal
+    handlers, so the stand-in was killed instead of stopping by itself.
     """
     handlers: list[object] = []
 
--- a/packages/bench/tests/test_vm_control_state.py
+++ b/packages/bench/tests/test_vm_control_state.py
@@ -37,7 +37,7 @@
 def test_repeated_reboot_of_one_revision_boots_once(
     state: VMControlState, clock: ManualClock
 ):
-    """The reply of a reboot is lost and the order comes again: one boot only."""
+    """A reboot is repeated because its reply was lost: the VM boots only once."""
     state.drain("a", 1)
     clock.advance(1)
     state.reboot("a", 1)
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("action", ["drain", "reboot"])
 def test_older_and_closed_revisions_are_stale(state: VMControlState, action: str):
-    """A paused holder wakes up: its orders are older than the newest one."""
+    """A resumed former holder sends orders with an outdated revision."""
     state.drain("a", 5)
     with pytest.raises(ActionRefused, match="stale"):
         getattr(state, action)("a", 4)
