--- a/packages/bench/src/medlarspring_bench/soak/runner.py
+++ b/packages/bench/src/medlarspring_bench/soak/runner.py
@@ -12,7 +12,7 @@
 from medlarspring_bench.platform_world.checks import Breach, check_history
 from medlarspring_bench.platform_world.customers import Customers
 from medlarspring_bench.platform_world.plans import WorldPlan
-from medlarspring_bench.platform_world.results import (
+from medlarspring_bench.platform_world.verdicts import (
     find_left_running,
     find_unfinished,
 )
