--- a/packages/bench/src/medlarspring_bench/soak/faults.py
+++ b/packages/bench/src/medlarspring_bench/soak/faults.py
@@ -34,7 +34,7 @@
 DOWN_SECONDS = (0.2, 3.0)
 """Range of the time between a process's end and its restart."""
 PARTITION_SECONDS = (0.5, 8.0)
-"""Range of the duration of partitions: from below to above every lease's time."""
+"""Range of the duration of partitions: shorter and longer than any lease."""
 DELAY_SECONDS = (0.05, 0.4)
 
 
@@ -76,7 +76,7 @@
 
 
 async def pause_node(soak_run: SoakRun) -> None:
-    """Pause a process for 0.3 to 5 s: shorter or longer than its lease."""
+    """Pause a process for seconds, about half of the time longer than its lease."""
     name = soak_run.choose_node()
     if name is None:
         return
@@ -101,7 +101,7 @@
 
 
 async def partition_node(soak_run: SoakRun) -> None:
-    """Partition an entry VM from all others, in one direction or both."""
+    """Partition an entry VM from everything, in one direction or both."""
     name = soak_run.choose_node()
     if name is None:
         return
--- a/packages/bench/src/medlarspring_bench/soak/runner.py
+++ b/packages/bench/src/medlarspring_bench/soak/runner.py
@@ -33,7 +33,7 @@
 DISRUPTION_SECONDS = 1.5
 """Calls that break within this time of a fault are attributed to the fault."""
 CUT_AFTER_SECONDS = 0.2
-"""A connection that ends sooner after a call closed before the call was read."""
+"""A connection that ends sooner was closed before its process read the call."""
 CANCELLED_SHARE = 0.05
 HOPELESS_SHARE = 0.03
 CONTROLLER_FAULT_SHARE = 0.5
