--- a/packages/bench/src/medlarspring_bench/soak/desk.py
+++ b/packages/bench/src/medlarspring_bench/soak/job_client.py
@@ -1,4 +1,4 @@
-"""Customers' calls over HTTP; connections are kept until their process is gone."""
+"""HTTP client of the customers' job interface, with persistent connections."""
 
 from __future__ import annotations
 
@@ -7,10 +7,7 @@
 import aiohttp
 import msgspec
 
-from medlarspring_bench.platform_world.customers import (
-    CALL_TIMEOUT_SECONDS,
-    SLACK_SECONDS,
-)
+from medlarspring_bench.platform_world.customers import PATIENCE_SECONDS, SLACK_SECONDS
 from medlarspring_bench.platform_world.plans import HOST
 
 if TYPE_CHECKING:
@@ -20,11 +17,11 @@
 
 HTTP_OK = 200
 DEADLINE_HEADER = "X-Medlarspring-Deadline-Ms"
-WORDS_BY_STATE = {"canceled": "cancelled"}
-"""Where the platform's word for a status is not ours."""
+STATUS_BY_PLATFORM_STATE = {"canceled": "cancelled"}
+"""Statuses that the platform spells differently from the customers' model."""
 
 
-class HttpDesk:
+class HttpJobClient:
     """Implements ``Desk`` with one session for each entry VM."""
 
     def __init__(self, installation: Installation) -> None:
@@ -33,16 +30,16 @@
         self._queues_by_job: dict[JobId, str] = {}
 
     async def submit(self, node: str, queue: str, job_id: JobId, spec: JobSpec) -> str:
-        """Submit a job."""
+        """Submit a job; returns ``ok`` or an error code."""
         self._queues_by_job[job_id] = queue
         return await self._call("POST", node, job_id, encode_job(spec))
 
     async def cancel(self, node: str, job_id: JobId) -> str:
-        """Cancel a job."""
+        """Cancel a job; returns ``ok`` or an error code."""
         return await self._call("DELETE", node, job_id)
 
     async def find_status(self, node: str, job_id: JobId) -> str:
-        """Return a job's status."""
+        """Return a job's status or an error code."""
         return await self._call("GET", node, job_id)
 
     async def close(self) -> None:
@@ -62,18 +59,18 @@
                 data=body,
                 headers={
                     "Host": HOST,
-                    DEADLINE_HEADER: str(round(CALL_TIMEOUT_SECONDS * 1_000)),
+                    DEADLINE_HEADER: str(round(PATIENCE_SECONDS * 1_000)),
                 },
             ) as response:
                 return _read_answer(method, response.status, await response.read())
         except (TimeoutError, aiohttp.ClientError):
-            # What the connection's end means is judged where it is proxied.
+            # Whether the connection may end here is checked at the proxy (``Cut``).
             return "no-answer"
 
     def _find_session(self, node: str) -> aiohttp.ClientSession:
         session = self._sessions_by_node.get(node)
         if session is None:
-            timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_SECONDS + SLACK_SECONDS)
+            timeout = aiohttp.ClientTimeout(total=PATIENCE_SECONDS + SLACK_SECONDS)
             session = aiohttp.ClientSession(timeout=timeout)
             self._sessions_by_node[node] = session
         return session
@@ -85,11 +82,11 @@
     if method != "GET":
         return "ok"
     state = str(msgspec.json.decode(body)["state"])
-    return WORDS_BY_STATE.get(state, state)
+    return STATUS_BY_PLATFORM_STATE.get(state, state)
 
 
 def encode_job(spec: JobSpec) -> bytes:
-    """Return a job as the platform's customers spell it."""
+    """Return a job in the JSON format of the platform's customers."""
     return msgspec.json.encode(
         {"spec": spec.payload, "steps": [_to_wire(step) for step in spec.steps]}
     )
@@ -110,4 +107,4 @@
     return {name: value for name, value in fields.items() if value}
 
 
-__all__ = ["HttpDesk", "encode_job"]
+__all__ = ["HttpJobClient", "encode_job"]
--- a/packages/bench/src/medlarspring_bench/standins/links.py
+++ b/packages/bench/src/medlarspring_bench/standins/links.py
@@ -1,4 +1,4 @@
-"""Stand-in of the network between zones: TCP links that can be cut."""
+"""Stand-in for the network between zones: TCP proxies with faults."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     split_address,
     wait_for_end,
 )
-from medlarspring_bench.standins.splice import Front
+from medlarspring_bench.standins.tcp_proxy import ClientConnection
 
 if TYPE_CHECKING:
     import asyncio
@@ -27,7 +27,7 @@
 
 
 class Link(Struct):
-    """A port that leads to a target; faults are switched by group."""
+    """A proxied port and its target; faults are set by name or by group."""
 
     name: str
     target: str
@@ -43,12 +43,12 @@
         self._groups_by_name: dict[str, str] = {}
 
     async def open(self, link: Link) -> str:
-        """Open a link, or return the address of the one that is open."""
+        """Open a link unless it is open, and return its address."""
         gate = self._gates_by_name.get(link.name)
         if gate is None:
 
             def make_protocol() -> asyncio.Protocol:
-                return Front(lambda: link.target)
+                return ClientConnection(lambda: link.target)
 
             gate = Gate(link.name, make_protocol)
             await gate.open(self._host, 0)
@@ -57,7 +57,7 @@
         return gate.address
 
     async def change_faults(self, change: FaultsChange) -> None:
-        """Switch faults of the links whose name or group is named."""
+        """Set faults of the links whose name or group is ``gate``, or of all."""
         for name, gate in self._gates_by_name.items():
             if change.gate in (None, name, self._groups_by_name[name]):
                 await gate.change(change)
@@ -75,8 +75,10 @@
     control = create_control_app(links.change_faults)
 
     async def post_links(request: web.Request) -> web.Response:
-        wanted = msgspec.json.decode(await request.read(), type=list[Link])
-        return json_response({link.name: await links.open(link) for link in wanted})
+        requested_links = msgspec.json.decode(await request.read(), type=list[Link])
+        return json_response(
+            {link.name: await links.open(link) for link in requested_links}
+        )
 
     control.router.add_post("/control/links", post_links)
     announce(name="links", control=await open_control(control, host))
--- a/packages/bench/src/medlarspring_bench/standins/splice.py
+++ b/packages/bench/src/medlarspring_bench/standins/tcp_proxy.py
@@ -1,4 +1,4 @@
-"""Passes the bytes of one connection on to another."""
+"""Forwards TCP connections to a target that is chosen for each connection."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 CONNECT_SECONDS = 2.0
 
 
-class Half(asyncio.Protocol):
-    """One of the two connections; closes with the other one."""
+class ProxyConnection(asyncio.Protocol):
+    """One of the two connections of a proxied pair; both close together."""
 
     def __init__(self, on_close: Callable[[], None] | None = None) -> None:
-        self.other: Half | None = None
+        self.other: ProxyConnection | None = None
         self.transport: asyncio.Transport | None = None
         self._on_close = on_close
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = cast("asyncio.Transport", transport)
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes on."""
+        """Forward data to the other connection."""
         if self.other is not None and self.other.transport is not None:
             self.other.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Close the other half after what it still has to send."""
+        """Close the other connection after its buffered data is sent."""
         if self.other is not None and self.other.transport is not None:
             self.other.transport.close()
         if self._on_close is not None:
             self._on_close()
 
     def pause_writing(self) -> None:
-        """Read no more from the other half than this one can send."""
+        """Pause reading from the other connection while this one can't send."""
         if self.other is not None and self.other.transport is not None:
             self.other.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """Read on from the other half."""
+        """Resume reading from the other connection."""
         if (
             self.other is not None
             and self.other.transport is not None
@@ -52,8 +52,11 @@
             self.other.transport.resume_reading()
 
 
-class Front(Half):
-    """The accepted half; connects to the target that ``choose`` names."""
+class ClientConnection(ProxyConnection):
+    """The accepted connection; connects to the target that ``choose`` returns.
+
+    It is reset if ``choose`` returns None or the target cannot be reached.
+    """
 
     def __init__(
         self,
@@ -66,18 +69,18 @@
         self._on_open = on_open
         self._on_closed = on_closed
         self._target = ""
-        self._early: list[bytes] = []
+        self._buffered: list[bytes] = []
         self._connecting: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to connect."""
+        """Start to connect to the target."""
         super().connection_made(transport)
         self._connecting = asyncio.create_task(self._connect())
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes on, or keep them until the target is connected."""
+        """Forward data, or buffer it until the target is connected."""
         if self.other is None:
-            self._early.append(data)
+            self._buffered.append(data)
             return
         super().data_received(data)
 
@@ -90,7 +93,7 @@
         self._target = target
         if self._on_open is not None:
             self._on_open(target)
-        back = Half()
+        back = ProxyConnection()
         try:
             async with asyncio.timeout(CONNECT_SECONDS):
                 host, port = split_address(target)
@@ -99,9 +102,9 @@
         except OSError:
             self.transport.abort()
             return
-        self._join(back)
+        self._link_connections(back)
 
-    def _join(self, back: Half) -> None:
+    def _link_connections(self, back: ProxyConnection) -> None:
         assert self.transport is not None
         assert back.transport is not None
         if self.transport.is_closing():
@@ -109,13 +112,13 @@
             return
         back.other = self
         self.other = back
-        for data in self._early:
+        for data in self._buffered:
             back.transport.write(data)
-        self._early.clear()
+        self._buffered.clear()
 
     def _closed(self) -> None:
         if self._target and self._on_closed is not None:
             self._on_closed(self._target)
 
 
-__all__ = ["Front"]
+__all__ = ["ClientConnection"]
--- a/packages/bench/src/medlarspring_bench/standins/vm_control.py
+++ b/packages/bench/src/medlarspring_bench/standins/vm_control.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's VM control, served beside the VM list."""
+"""Stand-in for the platform's VM control, in one process with the VM list."""
 
 from __future__ import annotations
 
@@ -31,14 +31,17 @@
 
 
 class Action(Struct):
-    """Body of an action."""
+    """Body of a call that drains, reboots, restores or assigns a VM."""
 
     revision: int
     pool: str = ""
 
 
 class ControlFaults(Struct):
-    """Body of ``POST /control/vm-faults``; what is named is set, not added."""
+    """Body of ``POST /control/vm-faults``.
+
+    ``never_return`` and ``fail`` replace the former sets of VM ids.
+    """
 
     never_return: list[str] | None = None
     fail: list[str] | None = None
@@ -54,24 +57,24 @@
     controls: list[str]
 
 
-class UpstreamSays(Struct):
-    """What an upstream stand-in says of one VM."""
+class UpstreamReport(Struct):
+    """The part of an upstream stand-in's report on one VM that is used here."""
 
     running: int
 
 
 class VMControlService:
-    """Handlers of the control, and the loop that moves VMs along."""
+    """HTTP handlers of VM control and the loop that advances VM conditions."""
 
     def __init__(self, listing: LaggingList) -> None:
         self.state = VMControlState(SystemClock())
         self._listing = listing
         self._controls: list[str] = []
-        self._shown_by_id: dict[str, Condition] = {}
+        self._published_by_id: dict[str, Condition] = {}
         self._control_by_id: dict[str, str] = {}
 
     def add_entries(self, entries: list[ListEntry]) -> None:
-        """Take control of the upstream VMs among the entries."""
+        """Add the upstream VMs among the entries to the VMs under control."""
         for entry in entries:
             labels = entry.labels
             if labels.get("role", UPSTREAM_ROLE) != UPSTREAM_ROLE:
@@ -84,10 +87,10 @@
                     zone=labels.get("zone", ""),
                 )
             )
-            self._shown_by_id.setdefault(labels["id"], Condition.SERVING)
+            self._published_by_id.setdefault(labels["id"], Condition.SERVING)
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the platform's own routes."""
+        """Add the routes that VM control offers to its clients."""
         state = self.state
         app.router.add_get("/control/vms", self._get_vms)
         actions: dict[str, Callable[[str, Action], VMRow]] = {
@@ -98,8 +101,10 @@
                 id_, action.revision, action.pool
             ),
         }
-        for name, act in actions.items():
-            app.router.add_post(f"/control/vms/{{id}}/{name}", self._handler(act))
+        for name, apply_action in actions.items():
+            app.router.add_post(
+                f"/control/vms/{{id}}/{name}", self._handler(apply_action)
+            )
 
     def add_control(self, app: web.Application) -> None:
         """Add the routes of the stand-in's control port."""
@@ -107,18 +112,18 @@
         app.router.add_post("/control/upstreams", self._post_upstreams)
 
     async def run(self) -> None:
-        """Move VMs along; show their conditions to the list and the upstreams."""
+        """Advance VMs and publish their conditions to the list and the upstreams."""
         timeout = aiohttp.ClientTimeout(total=POLL_SECONDS)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
-                # A stand-in of an upstream that is paused or gone must not
-                # stop the platform; its VMs are asked again next time.
+                # An upstream stand-in that is paused or gone must not stop this
+                # loop; its VMs are polled again in the next pass.
                 with suppress(aiohttp.ClientError, TimeoutError):
                     await self._count_running(session)
                 self.state.step()
                 for row in self.state.rows_by_id.values():
-                    if self._shown_by_id.get(row.id) is not row.condition:
-                        await self._show(session, row)
+                    if self._published_by_id.get(row.id) is not row.condition:
+                        await self._publish_condition(session, row)
                 await asyncio.sleep(STEP_SECONDS)
 
     async def _count_running(self, session: aiohttp.ClientSession) -> None:
@@ -128,24 +133,26 @@
         for control in self._controls:
             async with session.get(f"http://{control}/control/vms") as response:
                 body = await response.read()
-            says_by_id = msgspec.json.decode(body, type=dict[str, UpstreamSays])
-            for id_, says in says_by_id.items():
-                self.state.running_by_id[id_] = says.running
-
-    async def _show(self, session: aiohttp.ClientSession, row: VMRow) -> None:
-        self._shown_by_id[row.id] = row.condition
-        serves = row.condition is Condition.SERVING
-        listed = "live" if serves else "leaving"
-        state = "live" if serves else "draining"
+            reports_by_id = msgspec.json.decode(body, type=dict[str, UpstreamReport])
+            for id_, upstream_report in reports_by_id.items():
+                self.state.running_by_id[id_] = upstream_report.running
+
+    async def _publish_condition(
+        self, session: aiohttp.ClientSession, row: VMRow
+    ) -> None:
+        self._published_by_id[row.id] = row.condition
+        is_serving = row.condition is Condition.SERVING
+        listed = "live" if is_serving else "leaving"
+        state = "live" if is_serving else "draining"
         self._listing.change(row.id, state=listed, pool=row.pool)
         control = self._control_by_id.get(row.id)
         if control is None:
             return
-        gone = row.condition in (Condition.REBOOTING, Condition.DOWN)
+        is_unavailable = row.condition in (Condition.REBOOTING, Condition.DOWN)
         url = f"http://{control}/control"
         with suppress(aiohttp.ClientError, TimeoutError):
             async with session.post(
-                f"{url}/faults", json={"gate": row.id, "down": gone}
+                f"{url}/faults", json={"gate": row.id, "down": is_unavailable}
             ):
                 pass
             async with session.post(f"{url}/vms/{row.id}", json={"state": state}):
@@ -157,12 +164,12 @@
         return json_response(self.state.find(pools, ids))
 
     def _handler(
-        self, act: Callable[[str, Action], VMRow]
+        self, apply_action: Callable[[str, Action], VMRow]
     ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
         async def handle(request: web.Request) -> web.Response:
             try:
                 action = msgspec.json.decode(await request.read(), type=Action)
-                row = act(request.match_info["id"], action)
+                row = apply_action(request.match_info["id"], action)
             except msgspec.MsgspecError as error:
                 return json_response({"reason": str(error)}, 400)
             except KeyError:
@@ -191,10 +198,10 @@
         return json_response({})
 
     async def _post_upstreams(self, request: web.Request) -> web.Response:
-        wanted = msgspec.json.decode(await request.read(), type=UpstreamControls)
-        self._controls = wanted.controls
+        upstreams = msgspec.json.decode(await request.read(), type=UpstreamControls)
+        self._controls = upstreams.controls
         async with aiohttp.ClientSession() as session:
-            for control in wanted.controls:
+            for control in upstreams.controls:
                 async with session.get(f"http://{control}/control/vms") as response:
                     for id_ in await response.json():
                         self._control_by_id[id_] = control
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from medlarspring_bench.soak.play import SoakPlan, play_soak
+from medlarspring_bench.soak.runner import SoakPlan, run_soak
 
 SHORT = SoakPlan(traffic_seconds=6.0, fault_count=3)
 SEEDS = (101, 102)
@@ -35,10 +35,10 @@
 @pytest.mark.timeout(180)
 @pytest.mark.parametrize("seed", SEEDS)
 async def test_guarantees_hold_under_injected_faults(seed: int):
-    verdict = await play_soak(seed, SHORT)
-    assert verdict.breaches == [], verdict.faults
-    assert verdict.unfinished == [], verdict.faults
-    assert verdict.accepted > 0
+    result = await run_soak(seed, SHORT)
+    assert result.breaches == [], result.faults
+    assert result.unfinished == [], result.faults
+    assert result.accepted > 0
 
 
 @pytest.mark.timeout(180)
@@ -48,6 +48,6 @@
 async def test_guarantees_hold_in_regression_schedules(
     schedule: tuple[tuple[float, str], ...],
 ):
-    verdict = await play_soak(1, SoakPlan(traffic_seconds=6.0, schedule=schedule))
-    assert verdict.breaches == [], verdict.faults
-    assert verdict.unfinished == [], verdict.faults
+    result = await run_soak(1, SoakPlan(traffic_seconds=6.0, schedule=schedule))
+    assert result.breaches == [], result.faults
+    assert result.unfinished == [], result.faults
