--- a/packages/bench/src/medlarspring_bench/soak/job_client.py
+++ b/packages/bench/src/medlarspring_bench/soak/job_client.py
@@ -7,7 +7,10 @@
 import aiohttp
 import msgspec
 
-from medlarspring_bench.platform_world.customers import PATIENCE_SECONDS, SLACK_SECONDS
+from medlarspring_bench.platform_world.customers import (
+    CALL_TIMEOUT_SECONDS,
+    SLACK_SECONDS,
+)
 from medlarspring_bench.platform_world.plans import HOST
 
 if TYPE_CHECKING:
@@ -59,7 +62,7 @@
                 data=body,
                 headers={
                     "Host": HOST,
-                    DEADLINE_HEADER: str(round(PATIENCE_SECONDS * 1_000)),
+                    DEADLINE_HEADER: str(round(CALL_TIMEOUT_SECONDS * 1_000)),
                 },
             ) as response:
                 return _read_answer(method, response.status, await response.read())
@@ -70,7 +73,7 @@
     def _find_session(self, node: str) -> aiohttp.ClientSession:
         session = self._sessions_by_node.get(node)
         if session is None:
-            timeout = aiohttp.ClientTimeout(total=PATIENCE_SECONDS + SLACK_SECONDS)
+            timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_SECONDS + SLACK_SECONDS)
             session = aiohttp.ClientSession(timeout=timeout)
             self._sessions_by_node[node] = session
         return session
