--- a/tests/test_daemon_start.py
+++ b/tests/test_daemon_start.py
@@ -26,7 +26,7 @@
 """
 
 
-@pytest.mark.parametrize("taken", ["CALLER", "OPERATOR", "PEER"])
+@pytest.mark.parametrize("occupied", ["CALLER", "OPERATOR", "PEER"])
 def test_port_in_use_ends_the_daemon_with_one_line(tmp_path, occupied):
     """
     Another process already listens on one of the three ports. The daemon exits
