--- a/packages/bench/src/medlarspring_bench/measure/turn_overload.py
+++ b/packages/bench/src/medlarspring_bench/measure/burst_overload.py
@@ -59,20 +59,20 @@
     stretch=1.6,
     allowance_ms=600,
 )
-VM_ROOM = Resources(32_000, 65_536, 0)
-TURN_SECONDS = 4.0
+VM_RESOURCES = Resources(32_000, 65_536, 0)
+BURST_SECONDS = 4.0
 SETTLE_SECONDS = 12.0
 """After the turn; jobs that end later are of no use to anybody."""
 TICK_SECONDS = 0.015
-ORDER_SECONDS = 0.03
+START_DELAY_SECONDS = 0.03
 """From a decision to the start on the worker."""
-LATE_WORTH = 0.07
+LATE_VALUE_FRACTION = 0.07
 """Part of a job's worth that is left up to three times its objective."""
 LATE_FACTOR = 3.0
 
 
 @dataclass(frozen=True, slots=True)
-class Spread:
+class LogNormal:
     """A quantity that spreads log-normally, up to a limit."""
 
     mean: float
@@ -90,11 +90,11 @@
 class JobKind:
     """What the jobs of a queue are like."""
 
-    steps: Spread
-    width: Spread
-    seconds: Spread
-    cores: Spread
-    memory_mb: Spread
+    steps: LogNormal
+    width: LogNormal
+    seconds: LogNormal
+    cores: LogNormal
+    memory_mb: LogNormal
     uneven: float
     """Spread of the tasks of one step, as a standard deviation of logarithms."""
     estimate_error: float
@@ -102,30 +102,30 @@
 
 
 SHORT_JOBS = JobKind(
-    steps=Spread(1.6, 0.4, 4.0),
-    width=Spread(8.0, 0.6, 32.0),
-    seconds=Spread(0.64, 0.5, 1.6),
-    cores=Spread(3.1, 0.45, 9.3),
-    memory_mb=Spread(4_400.0, 0.6, 13_000.0),
+    steps=LogNormal(1.6, 0.4, 4.0),
+    width=LogNormal(8.0, 0.6, 32.0),
+    seconds=LogNormal(0.64, 0.5, 1.6),
+    cores=LogNormal(3.1, 0.45, 9.3),
+    memory_mb=LogNormal(4_400.0, 0.6, 13_000.0),
     uneven=0.15,
     estimate_error=0.5,
 )
 LONG_JOBS = JobKind(
-    steps=Spread(2.0, 0.4, 4.0),
-    width=Spread(8.0, 0.6, 32.0),
-    seconds=Spread(2.1, 0.5, 5.2),
-    cores=Spread(6.7, 0.45, 20.0),
-    memory_mb=Spread(9_600.0, 0.6, 29_000.0),
+    steps=LogNormal(2.0, 0.4, 4.0),
+    width=LogNormal(8.0, 0.6, 32.0),
+    seconds=LogNormal(2.1, 0.5, 5.2),
+    cores=LogNormal(6.7, 0.45, 20.0),
+    memory_mb=LogNormal(9_600.0, 0.6, 29_000.0),
     uneven=0.3,
     estimate_error=0.2,
 )
 
 
 @dataclass(slots=True)
-class TrueJob:
+class SimulatedJob:
     """What only the replay knows of a job."""
 
-    came_at: Seconds
+    arrived_at: Seconds
     seconds: list[list[Seconds]]
     """True durations by step and task."""
     objective: Seconds
@@ -138,11 +138,11 @@
         """What is left of the job's worth when it ends."""
         if self.took is None or self.took > LATE_FACTOR * self.objective:
             return 0.0
-        return 1.0 if self.took <= self.objective else LATE_WORTH
+        return 1.0 if self.took <= self.objective else LATE_VALUE_FRACTION
 
 
 @dataclass(frozen=True, slots=True)
-class TurnOutcome:
+class BurstOutcome:
     """What came of a turn."""
 
     jobs: int
@@ -161,10 +161,10 @@
     kind: JobKind
     rng: random.Random
     tables: WorkTables
-    jobs_by_id: dict[JobId, TrueJob] = field(default_factory=dict)
+    jobs_by_id: dict[JobId, SimulatedJob] = field(default_factory=dict)
     ends: list[tuple[Seconds, int, Run]] = field(default_factory=list)
 
-    def add_job(self, number: int, came_at: Seconds, now: Seconds) -> None:
+    def add_job(self, number: int, arrived_at: Seconds, now: Seconds) -> None:
         """Let a job come."""
         count = max(round(self.kind.steps.draw(self.rng)), 1)
         usual = self.kind.seconds.draw(self.rng)
@@ -173,7 +173,7 @@
         job_id = JobId(f"{number:016x}")
         record = JobRecord(
             queue=QUEUE,
-            accepted_at_ms=round(came_at * 1_000),
+            accepted_at_ms=round(arrived_at * 1_000),
             spec=JobSpec(payload="", steps=steps),
         )
         chain = sum(max(seconds) for seconds in true)
@@ -182,8 +182,8 @@
             for seconds, step in zip(true, steps, strict=True)
         )
         objective = QUEUE.stretch * chain + QUEUE.allowance_ms / 1_000.0
-        self.jobs_by_id[job_id] = TrueJob(came_at, true, objective, work)
-        job = admit_job(self.tables, job_id, record, Revision(1), came_at)
+        self.jobs_by_id[job_id] = SimulatedJob(arrived_at, true, objective, work)
+        job = admit_job(self.tables, job_id, record, Revision(1), arrived_at)
         open_due_occurrences(self.tables, job, now, now * 1_000)
 
     def _draw_step(self, index: int, usual: Seconds) -> StepSpec:
@@ -206,7 +206,7 @@
         """Carry a start out."""
         step = run.task.step
         run.state = RunState.RUNNING
-        run.confirmed_at = now + ORDER_SECONDS
+        run.confirmed_at = now + START_DELAY_SECONDS
         true = self.jobs_by_id[step.job.id].seconds[step.index][run.task.index]
         entry = (run.confirmed_at + true, id(run), run)
         heapq.heappush(self.ends, entry)
@@ -219,7 +219,7 @@
             job = run.task.step.job
             if job.outcome is JobOutcome.COMPLETE:
                 true = self.jobs_by_id[job.id]
-                true.took = now - true.came_at
+                true.took = now - true.arrived_at
                 forget_job(self.tables, job, now)
 
 
@@ -228,29 +228,29 @@
     return rank_step(step, now, 0.0)
 
 
-def replay_turn(
+def replay_burst(
     kind: JobKind,
     seed: int,
     vms: int,
     jobs_per_second: float,
     rule: RankRule = rank_step,
-) -> TurnOutcome:
+) -> BurstOutcome:
     """Replay one turn over a pool of ``vms`` VMs."""
     rng = random.Random(seed)
     replay = Replay(kind, rng, _create_tables(vms))
-    came_at = rng.expovariate(jobs_per_second)
-    ticks = round((TURN_SECONDS + SETTLE_SECONDS) / TICK_SECONDS)
+    arrived_at = rng.expovariate(jobs_per_second)
+    ticks = round((BURST_SECONDS + SETTLE_SECONDS) / TICK_SECONDS)
     number = 0
     for tick in range(ticks):
         now = tick * TICK_SECONDS
-        while came_at <= min(now, TURN_SECONDS):
-            replay.add_job(number, came_at, now)
+        while arrived_at <= min(now, BURST_SECONDS):
+            replay.add_job(number, arrived_at, now)
             number += 1
-            came_at += rng.expovariate(jobs_per_second)
+            arrived_at += rng.expovariate(jobs_per_second)
         replay.end_due(now)
         for run in plan_round(replay.tables, POOL, now, rule):
             replay.start(run, now)
-    return _judge(list(replay.jobs_by_id.values()))
+    return _compute_outcome(list(replay.jobs_by_id.values()))
 
 
 def _create_tables(vms: int) -> WorkTables:
@@ -268,7 +268,7 @@
             zone_id=ZoneId("zone-a"),
             address="127.0.0.1:1",
             condition=WorkerCondition.READY,
-            resources=VM_ROOM,
+            resources=VM_RESOURCES,
             labels=(),
             rack_id=RackId(f"r1-{number // 8}"),
             clock_ms=0,
@@ -279,18 +279,18 @@
     return tables
 
 
-def _judge(jobs: list[TrueJob]) -> TurnOutcome:
+def _compute_outcome(jobs: list[SimulatedJob]) -> BurstOutcome:
     mean = sum(job.work for job in jobs) / len(jobs)
-    owed = earned = 0.0
+    total_value = earned = 0.0
     for job in jobs:
         worth = min(0.3 + 0.7 * job.work / mean, 4.0)
-        owed += worth
+        total_value += worth
         earned += worth * job.served
     largest = sorted(jobs, key=lambda job: job.work)[-max(len(jobs) // 10, 1) :]
-    return TurnOutcome(
+    return BurstOutcome(
         jobs=len(jobs),
         in_time=sum(job.served == 1.0 for job in jobs) / len(jobs),
-        worth=earned / owed,
+        worth=earned / total_value,
         largest=sum(job.served for job in largest) / len(largest),
     )
 
@@ -315,7 +315,7 @@
     for title, kind, rate in CASES:
         print(title)
         for name, rule in rules:
-            outcomes = [replay_turn(kind, seed, VMS, rate, rule) for seed in SEEDS]
+            outcomes = [replay_burst(kind, seed, VMS, rate, rule) for seed in SEEDS]
             count = len(outcomes)
             in_time = sum(each.in_time for each in outcomes) / count
             worth = sum(each.worth for each in outcomes) / count
@@ -333,8 +333,8 @@
 __all__ = [
     "LONG_JOBS",
     "SHORT_JOBS",
-    "TurnOutcome",
+    "BurstOutcome",
     "main",
     "rank_by_latest_start",
-    "replay_turn",
+    "replay_burst",
 ]
--- a/packages/bench/src/medlarspring_bench/measure/configuration.py
+++ b/packages/bench/src/medlarspring_bench/measure/configuration.py
@@ -38,7 +38,7 @@
 EDIT_GAP_SECONDS = 0.3
 STORE_DOWN_EDITS = 3
 OUTAGE_SECONDS = 14.0
-HEAL_SECONDS = 9.0
+RECOVERY_SECONDS = 9.0
 """Longest wait of a daemon before it asks a store that failed it again."""
 BURST = 50
 
@@ -77,18 +77,18 @@
     """
     fleet = start_ready(FleetPlan(daemons, zones=4), folder)
     try:
-        knowing = [fleet.list_zone(zone)[0] for zone in fleet.zone_names]
-        others = [each for each in fleet.ids if each not in knowing]
+        informed = [fleet.list_zone(zone)[0] for zone in fleet.zone_names]
+        others = [each for each in fleet.ids if each not in informed]
         lateness = []
         for _ in range(STORE_DOWN_EDITS):
             fleet.cut_store(others, down=True)
             at = asyncio.run(fleet.edit(touch))
-            fleet.wait_in_force(fleet.table.revision, ids=knowing)
-            fleet.cut_store(knowing, down=True)
+            fleet.wait_in_force(fleet.table.revision, ids=informed)
+            fleet.cut_store(informed, down=True)
             in_force = fleet.wait_in_force(fleet.table.revision)
             lateness.append(max(in_force.values()) - at)
             fleet.cut_store(fleet.ids, down=False)
-            time.sleep(HEAL_SECONDS)
+            time.sleep(RECOVERY_SECONDS)
         report(daemons, "store down right after acceptance", lateness)
     finally:
         fleet.close()
--- a/packages/bench/src/medlarspring_bench/measure/configuration_control.py
+++ b/packages/bench/src/medlarspring_bench/measure/configuration_control.py
@@ -36,7 +36,7 @@
 ACTIVE_SHARES = (0, 4, 32)
 
 
-class UsagePart:
+class UsageReporter:
     """Reports so many shares that change all the time."""
 
     def __init__(self, shares: int) -> None:
@@ -76,7 +76,7 @@
         for number in range(daemons)
     ]
     for node in nodes:
-        node.node.report_contributors.append(UsagePart(shares))
+        node.node.report_contributors.append(UsageReporter(shares))
         await node.start()
     list_nodes(nodes)
     await asyncio.sleep(SETTLE_SECONDS)
--- a/packages/bench/src/medlarspring_bench/measure/fleet_moves.py
+++ b/packages/bench/src/medlarspring_bench/measure/fleet_moves.py
@@ -63,10 +63,10 @@
     """Return a demand of the same sum with VMs shifted between two pools."""
     changed = dict(wanted)
     for _ in range(rng.randint(1, 2)):
-        giver, taker = rng.sample(sorted(changed), 2)
-        count = min(rng.randint(1, 3), changed[giver] - SHAPE.min_available)
-        changed[giver] -= count
-        changed[taker] += count
+        source_pool, target_pool = rng.sample(sorted(changed), 2)
+        count = min(rng.randint(1, 3), changed[source_pool] - SHAPE.min_available)
+        changed[source_pool] -= count
+        changed[target_pool] += count
     return changed
 
 
--- a/packages/bench/src/medlarspring_bench/measure/fleet_rollout.py
+++ b/packages/bench/src/medlarspring_bench/measure/fleet_rollout.py
@@ -34,7 +34,7 @@
 DRAIN_SECONDS = 60.0
 REBOOT_SECONDS = 180.0
 RACK_LOST_SECONDS = 1_800.0
-FAILING_PART = 0.02
+FAILING_FRACTION = 0.02
 MAX_SECONDS = 130_000.0
 BAD_IMAGE_SECONDS = 10_000.0
 WAVE = WaveId("w")
@@ -51,7 +51,7 @@
 )
 
 
-class RackWidth:
+class SingleRackLimit:
     """One rack of the whole fleet at a time; the baseline."""
 
     def __init__(self, clock: Clock) -> None:
@@ -75,7 +75,7 @@
         return vm.rack_id == self._rack_id
 
 
-class SpareWidth:
+class SpareReserveLimit:
     """As the inner rule, but leaves the fleet's spare to failures.
 
     Weighed and dropped: slower, and no pool was under its budget for less
@@ -125,7 +125,7 @@
 
 def run_rollout(
     shape: FleetShape,
-    create_width: Callable[[FleetWorld], WaveLimit],
+    create_limit: Callable[[FleetWorld], WaveLimit],
     seed: int,
     tick_seconds: float,
     *,
@@ -136,13 +136,13 @@
     rng = random.Random(seed)
     world = FleetWorld(shape, 1, VMTimes(DRAIN_SECONDS, REBOOT_SECONDS))
     # The rule needs the table that the world makes, so it is set afterwards.
-    world.processes[0].controller.wave_limit = create_width(world)
+    world.processes[0].controller.wave_limit = create_limit(world)
     checker = FleetChecker(world)
     rows = world.platform.rows_by_id
     if bad_image:
         world.platform.faults.fail = set(rows)
     elif has_faults:
-        failing = max(1, round(len(rows) * FAILING_PART))
+        failing = max(1, round(len(rows) * FAILING_FRACTION))
         world.platform.faults.fail = set(rng.sample(sorted(rows), failing))
     started_at = world.clock.now()
     wave = WaveRecord(
@@ -163,7 +163,7 @@
             is_lost = True
             world.platform.set_rack_down(lost_rack, down=True)
         if is_lost and now >= lost_at + RACK_LOST_SECONDS:
-            _mend_rack(world, lost_rack)
+            _restore_rack(world, lost_rack)
             lost_at, is_lost = math.inf, False
         world.run_rounds(1, tick_seconds)
         short, spare = _count(world, checker)
@@ -186,7 +186,7 @@
     )
 
 
-def _mend_rack(world: FleetWorld, rack: str) -> None:
+def _restore_rack(world: FleetWorld, rack: str) -> None:
     for row in world.platform.rows_by_id.values():
         if row.rack == rack and row.condition is Condition.DOWN:
             row.boot += 1
@@ -207,7 +207,7 @@
     return short, spare
 
 
-def bound_by_budgets(shape: FleetShape) -> float:
+def compute_budget_bound(shape: FleetShape) -> float:
     """Return the shortest time that budgets and zones alone would allow."""
     seconds = DRAIN_SECONDS + REBOOT_SECONDS
     room = shape.vms_in_pool - shape.min_available
@@ -217,16 +217,16 @@
     return max(by_pool, by_zone) * seconds
 
 
-def create_widths() -> dict[str, Callable[[FleetWorld], WaveLimit]]:
+def list_limit_factories() -> dict[str, Callable[[FleetWorld], WaveLimit]]:
     """Return the rules that are compared, the baseline first."""
     return {
-        "one rack at a time": lambda world: RackWidth(world.clock),
+        "one rack at a time": lambda world: SingleRackLimit(world.clock),
         "budgets alone": lambda world: BudgetOnlyLimit(),
         "canary, then budgets": lambda world: CanaryLimit(),
         "canary, then budgets less a rack": lambda world: RackReserveLimit(
             CanaryLimit()
         ),
-        "canary, then budgets less spare": lambda world: SpareWidth(
+        "canary, then budgets less spare": lambda world: SpareReserveLimit(
             world.config.pools_by_id, world.config.fleet, CanaryLimit()
         ),
     }
@@ -243,20 +243,20 @@
 
 
 def _measure(name: str, shape: FleetShape, tick_seconds: float, seeds: int) -> None:
-    bound = bound_by_budgets(shape)
+    bound = compute_budget_bound(shape)
     print(f"full wave, {name}, 2% failing, one rack lost for {RACK_LOST_SECONDS:.0f} s")
     print(f"  bound by budgets and zones alone: {bound:.0f} s")
     baseline = 0.0
-    for rule, create_width in create_widths().items():
+    for rule, create_limit in list_limit_factories().items():
         done = [
-            run_rollout(shape, create_width, seed, tick_seconds)
+            run_rollout(shape, create_limit, seed, tick_seconds)
             for seed in range(seeds)
         ]
         seconds = sum(each.seconds for each in done) / seeds
         baseline = baseline or seconds
         under = sum(each.seconds_under_budget for each in done) / seeds
         bad = run_rollout(
-            shape, create_width, 0, tick_seconds, has_faults=False, bad_image=True
+            shape, create_limit, 0, tick_seconds, has_faults=False, bad_image=True
         )
         print(
             f"  {rule:32} {seconds:7.0f} s  {seconds / baseline:5.3f} of the baseline"
@@ -271,11 +271,11 @@
 __all__ = [
     "TARGET",
     "TODAY",
-    "RackWidth",
+    "SingleRackLimit",
     "Rollout",
-    "SpareWidth",
-    "bound_by_budgets",
-    "create_widths",
+    "SpareReserveLimit",
+    "compute_budget_bound",
+    "list_limit_factories",
     "measure_rollout",
     "measure_target",
     "run_rollout",
--- a/packages/bench/src/medlarspring_bench/measure/requests_entry_vm.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_entry_vm.py
@@ -75,7 +75,7 @@
         room = admission.QueueOccupancy(MAX_WAITING, pool.waiting, queue.waiting)
         refusal = admission.check_admission(pool, request, usable, room, now)
         if refusal is not None:
-            self.fleet.note_refused(request)
+            self.fleet.record_refusal(request)
             return
         fair_queue.enqueue(pool, request)
         self.exchange.request_slots_soon(POOL)
@@ -100,19 +100,21 @@
 
     def _expire(self, request: CallerRequest) -> None:
         if fair_queue.remove(self.state.get_pool(POOL), request):
-            self.fleet.note_refused(request)
+            self.fleet.record_refusal(request)
 
     def _begin(self, request: CallerRequest, upstream: Upstream, now: float) -> None:
         upstream.in_use += 1
         fair_queue.begin_request(self.state.get_pool(POOL), request.partner_id, now)
         if not self.fleet.run(upstream.id):
-            self.fleet.at(2 * ONE_WAY_SECONDS, lambda: self._refused(request, upstream))
+            self.fleet.at(
+                2 * ONE_WAY_SECONDS, lambda: self._handle_refusal(request, upstream)
+            )
             return
-        self.fleet.note_start(request, now)
+        self.fleet.record_start(request, now)
         took = self.fleet.draw_service()
         self.fleet.at(took, lambda: self._finish(request, upstream, now))
 
-    def _refused(self, request: CallerRequest, upstream: Upstream) -> None:
+    def _handle_refusal(self, request: CallerRequest, upstream: Upstream) -> None:
         """The upstream's slots were full; only optimistic sending sees this."""
         now = self.fleet.clock.now()
         pool = self.state.get_pool(POOL)
@@ -137,7 +139,7 @@
         )
         if upstream.id in self.limits:
             self._set_limit(upstream, self.limits[upstream.id] + LIMIT_STEP)
-        self.fleet.note_end(request, began, now)
+        self.fleet.record_end(request, began, now)
         self.pump()
 
     def _set_limit(self, upstream: Upstream, limit: float) -> None:
--- a/packages/bench/src/medlarspring_bench/measure/requests_fleet.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_fleet.py
@@ -141,17 +141,17 @@
         drawn = self.rng.lognormvariate(0.0, sigma)
         return self.shape.service_seconds * shrink * drawn + 2 * ONE_WAY_SECONDS
 
-    def note_refused(self, request: CallerRequest) -> None:
+    def record_refusal(self, request: CallerRequest) -> None:
         """Count a refusal."""
         if request.arrived_at >= self.counts_from:
             self.tally.refused[request.partner_id] += 1
 
-    def note_start(self, request: CallerRequest, now: float) -> None:
+    def record_start(self, request: CallerRequest, now: float) -> None:
         """Count the wait of urgent work."""
         if request.urgency is Urgency.URGENT and now >= self.counts_from:
             self.tally.urgent_waits.append(now - request.arrived_at)
 
-    def note_end(self, request: CallerRequest, began: float, now: float) -> None:
+    def record_end(self, request: CallerRequest, began: float, now: float) -> None:
         """Count an answer and the slot time that it took."""
         if now >= self.counts_from:
             self.tally.busy_slot_seconds += now - max(began, self.counts_from)
@@ -182,24 +182,24 @@
                     self._plan_reports(entry_vm, other)
 
     def _tick(self, entry_vm: EntryVM) -> None:
-        for asking in entry_vm.exchange.list_due():
+        for pending in entry_vm.exchange.list_due():
             if self.sharing is Sharing.LOCAL:
-                _forget_partners(asking.request)
-            home = self._by_id[asking.home]
-            self._carry(entry_vm, home, asking)
+                _merge_partners(pending.request)
+            home = self._by_id[pending.home]
+            self._send_slot_request(entry_vm, home, pending)
         self.at(TICK_SECONDS, lambda: self._tick(entry_vm))
 
-    def _carry(
-        self, entry_vm: EntryVM, home: EntryVM, asking: PendingSlotRequest
+    def _send_slot_request(
+        self, entry_vm: EntryVM, home: EntryVM, pending: PendingSlotRequest
     ) -> None:
         delay = 0.0 if home is entry_vm else ONE_WAY_SECONDS
 
         def answer() -> None:
-            reply = home.exchange.answer(asking.request)
+            reply = home.exchange.answer(pending.request)
             self.at(delay, lambda: take(reply))
 
         def take(reply: peer_pb2.SlotReply) -> None:
-            entry_vm.exchange.apply_reply(asking, reply)
+            entry_vm.exchange.apply_reply(pending, reply)
             entry_vm.pump()
 
         self.at(delay, answer)
@@ -217,7 +217,7 @@
         self.at(self.rng.uniform(0, interval), send)
 
 
-def _forget_partners(request: peer_pb2.SlotRequest) -> None:
+def _merge_partners(request: peer_pb2.SlotRequest) -> None:
     """Make the home divide by entry VM alone."""
     total = sum(usage.waiting + usage.running for usage in request.demand)
     pools = {usage.pool for usage in request.demand}
--- a/packages/bench/src/medlarspring_bench/measure/requests_shares.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_shares.py
@@ -21,15 +21,15 @@
 WARM_SECONDS = 8.0
 COUNTED_SECONDS = 12.0
 PARTNERS = ("p1", "p2", "p3", "p4")
-FLOOD = 10.0
-OVERLOAD = 3.0
+FLOOD_FACTOR = 10.0
+OVERLOAD_FACTOR = 3.0
 URGENT_RATE = 4.0
 URGENT_SERVICE_SECONDS = 0.5
 URGENT_DEADLINE_SECONDS = 10.0
 
 
 @dataclass(slots=True, frozen=True)
-class Saturated:
+class SaturatedRun:
     """One saturated run."""
 
     worst_share: float
@@ -49,21 +49,21 @@
     return FleetShape(weights_by_partner=dict.fromkeys(PARTNERS, 1.0))
 
 
-def run_flood(sharing: Sharing, seed: int) -> Saturated:
+def run_flood(sharing: Sharing, seed: int) -> SaturatedRun:
     """One partner floods with ten times its entitlement; the rest want theirs."""
     shape = _create_shape()
     fleet = Fleet(shape, sharing, seed)
     entitled = _capacity(shape) / len(PARTNERS)
     for partner in PARTNERS[1:]:
         fleet.add_load(partner, entitled)
-    fleet.add_load(PARTNERS[0], FLOOD * entitled)
+    fleet.add_load(PARTNERS[0], FLOOD_FACTOR * entitled)
     tally = _count(fleet)
     shares = [
         tally.served[partner] / min(entitled * COUNTED_SECONDS, tally.offered[partner])
         for partner in PARTNERS[1:]
     ]
     slot_seconds = shape.upstreams * SLOTS * COUNTED_SECONDS
-    return Saturated(
+    return SaturatedRun(
         worst_share=min(shares),
         utilisation=tally.busy_slot_seconds / slot_seconds,
         over_slots=tally.over_slots,
@@ -123,7 +123,9 @@
         print(row)
     urgent = max(measure_urgent_start(seed) for seed in SEEDS)
     print(f"| p99 of urgent start on a full fleet (s) | {urgent:.3f} |")
-    ratios = [measure_goodput(OVERLOAD, s) / measure_goodput(1.0, s) for s in SEEDS]
+    ratios = [
+        measure_goodput(OVERLOAD_FACTOR, s) / measure_goodput(1.0, s) for s in SEEDS
+    ]
     print(f"| goodput at 3 times / at 1 time the capacity | {min(ratios):.3f} |")
 
 
--- a/packages/bench/tests/test_fleet_rollout.py
+++ b/packages/bench/tests/test_fleet_rollout.py
@@ -3,9 +3,9 @@
 from medlarspring_bench.fleet_world import FleetShape, FleetWorld
 from medlarspring_bench.measure.fleet_rollout import (
     TODAY,
-    SpareWidth,
-    bound_by_budgets,
-    create_widths,
+    SpareReserveLimit,
+    compute_budget_bound,
+    list_limit_factories,
     run_rollout,
 )
 from medlarspring_systems.wave_limits import BudgetOnlyLimit
@@ -15,11 +15,11 @@
 
 
 def test_wave_without_faults_takes_what_the_budgets_alone_allow():
-    wave_limit = create_widths()["budgets alone"]
+    wave_limit = list_limit_factories()["budgets alone"]
     rollout = run_rollout(TODAY, wave_limit, 0, 1.0, has_faults=False)
     assert rollout.is_done
     assert rollout.broken_by_drains == rollout.seconds_under_budget == 0
-    assert rollout.seconds <= 1.05 * bound_by_budgets(TODAY)
+    assert rollout.seconds <= 1.05 * compute_budget_bound(TODAY)
 
 
 def test_spare_for_failures_is_left_alone_by_the_rule_that_was_dropped():
@@ -28,7 +28,7 @@
     )
     world = FleetWorld(shape, 1)
     process = world.processes[0]
-    process.controller.wave_limit = SpareWidth(
+    process.controller.wave_limit = SpareReserveLimit(
         world.config.pools_by_id, world.config.fleet, BudgetOnlyLimit()
     )
     vm_ids = frozenset(map(VMId, world.platform.rows_by_id))
