--- a/packages/bench/src/medlarspring_bench/measure/__main__.py
+++ b/packages/bench/src/medlarspring_bench/measure/__main__.py
@@ -9,12 +9,12 @@
 import time
 
 from medlarspring_bench.measure import (
+    burst_overload,
     configuration,
     fleet,
     jobs,
     requests,
     table_edits,
-    turn_overload,
 )
 
 AREAS = {
@@ -23,7 +23,7 @@
     "jobs": jobs.main,
     "configuration": lambda: configuration.main([]),
     "table_edits": table_edits.main,
-    "turns": turn_overload.main,
+    "turns": burst_overload.main,
 }
 
 
--- a/packages/systems/tests/scheduling/test_burst_overload.py
+++ b/packages/systems/tests/scheduling/test_burst_overload.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from medlarspring_bench.measure.turn_overload import (
+from medlarspring_bench.measure.burst_overload import (
     LONG_JOBS,
     SHORT_JOBS,
     JobKind,
     rank_by_latest_start,
-    replay_turn,
+    replay_burst,
 )
 from medlarspring_systems.scheduling.ordering import rank_step
 
@@ -18,7 +18,7 @@
 
 
 def measure(kind: JobKind, jobs_per_second: float, rank=rank_step) -> float:  # type: ignore[no-untyped-def]
-    outcomes = [replay_turn(kind, seed, VMS, jobs_per_second, rank) for seed in SEEDS]
+    outcomes = [replay_burst(kind, seed, VMS, jobs_per_second, rank) for seed in SEEDS]
     return sum(outcome.worth for outcome in outcomes) / len(outcomes)
 
 
