--- a/packages/bench/src/medlarspring_bench/measure/burst_overload.py
+++ b/packages/bench/src/medlarspring_bench/measure/burst_overload.py
@@ -1,9 +1,11 @@
-"""A queue's turn that asks for more than its pool holds, replayed in virtual time.
+"""Replays a burst that exceeds the capacity of its pool, in virtual time.
 
-Jobs of one queue come for four seconds at a rate beyond the pool's processors, with
-sizes, durations and estimates as wrong as customers' are. The product's own tables
-and rounds place them; workers are sound and take each task's true duration. What is
-compared is the order of the steps: ``python -m medlarspring_bench.measure turns``.
+Jobs of one queue arrive for four seconds at a rate beyond the pool's processors.
+Their sizes, durations and estimates are as inaccurate as those of customers. The
+product's tables and planning rounds place them; workers never fail and run each
+task for its true duration. The measurement compares rules for the order of steps.
+
+Command: ``python -m medlarspring_bench.measure turns``
 """
 
 from __future__ import annotations
@@ -62,25 +64,25 @@
 VM_RESOURCES = Resources(32_000, 65_536, 0)
 BURST_SECONDS = 4.0
 SETTLE_SECONDS = 12.0
-"""After the turn; jobs that end later are of no use to anybody."""
+"""Replayed time after the burst; jobs that end later count as not served."""
 TICK_SECONDS = 0.015
 START_DELAY_SECONDS = 0.03
-"""From a decision to the start on the worker."""
+"""Delay between the decision and the start of the run on the worker."""
 LATE_VALUE_FRACTION = 0.07
-"""Part of a job's worth that is left up to three times its objective."""
+"""Fraction of a job's value that remains up to three times its objective."""
 LATE_FACTOR = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class LogNormal:
-    """A quantity that spreads log-normally, up to a limit."""
+    """A log-normal distribution, capped at an upper limit."""
 
     mean: float
     spread: float
     most: float
 
     def draw(self, rng: random.Random) -> float:
-        """Draw a value."""
+        """Return a random value from the distribution."""
         sigma = math.sqrt(math.log(1.0 + self.spread**2))
         drawn = rng.lognormvariate(math.log(self.mean) - sigma**2 / 2.0, sigma)
         return min(drawn, self.most)
@@ -88,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobKind:
-    """What the jobs of a queue are like."""
+    """Distributions from which the jobs of a queue are drawn."""
 
     steps: LogNormal
     width: LogNormal
@@ -96,9 +98,9 @@
     cores: LogNormal
     memory_mb: LogNormal
     uneven: float
-    """Spread of the tasks of one step, as a standard deviation of logarithms."""
+    """Standard deviation of the logarithm of task durations within a step."""
     estimate_error: float
-    """The same of estimates against true durations."""
+    """Standard deviation of the logarithm of estimated over usual duration."""
 
 
 SHORT_JOBS = JobKind(
@@ -123,7 +125,7 @@
 
 @dataclass(slots=True)
 class SimulatedJob:
-    """What only the replay knows of a job."""
+    """True durations and result of a job, which the scheduler cannot see."""
 
     arrived_at: Seconds
     seconds: list[list[Seconds]]
@@ -135,7 +137,7 @@
 
     @property
     def served(self) -> float:
-        """What is left of the job's worth when it ends."""
+        """Fraction of the job's value that remains when it ends."""
         if self.took is None or self.took > LATE_FACTOR * self.objective:
             return 0.0
         return 1.0 if self.took <= self.objective else LATE_VALUE_FRACTION
@@ -143,20 +145,20 @@
 
 @dataclass(frozen=True, slots=True)
 class BurstOutcome:
-    """What came of a turn."""
+    """Results of one replayed burst."""
 
     jobs: int
     in_time: float
-    """Part of the jobs that ended within their objective."""
+    """Fraction of the jobs that ended within their objective."""
     worth: float
-    """Part of the worth that was earned; a job's worth grows with its work."""
+    """Fraction of the total value earned; a job's value grows with its work."""
     largest: float
-    """What the largest tenth of the jobs earned, each counted alike."""
+    """Fraction of value earned by the largest tenth of jobs, weighted equally."""
 
 
 @dataclass(slots=True)
 class Replay:
-    """One turn while it is replayed."""
+    """State of a burst during its replay."""
 
     kind: JobKind
     rng: random.Random
@@ -165,7 +167,7 @@
     ends: list[tuple[Seconds, int, Run]] = field(default_factory=list)
 
     def add_job(self, number: int, arrived_at: Seconds, now: Seconds) -> None:
-        """Let a job come."""
+        """Draw a job and admit it to the tables."""
         count = max(round(self.kind.steps.draw(self.rng)), 1)
         usual = self.kind.seconds.draw(self.rng)
         steps = tuple(self._draw_step(index, usual) for index in range(count))
@@ -203,7 +205,7 @@
         ]
 
     def start(self, run: Run, now: Seconds) -> None:
-        """Carry a start out."""
+        """Start a run and schedule its end after the true duration."""
         step = run.task.step
         run.state = RunState.RUNNING
         run.confirmed_at = now + START_DELAY_SECONDS
@@ -212,7 +214,7 @@
         heapq.heappush(self.ends, entry)
 
     def end_due(self, now: Seconds) -> None:
-        """Take over what has ended by now."""
+        """Apply the ends of all runs that are due by ``now``."""
         while self.ends and self.ends[0][0] <= now:
             run = heapq.heappop(self.ends)[2]
             end_run(self.tables, run, RunEnd.DONE, "", now)
@@ -224,7 +226,7 @@
 
 
 def rank_by_latest_start(step: StepRun, now: Seconds, _: float) -> Rank:
-    """Return the rank that the product gave before sizes counted."""
+    """Return the rank by latest start alone, without regard to job size."""
     return rank_step(step, now, 0.0)
 
 
@@ -235,7 +237,7 @@
     jobs_per_second: float,
     rule: RankRule = rank_step,
 ) -> BurstOutcome:
-    """Replay one turn over a pool of ``vms`` VMs."""
+    """Replay one burst on a pool of ``vms`` VMs."""
     rng = random.Random(seed)
     replay = Replay(kind, rng, _create_tables(vms))
     arrived_at = rng.expovariate(jobs_per_second)
@@ -307,7 +309,7 @@
 
 
 def main() -> None:
-    """Print what each order earns of the replayed turns."""
+    """Print the results of each ranking rule for the replayed bursts."""
     rules: tuple[tuple[str, RankRule], ...] = (
         ("latest start alone", rank_by_latest_start),
         ("latest start and size", rank_step),
--- a/packages/bench/src/medlarspring_bench/measure/fleet.py
+++ b/packages/bench/src/medlarspring_bench/measure/fleet.py
@@ -1,4 +1,4 @@
-"""All measurements of the fleet, or those that are named.
+"""Runs all fleet measurements, or only the named ones.
 
 Command: ``python -m medlarspring_bench.measure.fleet [NAME ...]``
 """
@@ -22,7 +22,7 @@
 
 
 def measure_histories() -> None:
-    """Print what the seeded histories of faults showed."""
+    """Print the results of the seeded fault histories."""
     started = time.monotonic()
     histories = [run_fleet_history(seed) for seed in range(HISTORIES)]
     broken = [each.seed for each in histories if each.violations]
--- a/packages/bench/src/medlarspring_bench/measure/fleet_buffer.py
+++ b/packages/bench/src/medlarspring_bench/measure/fleet_buffer.py
@@ -1,4 +1,4 @@
-"""Spare held idle: pooled, against a reserve for each partner and pool.
+"""Measures idle spare VMs: pooled, against reserves per partner or pool.
 
 Command: ``python -m medlarspring_bench.measure.fleet buffer``
 """
@@ -15,12 +15,12 @@
 PARTNERS = 4
 POOLS = 5
 NEEDED_IN_POOL = 4
-"""VMs that must be able to serve in each pool; one for each partner."""
+"""Minimum number of available VMs per pool, one for each partner."""
 
 
 @dataclass(slots=True)
 class Buffer:
-    """What a fleet of one size showed over all seeds."""
+    """Results for one fleet size over all seeds."""
 
     vms: int
     idle_vms: float
@@ -47,7 +47,7 @@
 
 
 def measure_buffer(seeds: int = 6) -> None:
-    """Print the idle spare of fleets that were under no budget at any moment."""
+    """Print the idle spare VMs of fleets sized to stay within all budgets."""
     print(f"spare held idle, {PARTNERS} partners, {POOLS} pools, {seeds} seeds")
     baseline = 0.0
     for name, pools, needed, vms, spare in (
--- a/packages/bench/src/medlarspring_bench/measure/fleet_moves.py
+++ b/packages/bench/src/medlarspring_bench/measure/fleet_moves.py
@@ -1,4 +1,4 @@
-"""Moves for changes of demand, against placing afresh and the least possible.
+"""Counts VM moves on demand changes, against new placement and the minimum.
 
 Command: ``python -m medlarspring_bench.measure.fleet moves``
 """
@@ -22,7 +22,7 @@
 
 
 def measure_moves(seeds: int = 3) -> None:
-    """Print moves of the controllers, of a fresh placement and of layers only."""
+    """Print moves by the controllers, by new placement and with layers only."""
     done = least = afresh = broken = 0
     layer_unmet = held_by_layers = 0
     for seed in range(seeds):
@@ -60,7 +60,7 @@
 
 
 def _change(wanted: dict[PoolId, int], rng: random.Random) -> dict[PoolId, int]:
-    """Return a demand of the same sum with VMs shifted between two pools."""
+    """Return a demand with the same total and VMs shifted between pools."""
     changed = dict(wanted)
     for _ in range(rng.randint(1, 2)):
         source_pool, target_pool = rng.sample(sorted(changed), 2)
@@ -71,7 +71,7 @@
 
 
 def _place_afresh(vms: list[str], wanted: dict[PoolId, int]) -> dict[str, PoolId]:
-    """Place each VM by rendezvous hash in a pool that still wants one."""
+    """Assign each VM by rendezvous hash to a pool that still needs VMs."""
     left = dict(wanted)
     placed: dict[str, PoolId] = {}
     for vm in vms:
--- a/packages/bench/src/medlarspring_bench/measure/fleet_rollout.py
+++ b/packages/bench/src/medlarspring_bench/measure/fleet_rollout.py
@@ -1,4 +1,4 @@
-"""Roll-out time of a full wave, by the rule that limits its width.
+"""Measures the roll-out time of a full wave under different wave limits.
 
 Command: ``python -m medlarspring_bench.measure.fleet rollout``
 """
@@ -52,7 +52,7 @@
 
 
 class SingleRackLimit:
-    """One rack of the whole fleet at a time; the baseline."""
+    """Baseline wave limit: drains one rack of the fleet at a time."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -62,7 +62,7 @@
     def allows(
         self, draft: Draft, wave: WaveRecord, vm: VMRecord, pool: PoolRow
     ) -> bool:
-        """Allow a VM of the first rack that is not through."""
+        """Return whether the VM is in the first rack that is not finished."""
         if self._chosen_at != self._clock.now():
             self._chosen_at = self._clock.now()
             left = (
@@ -76,11 +76,11 @@
 
 
 class SpareReserveLimit:
-    """As the inner rule, but leaves the fleet's spare to failures.
+    """Wave limit that also reserves the fleet's spare VMs for failures.
 
-    Weighed and dropped: slower, and no pool was under its budget for less
-    time. Spare is counted over the fleet, as what serves above all budgets
-    together; a wave with no VM out may always take one.
+    The product does not use it: it is slower and does not shorten the time that
+    pools are under their budgets. Spare is counted over the fleet, as the VMs that serve
+    above the sum of all budgets. A wave with no VM out may always take one.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
     def allows(
         self, draft: Draft, wave: WaveRecord, vm: VMRecord, pool: PoolRow
     ) -> bool:
-        """Allow what the inner rule allows while spare stays whole."""
+        """Return whether the inner limit allows the VM and the reserve is kept."""
         if not self._inner.allows(draft, wave, vm, pool):
             return False
         tables = draft.tables
@@ -110,17 +110,17 @@
 
 @dataclass(slots=True)
 class Rollout:
-    """What one wave took."""
+    """Results of one wave."""
 
     seconds: float
     is_done: bool
     broken_by_drains: int
     seconds_under_budget: float
-    """Summed over pools, whatever the cause."""
+    """Sum over all pools, whatever the cause."""
     rebooted: int
     given_up: int
     idle_vms: float
-    """VMs that served above the budgets, on average."""
+    """Average number of VMs that served above the budgets."""
 
 
 def run_rollout(
@@ -132,10 +132,13 @@
     has_faults: bool = True,
     bad_image: bool = False,
 ) -> Rollout:
-    """Run one wave over the whole fleet to its end."""
+    """Run one wave over the whole fleet until it ends or reaches the time limit.
+
+    With a bad image, the run also ends when the wave is paused.
+    """
     rng = random.Random(seed)
     world = FleetWorld(shape, 1, VMTimes(DRAIN_SECONDS, REBOOT_SECONDS))
-    # The rule needs the table that the world makes, so it is set afterwards.
+    # The limit needs the configuration table that the world creates.
     world.processes[0].controller.wave_limit = create_limit(world)
     checker = FleetChecker(world)
     rows = world.platform.rows_by_id
@@ -194,7 +197,7 @@
 
 
 def _count(world: FleetWorld, checker: FleetChecker) -> tuple[int, int]:
-    """Return the pools under their budget and the VMs above all budgets."""
+    """Return the number of pools under budget and of VMs above the budgets."""
     short = spare = 0
     for pool in world.config.pools_by_id.values():
         serving = sum(
@@ -208,7 +211,7 @@
 
 
 def compute_budget_bound(shape: FleetShape) -> float:
-    """Return the shortest time that budgets and zones alone would allow."""
+    """Return the shortest time in seconds that budgets and zone limits allow."""
     seconds = DRAIN_SECONDS + REBOOT_SECONDS
     room = shape.vms_in_pool - shape.min_available
     by_pool = math.ceil(shape.vms_in_pool / room)
@@ -218,7 +221,7 @@
 
 
 def list_limit_factories() -> dict[str, Callable[[FleetWorld], WaveLimit]]:
-    """Return the rules that are compared, the baseline first."""
+    """Return factories of the compared wave limits by name, baseline first."""
     return {
         "one rack at a time": lambda world: SingleRackLimit(world.clock),
         "budgets alone": lambda world: BudgetOnlyLimit(),
@@ -233,12 +236,12 @@
 
 
 def measure_rollout(seeds: int = 4) -> None:
-    """Print the roll-out times of all rules at today's size."""
+    """Print the roll-out times of all wave limits for the current fleet size."""
     _measure("44 VMs, 5 pools", TODAY, 5.0, seeds)
 
 
 def measure_target() -> None:
-    """Print the roll-out times of all rules at the target's size."""
+    """Print the roll-out times of all wave limits for the target fleet size."""
     _measure("848 VMs, 46 pools", TARGET, 40.0, 1)
 
 
--- a/packages/bench/src/medlarspring_bench/measure/fleet_tick.py
+++ b/packages/bench/src/medlarspring_bench/measure/fleet_tick.py
@@ -1,4 +1,4 @@
-"""Processor time of a round of control work, and how it grows with the fleet.
+"""Measures the processor time of a control round by fleet size.
 
 Command: ``python -m medlarspring_bench.measure.fleet tick``
 """
@@ -31,7 +31,7 @@
 
 
 def measure_tick() -> None:
-    """Print milliseconds a round while idle, planning everything, in a wave."""
+    """Print milliseconds per round: idle, planning all pools, and in a wave."""
     print("processor time of one round, all pools held by one process")
     for name, shape in SIZES:
         world = FleetWorld(shape, 1)
--- a/packages/bench/src/medlarspring_bench/measure/jobs.py
+++ b/packages/bench/src/medlarspring_bench/measure/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs: waste of wrong sizes, urgent starts, placement and the cost of a tick.
+"""Measures jobs: waste from wrong sizes, urgent starts and placement cost.
 
 Command: ``python -m medlarspring_bench.measure.jobs``
 """
@@ -21,13 +21,16 @@
 """830 workers over 46 pools."""
 TARGET_PARTNERS = 370
 FACTORS = (0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0)
-"""True use divided by declared use, one factor a kind of job."""
+"""True use divided by declared use, one factor for each kind of job."""
 
 
 def make_job(
     rng: random.Random, number: int, now: float, partners: int, cpus: float
 ) -> tuple[Job, TrueNeed]:
-    """Return a job whose declaration is off by its kind's factor."""
+    """Return a job whose true need is its declared size times a factor.
+
+    The factor depends on the partner and the kind of job.
+    """
     partner = rng.randrange(partners)
     kind = rng.randrange(3)
     factor = FACTORS[(partner * 3 + kind) % len(FACTORS)]
@@ -47,7 +50,7 @@
 
 
 def measure_waste(seed: int, *, learn: bool) -> tuple[float, int, int]:
-    """Return the useful part of processor time, jobs done, memory kills."""
+    """Return the useful fraction of CPU time, jobs done and memory kills."""
     model = PoolModel(seed, POOL_WORKERS, partners=8, learn=learn)
     number = 0
     for _ in range(2400):
@@ -61,7 +64,7 @@
 
 
 def measure_urgent(seed: int) -> list[float]:
-    """Return the waits of urgent jobs on a pool full of other work."""
+    """Return the sorted waits of urgent jobs on a full pool, in seconds."""
     model = PoolModel(seed, POOL_WORKERS, partners=8)
     number = 0
     for tick in range(2400):
@@ -79,7 +82,7 @@
 
 
 def measure_tick(workers: int, partners: int, jobs: int) -> tuple[float, float]:
-    """Return milliseconds of one placement round, busy and without news."""
+    """Return the milliseconds of a placement round with and without changes."""
     model = PoolModel(1, workers, partners)
     for number in range(jobs):
         cpus = model.rng.choice((2.0, 4.0, 8.0))
--- a/packages/bench/src/medlarspring_bench/measure/requests_entry_vm.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_entry_vm.py
@@ -1,4 +1,4 @@
-"""One simulated entry VM: the product's decisions without its event loop."""
+"""Simulates an entry VM with the product's decisions but no event loop."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
         self.fleet.at(max(0.0, left), lambda: self._expire(request))
 
     def pump(self) -> None:
-        """Give free slots to the requests that go next."""
+        """Send queued requests to free slots in fair-queue order."""
         pool = self.state.get_pool(POOL)
         now = self.fleet.clock.now()
         fleet_slots = self.state.count_fleet_slots(POOL)
@@ -115,7 +115,10 @@
         self.fleet.at(took, lambda: self._finish(request, upstream, now))
 
     def _handle_refusal(self, request: CallerRequest, upstream: Upstream) -> None:
-        """The upstream's slots were full; only optimistic sending sees this."""
+        """Requeue a request that a full upstream refused.
+
+        This happens with optimistic sharing only.
+        """
         now = self.fleet.clock.now()
         pool = self.state.get_pool(POOL)
         upstream.in_use -= 1
--- a/packages/bench/src/medlarspring_bench/measure/requests_fleet.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of entry VMs and upstream VMs under a virtual clock.
+"""Simulates a fleet of entry VMs and upstream VMs with a virtual clock.
 
-Admission, fair queue, routing and the exchange of slots are the product's own;
-only the wire, the callers and the upstream VMs are simulated.
+Admission, fair queue, routing and slot exchange are the product's code; only the
+network, the callers and the upstream VMs are simulated.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 class Fleet:
-    """The event loop of the simulation."""
+    """The simulated fleet and its event loop."""
 
     def __init__(self, shape: FleetShape, sharing: Sharing, seed: int) -> None:
         self.shape = shape
@@ -77,13 +77,13 @@
             self._connect(each)
 
     def at(self, delay: float, action: Callable[[], None]) -> None:
-        """Do something later."""
+        """Schedule an action after a delay in seconds."""
         self._sequence += 1
         due = self.clock.now() + delay
         heapq.heappush(self._events, (due, self._sequence, action))
 
     def run_until(self, end: float) -> None:
-        """Let virtual time pass, counted from the start."""
+        """Run events until ``end`` seconds after the start of the simulation."""
         limit = 1000.0 + end
         while self._events and self._events[0][0] <= limit:
             due, _, action = heapq.heappop(self._events)
@@ -93,7 +93,7 @@
     def add_load(
         self, partner: str, rate: float, urgency: Urgency = Urgency.NORMAL
     ) -> None:
-        """Offer requests at a rate, at random times, through the balancer."""
+        """Send requests through the load balancer at a mean rate per second."""
         weights = [self.shape.skew] + [1.0] * (len(self.entry_vms) - 1)
 
         def arrive() -> None:
@@ -120,7 +120,7 @@
         self.at(self.rng.expovariate(rate), arrive)
 
     def run(self, vm_id: VMId) -> bool:
-        """Take a slot of an upstream VM; False if it refuses."""
+        """Acquire a slot of an upstream VM; return False if it refuses."""
         if self._running[vm_id] >= SLOTS:
             self.tally.refusals_by_upstreams += 1
             if self.sharing in (Sharing.CREDITS, Sharing.LOCAL):
@@ -131,28 +131,28 @@
         return True
 
     def end_run(self, vm_id: VMId) -> None:
-        """Give the slot back."""
+        """Release a slot of an upstream VM."""
         self._running[vm_id] -= 1
 
     def draw_service(self) -> float:
-        """Return how long one request runs."""
+        """Return a random service time in seconds, network delays included."""
         sigma = self.shape.service_sigma
         shrink = math.exp(-sigma * sigma / 2)
         drawn = self.rng.lognormvariate(0.0, sigma)
         return self.shape.service_seconds * shrink * drawn + 2 * ONE_WAY_SECONDS
 
     def record_refusal(self, request: CallerRequest) -> None:
-        """Count a refusal."""
+        """Count a refused request after the warm-up."""
         if request.arrived_at >= self.counts_from:
             self.tally.refused[request.partner_id] += 1
 
     def record_start(self, request: CallerRequest, now: float) -> None:
-        """Count the wait of urgent work."""
+        """Record how long an urgent request waited."""
         if request.urgency is Urgency.URGENT and now >= self.counts_from:
             self.tally.urgent_waits.append(now - request.arrived_at)
 
     def record_end(self, request: CallerRequest, began: float, now: float) -> None:
-        """Count an answer and the slot time that it took."""
+        """Count a response and the slot time that it used."""
         if now >= self.counts_from:
             self.tally.busy_slot_seconds += now - max(began, self.counts_from)
             if now <= request.deadline:
@@ -218,7 +218,7 @@
 
 
 def _merge_partners(request: peer_pb2.SlotRequest) -> None:
-    """Make the home divide by entry VM alone."""
+    """Merge the demand of all partners, so the home divides by entry VM."""
     total = sum(usage.waiting + usage.running for usage in request.demand)
     pools = {usage.pool for usage in request.demand}
     request.ClearField("demand")
--- a/packages/bench/src/medlarspring_bench/measure/requests_model.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_model.py
@@ -1,4 +1,4 @@
-"""Shapes and tallies of the simulated fleet."""
+"""Parameters and counters of the simulated fleet."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Sharing(Enum):
-    """Ways of sharing slots between entry VMs."""
+    """Schemes for sharing slots between entry VMs."""
 
     CREDITS = "credits by a home, divided by partner"
     LOCAL = "credits by a home, local queues only"
@@ -32,13 +32,13 @@
 
 @dataclass(slots=True)
 class FleetShape:
-    """Sizes of the simulated fleet and of its work."""
+    """Size of the simulated fleet and parameters of its load."""
 
     entry_vms: int = 8
     zones: int = 4
     upstreams: int = 8
     skew: float = 4.0
-    """Weight of the first entry VM at the balancer, the others having 1."""
+    """Load balancer weight of the first entry VM; the others have weight 1."""
     service_seconds: float = 0.05
     service_sigma: float = 0.5
     deadline_seconds: float = 2.0
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What became of the requests after the warm-up."""
+    """Counters of requests after the warm-up."""
 
     offered: Counter[str] = field(default_factory=Counter)
     served: Counter[str] = field(default_factory=Counter)
@@ -57,7 +57,7 @@
     busy_slot_seconds: float = 0.0
     refusals_by_upstreams: int = 0
     over_slots: int = 0
-    """Times that an upstream was given more than its slots."""
+    """How often an upstream received a request with all its slots in use."""
 
 
 __all__ = [
--- a/packages/bench/src/medlarspring_bench/measure/requests_shares.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_shares.py
@@ -1,6 +1,6 @@
-"""Shares, utilisation, urgency and overload, in simulated fleets.
+"""Measures shares, utilisation, urgent starts and overload in simulated fleets.
 
-Seeds are fixed, so that the same code gives the same figures.
+Seeds are fixed, so the same code gives the same figures.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 
 @dataclass(slots=True, frozen=True)
 class SaturatedRun:
-    """One saturated run."""
+    """Results of one run of a saturated fleet."""
 
     worst_share: float
-    """Least of the victims' served share of their entitlement."""
+    """Smallest fraction of its entitlement that a non-flooding partner got."""
     utilisation: float
     over_slots: int
     refusals: int
 
 
 def _capacity(shape: FleetShape) -> float:
-    """Requests per second that all slots together can serve."""
+    """Return the requests per second that all slots together can serve."""
     busy = shape.service_seconds + 2 * ONE_WAY_SECONDS
     return shape.upstreams * SLOTS / busy
 
@@ -50,7 +50,7 @@
 
 
 def run_flood(sharing: Sharing, seed: int) -> SaturatedRun:
-    """One partner floods with ten times its entitlement; the rest want theirs."""
+    """Run a flood: one partner sends ten times its entitlement, others once."""
     shape = _create_shape()
     fleet = Fleet(shape, sharing, seed)
     entitled = _capacity(shape) / len(PARTNERS)
@@ -79,7 +79,7 @@
 
 
 def measure_urgent_start(seed: int) -> float:
-    """Return p99 of the wait of urgent work on a full fleet, in seconds."""
+    """Return the p99 wait of urgent requests on a full fleet, in seconds."""
     shape = _create_shape()
     shape.service_seconds = URGENT_SERVICE_SECONDS
     shape.deadline_seconds = URGENT_DEADLINE_SECONDS
@@ -93,7 +93,10 @@
 
 
 def measure_goodput(load: float, seed: int) -> float:
-    """Return answers within their deadline per second at a part of capacity."""
+    """Return responses within their deadline per second.
+
+    ``load`` is the offered load as a multiple of the capacity.
+    """
     shape = _create_shape()
     fleet = Fleet(shape, Sharing.CREDITS, seed)
     for partner in PARTNERS:
@@ -102,7 +105,7 @@
 
 
 def measure_sharing() -> list[str]:
-    """Return one row for each way of sharing slots."""
+    """Return one table row for each scheme of sharing slots."""
     rows = []
     for sharing in Sharing:
         runs = [run_flood(sharing, seed) for seed in SEEDS]
