--- a/packages/bench/src/medlarspring_bench/measure/fleet_rollout.py
+++ b/packages/bench/src/medlarspring_bench/measure/fleet_rollout.py
@@ -79,8 +79,8 @@
     """Wave limit that also reserves the fleet's spare VMs for failures.
 
     The product does not use it: it is slower and does not shorten the time that
-    pools are under their budgets. Spare is counted over the fleet, as the VMs that serve
-    above the sum of all budgets. A wave with no VM out may always take one.
+    pools are under their budgets. Spare is counted over the fleet, as the VMs that
+    serve above the sum of all budgets. A wave with no VM out may always take one.
     """
 
     def __init__(
