--- a/packages/bench/src/medlarspring_bench/measure/burst_overload.py
+++ b/packages/bench/src/medlarspring_bench/measure/burst_overload.py
@@ -150,7 +150,7 @@
     jobs: int
     in_time: float
     """Fraction of the jobs that ended within their objective."""
-    worth: float
+    value: float
     """Fraction of the total value earned; a job's value grows with its work."""
     largest: float
     """Fraction of value earned by the largest tenth of jobs, weighted equally."""
@@ -285,14 +285,14 @@
     mean = sum(job.work for job in jobs) / len(jobs)
     total_value = earned = 0.0
     for job in jobs:
-        worth = min(0.3 + 0.7 * job.work / mean, 4.0)
-        total_value += worth
-        earned += worth * job.served
+        value = min(0.3 + 0.7 * job.work / mean, 4.0)
+        total_value += value
+        earned += value * job.served
     largest = sorted(jobs, key=lambda job: job.work)[-max(len(jobs) // 10, 1) :]
     return BurstOutcome(
         jobs=len(jobs),
         in_time=sum(job.served == 1.0 for job in jobs) / len(jobs),
-        worth=earned / total_value,
+        value=earned / total_value,
         largest=sum(job.served for job in largest) / len(largest),
     )
 
@@ -320,10 +320,10 @@
             outcomes = [replay_burst(kind, seed, VMS, rate, rule) for seed in SEEDS]
             count = len(outcomes)
             in_time = sum(each.in_time for each in outcomes) / count
-            worth = sum(each.worth for each in outcomes) / count
+            value = sum(each.value for each in outcomes) / count
             largest = sum(each.largest for each in outcomes) / count
             print(
-                f"  {name:24} in time {in_time:.3f}  worth {worth:.3f}"
+                f"  {name:24} in time {in_time:.3f}  worth {value:.3f}"
                 f"  largest tenth {largest:.3f}"
             )
 
--- a/packages/bench/src/medlarspring_bench/measure/configuration_takeover.py
+++ b/packages/bench/src/medlarspring_bench/measure/configuration_takeover.py
@@ -20,8 +20,8 @@
     from pathlib import Path
 
 SETTLE_SECONDS = 16.0
-FREEZE_SECONDS = 15.0
-LEASE_LAPSED = 4022
+PAUSE_SECONDS = 15.0
+LEASE_EXPIRED = 4022
 ROUNDS = 2
 
 
@@ -31,7 +31,7 @@
     try:
         for _ in range(ROUNDS):
             _measure_kill(fleet)
-        _measure_freeze(fleet)
+        _measure_pause(fleet)
         _measure_shutdown(fleet)
     finally:
         fleet.close()
@@ -45,7 +45,7 @@
     return busiest, [pool for pool, holder in holders.items() if holder == busiest]
 
 
-def wait_taken_over(fleet: Fleet, lost: str, pools: list[str], since: float) -> float:
+def wait_for_takeover(fleet: Fleet, lost: str, pools: list[str], since: float) -> float:
     """Wait until others hold the pools; returns the seconds to the last one."""
 
     def find_times() -> list[float] | None:
@@ -65,27 +65,27 @@
     lost, pools = find_busiest(fleet)
     since = time.time()
     fleet.daemons_by_id[lost].kill()
-    seconds = wait_taken_over(fleet, lost, pools, since)
+    seconds = wait_for_takeover(fleet, lost, pools, since)
     print(f"takeover of {len(pools)} pools after a kill: {seconds:.2f} s", flush=True)
     fleet.start_daemon(lost, fleet.zones_by_id[lost])
     fleet.wait_listening(lost)
     fleet.list_daemons()
 
 
-def _measure_freeze(fleet: Fleet) -> None:
+def _measure_pause(fleet: Fleet) -> None:
     time.sleep(SETTLE_SECONDS)
     lost, pools = find_busiest(fleet)
     process = fleet.daemons_by_id[lost]
     since = time.time()
     process.pause()
-    seconds = wait_taken_over(fleet, lost, pools, since)
-    time.sleep(max(FREEZE_SECONDS - seconds, 0.0))
-    thawed_at = time.time()
+    seconds = wait_for_takeover(fleet, lost, pools, since)
+    time.sleep(max(PAUSE_SECONDS - seconds, 0.0))
+    resumed_at = time.time()
     process.resume()
-    lapsed = process.wait_for_record(
-        lambda record: record.get("event") == LEASE_LAPSED, 10.0
+    expiry = process.wait_for_record(
+        lambda record: record.get("event") == LEASE_EXPIRED, 10.0
     )
-    noticed = read_time(lapsed) - thawed_at
+    noticed = read_time(expiry) - resumed_at
     print(
         f"takeover of {len(pools)} pools after a freeze: {seconds:.2f} s;"
         f" the frozen holder noticed {noticed * 1000:.0f} ms after the thaw",
@@ -98,8 +98,8 @@
     lost, pools = find_busiest(fleet)
     since = time.time()
     fleet.daemons_by_id[lost].terminate()
-    seconds = wait_taken_over(fleet, lost, pools, since)
+    seconds = wait_for_takeover(fleet, lost, pools, since)
     print(f"takeover of {len(pools)} pools after SIGTERM: {seconds:.2f} s", flush=True)
 
 
-__all__ = ["find_busiest", "measure_takeover", "wait_taken_over"]
+__all__ = ["find_busiest", "measure_takeover", "wait_for_takeover"]
--- a/packages/bench/src/medlarspring_bench/measure/requests_cost.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_cost.py
@@ -47,7 +47,7 @@
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
-        self._answered: asyncio.Future[None] | None = None
+        self._response_received: asyncio.Future[None] | None = None
         self._received = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -61,21 +61,21 @@
         if not separator:
             return
         length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
-        if len(body) < length or self._answered is None:
+        if len(body) < length or self._response_received is None:
             return
         if not head.startswith(OK):
-            self._answered.set_exception(RuntimeError(head.decode()))
+            self._response_received.set_exception(RuntimeError(head.decode()))
         else:
-            self._answered.set_result(None)
+            self._response_received.set_result(None)
         self._received = b""
 
-    async def ask(self) -> float:
+    async def send_request(self) -> float:
         """Send one request; return the seconds until its answer."""
         assert self._transport is not None
-        self._answered = asyncio.get_running_loop().create_future()
+        self._response_received = asyncio.get_running_loop().create_future()
         began = time.perf_counter()
         self._transport.write(REQUEST)
-        await self._answered
+        await self._response_received
         return time.perf_counter() - began
 
 
@@ -88,7 +88,7 @@
 
 async def _measure_round(address: str, pid: int, cost: Cost) -> None:
     client = await _connect(address)
-    times = sorted([await client.ask() * 1000 for _ in range(LIGHT_REQUESTS)])
+    times = sorted([await client.send_request() * 1000 for _ in range(LIGHT_REQUESTS)])
     cost.p50_ms.append(times[len(times) // 2])
     cost.p99_ms.append(times[len(times) * 99 // 100])
     clients = [await _connect(address) for _ in range(LOADED_CONNECTIONS)]
@@ -101,7 +101,7 @@
 
 async def _repeat(client: Client, times: int) -> None:
     for _ in range(times):
-        await client.ask()
+        await client.send_request()
 
 
 def _cpu_seconds(pid: int) -> float:
--- a/packages/bench/src/medlarspring_bench/measure/requests_faults.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_faults.py
@@ -63,32 +63,32 @@
         self._session = session
         self._url = f"http://{address}/{SERVICE}/x?work_ms={WORK_MS}"
         self._rng = random.Random(SEED)
-        self._asked: set[asyncio.Task[bool]] = set()
+        self._running_tasks: set[asyncio.Task[bool]] = set()
 
     async def send_for(self, seconds: float) -> float:
         """Return the part of the requests that got a good answer in time."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
-        asked = []
+        tasks = []
         while (now := loop.time()) < end:
-            task = loop.create_task(self._ask())
-            self._asked.add(task)
-            task.add_done_callback(self._asked.discard)
-            asked.append(task)
+            task = loop.create_task(self._send_request())
+            self._running_tasks.add(task)
+            task.add_done_callback(self._running_tasks.discard)
+            tasks.append(task)
             pause = self._rng.expovariate(RATE)
             await asyncio.sleep(max(0.0, now + pause - loop.time()))
-        return sum(await asyncio.gather(*asked)) / len(asked)
+        return sum(await asyncio.gather(*tasks)) / len(tasks)
 
-    async def _ask(self) -> bool:
+    async def _send_request(self) -> bool:
         headers = {
             "Authorization": f"Bearer {CREDENTIAL}",
             "Request-Timeout": str(TIMEOUT_SECONDS),
         }
         try:
             async with asyncio.timeout(TIMEOUT_SECONDS):
-                async with self._session.get(self._url, headers=headers) as answer:
-                    await answer.read()
-                    return answer.status == 200
+                async with self._session.get(self._url, headers=headers) as response:
+                    await response.read()
+                    return response.status == 200
         except (TimeoutError, aiohttp.ClientError):
             return False
 
--- a/packages/bench/src/medlarspring_bench/measure/requests_processes.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_processes.py
@@ -57,7 +57,7 @@
 
     Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
-ANSWER = b"x" * 512
+RESPONSE_BODY = b"x" * 512
 CREDENTIAL = "measure"
 SERVICE = "consent"
 UPSTREAM_SLOTS = 64
@@ -76,7 +76,7 @@
 
     async def handle(request: web.BaseRequest) -> web.Response:
         await request.read()
-        return web.Response(body=ANSWER, headers={"Content-Type": "text/plain"})
+        return web.Response(body=RESPONSE_BODY, headers={"Content-Type": "text/plain"})
 
     announce(control=await _open(handle))
     await wait_for_end()
@@ -90,36 +90,36 @@
         cookie_jar=aiohttp.DummyCookieJar(),
         auto_decompress=False,
     )
-    turn = 0
+    request_count = 0
 
     async def handle(request: web.BaseRequest) -> web.Response:
-        nonlocal turn
-        turn += 1
+        nonlocal request_count
+        request_count += 1
         body = await request.read()
-        upstream = upstreams[turn % len(upstreams)]
+        upstream = upstreams[request_count % len(upstreams)]
         async with session.request(
             request.method,
             URL(f"http://{upstream}{request.raw_path}", encoded=True),
-            headers=_pass(request.headers),
+            headers=_copy_end_to_end_headers(request.headers),
             data=body or None,
             allow_redirects=False,
-        ) as answer:
-            held = await answer.read()
-            headers = _pass(answer.headers)
+        ) as response:
+            content = await response.read()
+            headers = _copy_end_to_end_headers(response.headers)
             headers.popall("Content-Length", None)
-            return web.Response(status=answer.status, headers=headers, body=held)
+            return web.Response(status=response.status, headers=headers, body=content)
 
     announce(control=await _open(handle))
     await wait_for_end()
     await session.close()
 
 
-def _pass(headers: CIMultiDictProxy[str]) -> CIMultiDict[str]:
-    passed: CIMultiDict[str] = CIMultiDict()
+def _copy_end_to_end_headers(headers: CIMultiDictProxy[str]) -> CIMultiDict[str]:
+    copied: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
         if name.lower() not in HOP_HEADERS and name.lower() != "host":
-            passed.add(name, value)
-    return passed
+            copied.add(name, value)
+    return copied
 
 
 async def serve_caller_port(upstreams: list[str], slots: int) -> None:
--- a/packages/bench/src/medlarspring_bench/measure/table_edits.py
+++ b/packages/bench/src/medlarspring_bench/measure/table_edits.py
@@ -77,15 +77,15 @@
     """Send a burst of edits of different rows, spread over the editors."""
     clock = SystemClock()
     store = create_memory_store(clock)
-    crowd = [_create_editor(store, clock, seed) for seed in range(editors)]
-    (await crowd[0].accept(create_first_edit(), "measure")).unwrap()
+    table_editors = [_create_editor(store, clock, seed) for seed in range(editors)]
+    (await table_editors[0].accept(create_first_edit(), "measure")).unwrap()
     store.faults.slow_seconds = call_seconds
     store.calls_by_kind.clear()
     began = time.perf_counter()
     ends: list[float] = []
 
     async def send(number: int) -> None:
-        result = await crowd[number % editors].accept(_edit(number), "measure")
+        result = await table_editors[number % editors].accept(_edit(number), "measure")
         result.unwrap()
         ends.append(time.perf_counter() - began)
 
--- a/packages/systems/tests/scheduling/test_burst_overload.py
+++ b/packages/systems/tests/scheduling/test_burst_overload.py
@@ -19,7 +19,7 @@
 
 def measure(kind: JobKind, jobs_per_second: float, rank=rank_step) -> float:  # type: ignore[no-untyped-def]
     outcomes = [replay_burst(kind, seed, VMS, jobs_per_second, rank) for seed in SEEDS]
-    return sum(outcome.worth for outcome in outcomes) / len(outcomes)
+    return sum(outcome.value for outcome in outcomes) / len(outcomes)
 
 
 @pytest.mark.parametrize(
@@ -39,13 +39,13 @@
     pool can do in time. Each job would start at the last moment and half of them too
     late, so that the pool spends its time on jobs that just miss their objective.
     """
-    worth = measure(kind, jobs_per_second)
+    value = measure(kind, jobs_per_second)
     baseline = measure(kind, jobs_per_second, rank_by_latest_start)
-    assert worth >= at_least
-    assert worth - baseline >= gain
+    assert value >= at_least
+    assert value - baseline >= gain
 
 
 def test_full_pool_yields_no_less_than_by_latest_start():
-    worth = measure(SHORT_JOBS, 30.0)
+    value = measure(SHORT_JOBS, 30.0)
     baseline = measure(SHORT_JOBS, 30.0, rank_by_latest_start)
-    assert worth >= baseline - 0.02
+    assert value >= baseline - 0.02
