--- a/packages/bench/src/medlarspring_bench/measure/__init__.py
+++ b/packages/bench/src/medlarspring_bench/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; each module states its command and prints its figures."""
+"""Measurements of the product, run as commands that print their figures."""
--- a/packages/bench/src/medlarspring_bench/measure/__main__.py
+++ b/packages/bench/src/medlarspring_bench/measure/__main__.py
@@ -1,4 +1,4 @@
-"""Runs all measurements one after the other: ``python -m medlarspring_bench.measure``.
+"""Runs all measurements in sequence: ``python -m medlarspring_bench.measure``.
 
 Each area can be run alone as ``python -m medlarspring_bench.measure.<area>``.
 """
@@ -28,7 +28,7 @@
 
 
 def main() -> int:
-    """Run the named areas, or all; returns the exit status."""
+    """Run the named areas, all by default, and return the exit status."""
     wanted = sys.argv[1:] or list(AREAS)
     unknown = [name for name in wanted if name not in AREAS]
     if unknown:
--- a/packages/bench/src/medlarspring_bench/measure/configuration.py
+++ b/packages/bench/src/medlarspring_bench/measure/configuration.py
@@ -39,12 +39,12 @@
 STORE_DOWN_EDITS = 3
 OUTAGE_SECONDS = 14.0
 RECOVERY_SECONDS = 9.0
-"""Longest wait of a daemon before it asks a store that failed it again."""
+"""Longest delay before a daemon retries a store that failed."""
 BURST = 50
 
 
 def measure_latency(daemons: int, folder: Path) -> None:
-    """Print the time from acceptance to in force on the last daemon."""
+    """Print the time from acceptance of an edit until all daemons have it in force."""
     fleet = start_ready(FleetPlan(daemons, zones=4), folder)
     try:
         spaced = [
@@ -70,10 +70,11 @@
 
 
 def measure_store_down(daemons: int, folder: Path) -> None:
-    """Print how an edit spreads that one daemon of each zone has heard of.
+    """Print how fast an edit spreads between daemons while the store is down.
 
-    The others are cut off from the store before the edit, the one that knows as
-    soon as it has the table in force.
+    One daemon of each zone reads the edit from the store and is partitioned from
+    the store once the table is in force there. The others are partitioned before
+    the edit and get it from their peers.
     """
     fleet = start_ready(FleetPlan(daemons, zones=4), folder)
     try:
@@ -95,7 +96,7 @@
 
 
 def measure_return(daemons: int, folder: Path) -> None:
-    """Print the store calls of the busiest second after an outage."""
+    """Print the store calls in the busiest second after a store outage."""
     fleet = start_ready(FleetPlan(daemons, zones=4), folder)
     try:
         time.sleep(OUTAGE_SECONDS)
@@ -121,7 +122,7 @@
 
 
 def _count_calls(fleet: Fleet, seconds: float) -> list[int]:
-    """Return the calls of each second from now on."""
+    """Return the store calls of each second for the given time."""
     counts = []
     total = _total_calls(fleet)
     for _ in range(int(seconds)):
@@ -137,7 +138,7 @@
 
 
 def report(daemons: int, what: str, seconds: list[float]) -> None:
-    """Print the middle, the 99th percentile and the largest value."""
+    """Print the median, the 99th percentile and the maximum of times in seconds."""
     ordered = sorted(seconds)
     middle = ordered[len(ordered) // 2]
     late = ordered[min(int(len(ordered) * 0.99), len(ordered) - 1)]
@@ -162,7 +163,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the parts that were asked for, one after the other."""
+    """Run the requested parts in sequence, all by default."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("parts", nargs="*", default=list(PARTS))
     parser.add_argument("--daemons", type=int, nargs="+", default=[8])
--- a/packages/bench/src/medlarspring_bench/measure/configuration_control.py
+++ b/packages/bench/src/medlarspring_bench/measure/configuration_control.py
@@ -1,6 +1,7 @@
-"""Cost of configuration, membership and holders alone: many nodes, one process.
+"""Measures the cost of configuration, membership and pool holders alone.
 
-Real peer ports, the store in memory; so neither callers' path nor HTTP is in it.
+Many nodes run in one process with real peer ports and an in-memory store, so the
+figures contain neither the request path of callers nor HTTP.
 """
 
 from __future__ import annotations
@@ -37,14 +38,14 @@
 
 
 class UsageReporter:
-    """Reports so many shares that change all the time."""
+    """Adds a fixed number of shares, which always change, to each report."""
 
     def __init__(self, shares: int) -> None:
         self._shares = shares
         self._filled = 0
 
     def fill_report(self, report: peer_pb2.Report) -> None:
-        """Add usage that differs from the last one."""
+        """Add usage that differs from the previous report."""
         self._filled += 1
         for number in range(self._shares):
             report.usage.add(
@@ -55,11 +56,11 @@
             )
 
     def apply_report(self, report: peer_pb2.Report) -> None:
-        """Learn nothing."""
+        """Ignore reports of peers."""
 
 
 def measure_control(daemons: int, folder: Path) -> None:
-    """Print processor time and bytes of one node, by how many shares change."""
+    """Print CPU time and traffic per node for each number of changing shares."""
     for shares in ACTIVE_SHARES:
         asyncio.run(_measure(daemons, folder, shares))
 
--- a/packages/bench/src/medlarspring_bench/measure/configuration_cost.py
+++ b/packages/bench/src/medlarspring_bench/measure/configuration_cost.py
@@ -1,4 +1,4 @@
-"""What control costs a daemon: processor, memory, bytes and store calls."""
+"""Measures the CPU, memory, traffic and store calls of control in a daemon."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     from pathlib import Path
 
 SETTLE_SECONDS = 14.0
-"""Pools are handed over 10 s after the fleet is complete."""
+"""Longer than the 10 s from a complete fleet until pools are handed over."""
 MEASURED_SECONDS = 20.0
 EDIT_SECONDS = 2.0
 POLL_SECONDS = 5.0
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What a fleet holds while its cost is measured."""
+    """Size and activity of a fleet while its cost is measured."""
 
     partners: int
     upstream_vms: int
@@ -43,21 +43,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Counters of one daemon at one instant."""
+    """Resource counters of one daemon at one time."""
 
     cpu_seconds: float
     resident_bytes: int
     http_bytes: int
-    """Through read and write calls: store, VM list, logs; gRPC uses others."""
+    """Bytes of read and write calls (store, VM list, logs), without gRPC."""
 
 
 def measure_cost(daemons: int, folder: Path) -> None:
-    """Print the cost with the table and the fleet of today."""
+    """Print the cost for the current table and fleet sizes."""
     _measure_loads(daemons, folder, LOADS)
 
 
 def measure_target_cost(daemons: int, folder: Path) -> None:
-    """Print the cost with the partners or the upstream VMs of the target."""
+    """Print the cost for the target number of partners or upstream VMs."""
     _measure_loads(daemons, folder, TARGET_LOADS)
 
 
@@ -134,9 +134,9 @@
 
 
 def _read_peer_bytes(fleet: Fleet) -> tuple[float, float]:
-    """Return bytes of reports and of slot calls, as all daemons counted them.
+    """Return the bytes of reports and of slot calls over all daemons.
 
-    A report is counted by both sides, a slot call by the one that asks.
+    Both sides count a report; only the requesting side counts a slot call.
     """
     counters: dict[str, Any] = fleet.send("statsd", "GET", "metrics")["counters"]
     reports = counters.get("medlarspring.peers.bytes", 0)
--- a/packages/bench/src/medlarspring_bench/measure/configuration_cuts.py
+++ b/packages/bench/src/medlarspring_bench/measure/configuration_cuts.py
@@ -1,4 +1,7 @@
-"""Cuts between zones and to the store: nothing reverts, nothing is lost."""
+"""Measures edits during partitions between zones and from the store.
+
+No daemon may revert to an older table or miss an edit.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,7 @@
 
 
 def measure_cuts(daemons: int, folder: Path) -> None:
-    """Print, for each kind of cut, the slowest edit and what went wrong."""
+    """Print the slowest edit, reverts and missed edits for each kind of partition."""
     fleet = start_ready(FleetPlan(daemons, zones=ZONES, via_links=True), folder)
     try:
         wait_for(lambda: _all_ready(fleet), "all daemons ready")
--- a/packages/bench/src/medlarspring_bench/measure/configuration_fleet.py
+++ b/packages/bench/src/medlarspring_bench/measure/configuration_fleet.py
@@ -1,4 +1,4 @@
-"""Daemons over zones with stand-ins of the store, the VM list and the network."""
+"""Runs daemons in several zones with stand-ins of store, VM list and network."""
 
 from __future__ import annotations
 
@@ -65,21 +65,21 @@
 
 @dataclass(slots=True)
 class FleetPlan:
-    """How many daemons run, and where."""
+    """Size and layout of a fleet."""
 
     daemons: int = 4
     zones: int = 2
     poll_seconds: float = 0.5
     list_lag_seconds: float = 0.0
     upstream_vms: int = 0
-    """Upstream VMs that the list shows; none of them runs."""
+    """Number of upstream VMs on the VM list; no process runs for them."""
     via_links: bool = False
-    """Whether calls between zones lead over links that can be cut."""
+    """Whether calls between zones pass through links that can be cut."""
 
 
 @dataclass(slots=True)
 class Fleet:
-    """A running fleet; ``close`` ends it."""
+    """A fleet of daemon processes; ``close`` stops them."""
 
     plan: FleetPlan
     folder: Path
@@ -102,7 +102,7 @@
         return [f"entry-{number:02d}" for number in range(1, self.plan.daemons + 1)]
 
     def start_platform(self) -> None:
-        """Start the stand-ins; each daemon has its own way to the store."""
+        """Start the stand-ins, with a separate store gate for each daemon."""
         clients = ",".join(["operators", *self.ids])
         self._start_standin("key_value", "--gates", clients)
         zones = ",".join(self.zone_names)
@@ -113,7 +113,7 @@
             self._start_standin("links")
 
     def start_daemons(self) -> None:
-        """Start all daemons, list them, and wait for their ports."""
+        """Start all daemons, wait for their ports and put them on the VM list."""
         for number, entry_vm_id in enumerate(self.ids):
             zone = self.zone_names[number % self.plan.zones]
             self.start_daemon(entry_vm_id, zone)
@@ -149,14 +149,14 @@
         return process
 
     def wait_listening(self, entry_vm_id: str) -> None:
-        """Wait for one daemon's ports and remember them."""
+        """Wait until a daemon listens and record its addresses."""
         record = self.daemons_by_id[entry_vm_id].wait_until_listening()
         self.addresses_by_id[entry_vm_id] = {
             name: record[name] for name in ("peer", "caller") if name in record
         }
 
     def list_daemons(self) -> None:
-        """Show all daemons on the VM list, across zones by links if planned."""
+        """Put all daemons on the VM list, with links between zones if planned."""
         entries = [
             {
                 "targets": [self.addresses_by_id[entry_vm_id]["peer"]],
@@ -183,7 +183,7 @@
         return control(method, self.standins[standin]["control"], path, body)
 
     def cut_store(self, ids: Iterable[str], *, down: bool) -> None:
-        """Cut daemons off from the store, or let them through again."""
+        """Partition daemons from the store, or restore their access."""
         for entry_vm_id in ids:
             body = {"gate": entry_vm_id, "down": down}
             self.send("key_value", "POST", "faults", body)
@@ -193,12 +193,12 @@
         return [each for each, other in self.zones_by_id.items() if other == zone]
 
     def cut(self, from_zone: str, to_zone: str, *, down: bool) -> None:
-        """Cut calls that one zone makes to another, or let them through."""
+        """Block the calls from one zone to another, or restore them."""
         group = f"{from_zone}|{to_zone}"
         self.send("links", "POST", "faults", {"gate": group, "down": down})
 
     async def edit(self, change: Callable[[ConfigTable], ConfigTable]) -> float:
-        """Accept an edit as an editor does; returns the wall time of acceptance."""
+        """Commit an edit as an editor does and return the wall time of acceptance."""
         store = create_etcd_gateway_store(
             [self.standins["key_value"]["gates"]["operators"]], 5.0
         )
@@ -239,7 +239,7 @@
         }
 
     def find_holders(self) -> dict[str, str]:
-        """Return the daemon that wrote each holder key last, by pool."""
+        """Return the last daemon that became holder, by pool."""
         found: dict[str, tuple[float, str]] = {}
         for entry_vm_id, process in self.daemons_by_id.items():
             for record in process.records(POOL_HELD):
@@ -249,7 +249,7 @@
         return {pool: entry_vm_id for pool, (_, entry_vm_id) in found.items()}
 
     def close(self) -> None:
-        """End all processes of this fleet."""
+        """Stop all processes of this fleet."""
         self.processes.close()
 
     def _start_standin(self, name: str, *arguments: str) -> None:
@@ -307,7 +307,7 @@
 
 
 def add_partners(table: ConfigTable, count: int) -> ConfigTable:
-    """Return the table with so many partners, credentials included."""
+    """Return the table with ``count`` partners and their credentials."""
     rows = [
         PartnerRow(
             id=PartnerId(f"partner-{number:03d}"),
@@ -321,7 +321,7 @@
 
 
 def add_pools(table: ConfigTable, count: int) -> ConfigTable:
-    """Return the table with so many pools more."""
+    """Return the table with ``count`` additional pools."""
     pools_by_id = dict(table.pools_by_id)
     for number in range(len(pools_by_id) + 1, len(pools_by_id) + count + 1):
         pool_id = PoolId(f"pool-{number:02d}")
@@ -342,13 +342,13 @@
 
 
 def touch(table: ConfigTable) -> ConfigTable:
-    """Change one value."""
+    """Return the table with one value changed."""
     spare = 10.0 if table.fleet.spare_percent != 10.0 else 11.0
     return msgspec.structs.replace(table, fleet=FleetRow(spare_percent=spare))
 
 
 def start_ready(plan: FleetPlan, folder: Path, partners: int = 5) -> Fleet:
-    """Return a fleet with a table in force in which all daemons hear each other."""
+    """Return a fleet with a table in force whose daemons all know each other."""
     fleet = start_fleet(plan, folder)
     try:
         asyncio.run(fleet.edit(lambda table: add_partners(table, partners)))
--- a/packages/bench/src/medlarspring_bench/measure/configuration_takeover.py
+++ b/packages/bench/src/medlarspring_bench/measure/configuration_takeover.py
@@ -1,4 +1,4 @@
-"""How fast control work is taken over, and whether two ever hold one pool."""
+"""Measures how fast pools are taken over after a kill, a pause and a shutdown."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def measure_takeover(daemons: int, folder: Path) -> None:
-    """Print the time until the last pool has a holder again."""
+    """Print the time until all pools have a new holder."""
     fleet = start_ready(FleetPlan(daemons, zones=2), folder)
     try:
         for _ in range(ROUNDS):
@@ -38,7 +38,7 @@
 
 
 def find_busiest(fleet: Fleet) -> tuple[str, list[str]]:
-    """Return the daemon that holds most pools, and these."""
+    """Return the daemon that holds the most pools, and its pools."""
     wait_for(lambda: len(fleet.find_holders()) == POOLS, "all pools held", 30.0)
     holders = fleet.find_holders()
     busiest = Counter(holders.values()).most_common(1)[0][0]
@@ -46,7 +46,7 @@
 
 
 def wait_for_takeover(fleet: Fleet, lost: str, pools: list[str], since: float) -> float:
-    """Wait until others hold the pools; returns the seconds to the last one."""
+    """Wait until others hold all the pools; return the seconds since ``since``."""
 
     def find_times() -> list[float] | None:
         times = {}
--- a/packages/bench/src/medlarspring_bench/measure/requests.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests.py
@@ -1,4 +1,4 @@
-"""Requests and shares: all rows of their part of docs/MEASUREMENTS.md.
+"""Measures requests and shares, for the tables of docs/MEASUREMENTS.md.
 
 ``python -m medlarspring_bench.measure.requests``; takes about three minutes.
 """
@@ -9,7 +9,7 @@
 
 
 def main() -> None:
-    """Print the tables one after the other."""
+    """Print all tables."""
     requests_cost.main()
     print()
     requests_shares.main()
--- a/packages/bench/src/medlarspring_bench/measure/requests_cost.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_cost.py
@@ -1,7 +1,7 @@
-"""What the caller port costs, against a bare aiohttp forwarder.
+"""Measures the cost of the caller port against a bare aiohttp forwarder.
 
-Both run as processes of their own before the same upstreams, and are asked in
-turn by the same client, so that the machine's state touches both alike.
+Both run as separate processes with the same upstreams. One client alternates
+between them, so that changes in the load of the machine affect both alike.
 """
 
 from __future__ import annotations
@@ -34,16 +34,16 @@
 
 @dataclass(slots=True)
 class Cost:
-    """What one way of forwarding took; one entry per round."""
+    """Cost of one kind of forwarder, with one entry per round."""
 
     p50_ms: list[float] = field(default_factory=list)
     p99_ms: list[float] = field(default_factory=list)
     per_core: list[float] = field(default_factory=list)
-    """Requests per second of processor time."""
+    """Requests per second of CPU time."""
 
 
 class Client(asyncio.Protocol):
-    """A keep-alive connection that sends one request after the other."""
+    """A keep-alive connection that sends requests in sequence."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
@@ -51,11 +51,11 @@
         self._received = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport of the new connection."""
         self._transport = cast("asyncio.Transport", transport)
 
     def data_received(self, data: bytes) -> None:
-        """Note an answer once its whole body is there."""
+        """Complete the pending request once its response has fully arrived."""
         self._received += data
         head, separator, body = self._received.partition(b"\r\n\r\n")
         if not separator:
@@ -70,7 +70,7 @@
         self._received = b""
 
     async def send_request(self) -> float:
-        """Send one request; return the seconds until its answer."""
+        """Send one request and return the seconds until its response."""
         assert self._transport is not None
         self._response_received = asyncio.get_running_loop().create_future()
         began = time.perf_counter()
@@ -121,7 +121,7 @@
 
 
 def measure_cost() -> list[str]:
-    """Return the rows of the table of docs/MEASUREMENTS.md."""
+    """Return the rows of the table in docs/MEASUREMENTS.md."""
     with Processes() as processes:
         upstreams = [
             processes.start_module(f"upstream-{number}", MODULE, "upstream")
@@ -156,7 +156,7 @@
 
 
 def main() -> None:
-    """Print the rows."""
+    """Print the table."""
     print("| what | bare forwarder | caller port | ratio | wanted |")
     print("| --- | --- | --- | --- | --- |")
     for row in measure_cost():
--- a/packages/bench/src/medlarspring_bench/measure/requests_faults.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_faults.py
@@ -1,7 +1,8 @@
-"""Goodput through faults of upstream VMs, against the same run without fault.
+"""Measures goodput during faults of upstream VMs, against the time before.
 
-One caller port and eight upstream VMs as processes; an open loop of requests
-at about half of the capacity; each fault is measured from 5 s after it began.
+One caller port and eight upstream VMs run as processes. An open loop sends
+requests at about half of the capacity. Each fault is measured from its start and
+again from 5 s after it.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 SLOTS = 8
 WORK_MS = 100
 RATE = 300.0
-"""Requests per second; all slots together serve 640."""
+"""Requests per second; all slots together can serve 640."""
 TIMEOUT_SECONDS = 1.0
 SETTLE_SECONDS = 5.0
 COUNTED_SECONDS = 4.0
@@ -34,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault, how it begins and how it ends."""
+    """A fault and the control messages that begin and end it."""
 
     name: str
     begin: dict[str, Any]
@@ -57,7 +58,7 @@
 
 
 class OpenLoop:
-    """Sends requests at a rate, however long their answers take."""
+    """Sends requests at a fixed mean rate, independent of response times."""
 
     def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
         self._session = session
@@ -66,7 +67,7 @@
         self._running_tasks: set[asyncio.Task[bool]] = set()
 
     async def send_for(self, seconds: float) -> float:
-        """Return the part of the requests that got a good answer in time."""
+        """Return the fraction of requests that got status 200 within the timeout."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         tasks = []
@@ -119,7 +120,7 @@
 
 
 def measure_faults() -> list[str]:
-    """Return the rows of the table of docs/MEASUREMENTS.md."""
+    """Return the rows of the table in docs/MEASUREMENTS.md."""
     names = ",".join(f"vm-{number}" for number in range(UPSTREAMS))
     with Processes() as processes:
         upstream = processes.start_module(
@@ -136,7 +137,7 @@
 
 
 def main() -> None:
-    """Print the rows."""
+    """Print the table."""
     print("| fault | before | first 5 s | after 5 s | after / before | wanted |")
     print("| --- | --- | --- | --- | --- | --- |")
     for row in measure_faults():
--- a/packages/bench/src/medlarspring_bench/measure/requests_processes.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_processes.py
@@ -1,4 +1,4 @@
-"""Processes of the cost measurement: an upstream, a bare forwarder, a caller port.
+"""Runs an upstream, a bare forwarder or a caller port for the measurements.
 
 ``python -m medlarspring_bench.measure.requests_processes KIND [UPSTREAM ...]``
 """
@@ -61,7 +61,7 @@
 CREDENTIAL = "measure"
 SERVICE = "consent"
 UPSTREAM_SLOTS = 64
-"""So many that slots do not limit what the cost measurement measures."""
+"""High enough that slots do not limit the cost measurement."""
 
 
 async def _open(handler: Handler) -> str:
@@ -72,7 +72,7 @@
 
 
 async def serve_upstream() -> None:
-    """Answer everything at once."""
+    """Serve an upstream that answers every request immediately."""
 
     async def handle(request: web.BaseRequest) -> web.Response:
         await request.read()
@@ -83,7 +83,7 @@
 
 
 async def serve_bare(upstreams: list[str]) -> None:
-    """Forward without any policy: read, send to the next upstream, pass on."""
+    """Serve a forwarder without policy that uses the upstreams in rotation."""
     connector = aiohttp.TCPConnector(limit=0, use_dns_cache=False)
     session = aiohttp.ClientSession(
         connector=connector,
@@ -123,7 +123,7 @@
 
 
 async def serve_caller_port(upstreams: list[str], slots: int) -> None:
-    """Open the caller port of one entry VM with all its policy."""
+    """Serve the caller port of one entry VM with all its policies."""
     clock = SystemClock()
     node = create_node(
         create_settings(),
@@ -163,7 +163,7 @@
 
 
 def create_settings(entry_vm: str = "e1", zone: str = "a") -> Settings:
-    """Return settings that open ports of the kernel's choice."""
+    """Return settings with ports that the kernel assigns."""
     local = "127.0.0.1:0"
     nowhere = "127.0.0.1:1"
     token_file = Path("unused")
--- a/packages/bench/src/medlarspring_bench/measure/requests_shares.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_shares.py
@@ -119,7 +119,7 @@
 
 
 def main() -> None:
-    """Print the rows."""
+    """Print the table."""
     print("| way | worst share | utilisation | refused by VMs | over slots |")
     print("| --- | --- | --- | --- | --- |")
     for row in measure_sharing():
--- a/packages/bench/src/medlarspring_bench/measure/table_edits.py
+++ b/packages/bench/src/medlarspring_bench/measure/table_edits.py
@@ -1,7 +1,9 @@
-"""Bursts of edits through several editors over one store in this process.
+"""Measures bursts of edits by several editors on one in-memory store.
 
-``python -m medlarspring_bench.measure.table_edits``; the store takes a fixed time
-a call, so that figures show the editors' races and their processor time.
+Each store call takes a fixed time, so that the figures show conflicts between
+editors and their CPU time.
+
+Command: ``python -m medlarspring_bench.measure.table_edits``
 """
 
 from __future__ import annotations
@@ -27,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BurstFigures:
-    """What one burst took."""
+    """Results of one burst."""
 
     p50_seconds: float
     last_seconds: float
@@ -36,7 +38,7 @@
 
 
 def create_first_edit() -> TableEdit:
-    """Return the import of a table of the target's size."""
+    """Return the edit that imports a table of the target size."""
     rows = [
         *(
             _add(RowKind.POOL, f"pool-{number}", wanted_vms=18, min_available=14)
@@ -60,13 +62,13 @@
 
 
 def create_target_table() -> ConfigTable:
-    """Return a table of the target's size."""
+    """Return a table of the target size."""
     edit = create_first_edit()
     return apply_edit(ConfigTable(), edit, 0.0, "measure").unwrap().table
 
 
 def measure_apply(table: ConfigTable) -> float:
-    """Return the processor time of one edit without the store, in seconds."""
+    """Return the CPU time of one edit without the store, in seconds."""
     began = time.process_time()
     for number in range(APPLIED_EDITS):
         table = apply_edit(table, _edit(number), 0.0, "measure").unwrap().table
@@ -74,7 +76,7 @@
 
 
 async def measure_burst(editors: int, call_seconds: float) -> BurstFigures:
-    """Send a burst of edits of different rows, spread over the editors."""
+    """Send a burst of edits to different rows, distributed over the editors."""
     clock = SystemClock()
     store = create_memory_store(clock)
     table_editors = [_create_editor(store, clock, seed) for seed in range(editors)]
--- a/packages/bench/tests/test_requests_shares.py
+++ b/packages/bench/tests/test_requests_shares.py
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def _counted_long(monkeypatch):
-    """Count for so long that shares differ little by chance."""
+    """Count long enough that random variation of shares stays small."""
     monkeypatch.setattr(requests_shares, "WARM_SECONDS", 8.0)
     monkeypatch.setattr(requests_shares, "COUNTED_SECONDS", 15.0)
 
@@ -22,9 +22,13 @@
 @pytest.mark.usefixtures("_counted_long")
 @pytest.mark.parametrize("seed", [1, 5])
 def test_shares_hold_fleet_wide_under_a_flood(seed: int):
-    """One partner floods with ten times its share, and the balancer sends one
-    entry VM four times the others' work. No entry VM sees the whole, yet each
-    of the others gets its share, every slot is in use and none twice."""
+    """Guards against one partner taking the shares of others.
+
+    One partner sends ten times its share, and the load balancer sends one entry
+    VM four times the load of the others. No entry VM sees the whole load. Still,
+    the other partners get their shares, and slots are fully used but never
+    assigned twice.
+    """
     run = requests_shares.run_flood(Sharing.CREDITS, seed=seed)
     assert run.worst_share >= 0.95
     assert run.utilisation >= 0.95
