--- a/packages/bench/src/medlarspring_bench/measure/burst_overload.py
+++ b/packages/bench/src/medlarspring_bench/measure/burst_overload.py
@@ -78,14 +78,14 @@
     """A log-normal distribution, capped at an upper limit."""
 
     mean: float
-    spread: float
-    most: float
+    coefficient_of_variation: float
+    maximum: float
 
     def draw(self, rng: random.Random) -> float:
         """Return a random value from the distribution."""
-        sigma = math.sqrt(math.log(1.0 + self.spread**2))
+        sigma = math.sqrt(math.log(1.0 + self.coefficient_of_variation**2))
         drawn = rng.lognormvariate(math.log(self.mean) - sigma**2 / 2.0, sigma)
-        return min(drawn, self.most)
+        return min(drawn, self.maximum)
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,9 +97,9 @@
     seconds: LogNormal
     cores: LogNormal
     memory_mb: LogNormal
-    uneven: float
+    task_sigma: float
     """Standard deviation of the logarithm of task durations within a step."""
-    estimate_error: float
+    estimate_sigma: float
     """Standard deviation of the logarithm of estimated over usual duration."""
 
 
@@ -109,8 +109,8 @@
     seconds=LogNormal(0.64, 0.5, 1.6),
     cores=LogNormal(3.1, 0.45, 9.3),
     memory_mb=LogNormal(4_400.0, 0.6, 13_000.0),
-    uneven=0.15,
-    estimate_error=0.5,
+    task_sigma=0.15,
+    estimate_sigma=0.5,
 )
 LONG_JOBS = JobKind(
     steps=LogNormal(2.0, 0.4, 4.0),
@@ -118,8 +118,8 @@
     seconds=LogNormal(2.1, 0.5, 5.2),
     cores=LogNormal(6.7, 0.45, 20.0),
     memory_mb=LogNormal(9_600.0, 0.6, 29_000.0),
-    uneven=0.3,
-    estimate_error=0.2,
+    task_sigma=0.3,
+    estimate_sigma=0.2,
 )
 
 
@@ -169,9 +169,9 @@
     def add_job(self, number: int, arrived_at: Seconds, now: Seconds) -> None:
         """Draw a job and admit it to the tables."""
         count = max(round(self.kind.steps.draw(self.rng)), 1)
-        usual = self.kind.seconds.draw(self.rng)
-        steps = tuple(self._draw_step(index, usual) for index in range(count))
-        true = [self._draw_seconds(step, usual) for step in steps]
+        typical_seconds = self.kind.seconds.draw(self.rng)
+        steps = tuple(self._draw_step(index, typical_seconds) for index in range(count))
+        true = [self._draw_seconds(step, typical_seconds) for step in steps]
         job_id = JobId(f"{number:016x}")
         record = JobRecord(
             queue=QUEUE,
@@ -188,19 +188,19 @@
         job = admit_job(self.tables, job_id, record, Revision(1), arrived_at)
         open_due_occurrences(self.tables, job, now, now * 1_000)
 
-    def _draw_step(self, index: int, usual: Seconds) -> StepSpec:
-        error = math.exp(self.rng.gauss(0.0, self.kind.estimate_error))
+    def _draw_step(self, index: int, typical_seconds: Seconds) -> StepSpec:
+        error = math.exp(self.rng.gauss(0.0, self.kind.estimate_sigma))
         return StepSpec(
             count=max(round(self.kind.width.draw(self.rng)), 1),
             cpu_millis=round(self.kind.cores.draw(self.rng) * 1_000),
             memory_mb=round(self.kind.memory_mb.draw(self.rng)),
-            estimate_ms=round(usual * error * 1_000),
+            estimate_ms=round(typical_seconds * error * 1_000),
             after=(index - 1,) if index else (),
         )
 
-    def _draw_seconds(self, step: StepSpec, usual: Seconds) -> list[Seconds]:
+    def _draw_seconds(self, step: StepSpec, typical_seconds: Seconds) -> list[Seconds]:
         return [
-            usual * math.exp(self.rng.gauss(0.0, self.kind.uneven))
+            typical_seconds * math.exp(self.rng.gauss(0.0, self.kind.task_sigma))
             for _ in range(step.count)
         ]
 
--- a/packages/bench/src/medlarspring_bench/measure/fleet_moves.py
+++ b/packages/bench/src/medlarspring_bench/measure/fleet_moves.py
@@ -23,7 +23,7 @@
 
 def measure_moves(seeds: int = 3) -> None:
     """Print moves by the controllers, by new placement and with layers only."""
-    done = least = afresh = broken = 0
+    done = least = reassigned = broken = 0
     layer_unmet = held_by_layers = 0
     for seed in range(seeds):
         rng = random.Random(seed)
@@ -31,13 +31,13 @@
         checker = FleetChecker(world)
         vms = sorted(world.platform.rows_by_id)
         wanted = dict.fromkeys(sorted(world.config.pools_by_id), SHAPE.wanted_vms)
-        placed = _place_afresh(vms, wanted)
+        placed = _assign_pools(vms, wanted)
         layers = dict(wanted)
         for _ in range(CHANGES):
             changed = _change(wanted, rng)
             least += sum(max(0, changed[each] - wanted[each]) for each in wanted)
-            placed_now = _place_afresh(vms, changed)
-            afresh += sum(placed[vm] != placed_now[vm] for vm in vms)
+            placed_now = _assign_pools(vms, changed)
+            reassigned += sum(placed[vm] != placed_now[vm] for vm in vms)
             layer_unmet += sum(max(0, changed[each] - layers[each]) for each in layers)
             layers = {each: max(layers[each], changed[each]) for each in layers}
             wanted, placed = changed, placed_now
@@ -51,7 +51,7 @@
         broken += len(checker.violations)
     print(f"moves for {CHANGES} changes of demand, 48 VMs, 6 pools, {seeds} seeds")
     print(f"  by need          {done:5}  {done / least:5.2f} of the least ({least})")
-    print(f"  placed afresh    {afresh:5}  {afresh / least:5.2f} of the least")
+    print(f"  placed afresh    {reassigned:5}  {reassigned / least:5.2f} of the least")
     print(
         f"  layers only          0  but {layer_unmet} VMs wanted had to be new ones;"
         f" {held_by_layers / seeds:.0f} VMs more held idle at the end"
@@ -70,7 +70,7 @@
     return changed
 
 
-def _place_afresh(vms: list[str], wanted: dict[PoolId, int]) -> dict[str, PoolId]:
+def _assign_pools(vms: list[str], wanted: dict[PoolId, int]) -> dict[str, PoolId]:
     """Assign each VM by rendezvous hash to a pool that still needs VMs."""
     left = dict(wanted)
     placed: dict[str, PoolId] = {}
--- a/packages/bench/src/medlarspring_bench/measure/fleet_rollout.py
+++ b/packages/bench/src/medlarspring_bench/measure/fleet_rollout.py
@@ -39,7 +39,9 @@
 BAD_IMAGE_SECONDS = 10_000.0
 WAVE = WaveId("w")
 
-TODAY = FleetShape(pools=5, vms_in_pool=8, min_available=6, wanted_vms=8, spare_vms=4)
+CURRENT_SHAPE = FleetShape(
+    pools=5, vms_in_pool=8, min_available=6, wanted_vms=8, spare_vms=4
+)
 TARGET = FleetShape(
     pools=46,
     vms_in_pool=18,
@@ -213,8 +215,8 @@
 def compute_budget_bound(shape: FleetShape) -> float:
     """Return the shortest time in seconds that budgets and zone limits allow."""
     seconds = DRAIN_SECONDS + REBOOT_SECONDS
-    room = shape.vms_in_pool - shape.min_available
-    by_pool = math.ceil(shape.vms_in_pool / room)
+    max_unavailable = shape.vms_in_pool - shape.min_available
+    by_pool = math.ceil(shape.vms_in_pool / max_unavailable)
     vms = shape.pools * shape.vms_in_pool
     by_zone = math.ceil(vms / (shape.zones * shape.max_drains_per_zone))
     return max(by_pool, by_zone) * seconds
@@ -237,7 +239,7 @@
 
 def measure_rollout(seeds: int = 4) -> None:
     """Print the roll-out times of all wave limits for the current fleet size."""
-    _measure("44 VMs, 5 pools", TODAY, 5.0, seeds)
+    _measure("44 VMs, 5 pools", CURRENT_SHAPE, 5.0, seeds)
 
 
 def measure_target() -> None:
@@ -273,7 +275,7 @@
 
 __all__ = [
     "TARGET",
-    "TODAY",
+    "CURRENT_SHAPE",
     "SingleRackLimit",
     "Rollout",
     "SpareReserveLimit",
--- a/packages/bench/src/medlarspring_bench/measure/requests_entry_vm.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_entry_vm.py
@@ -72,8 +72,8 @@
             return
         usable = self.state.count_usable_slots(POOL, now)
         queue = fair_queue.get_partner_queue(pool, request.partner_id)
-        room = admission.QueueOccupancy(MAX_WAITING, pool.waiting, queue.waiting)
-        refusal = admission.check_admission(pool, request, usable, room, now)
+        occupancy = admission.QueueOccupancy(MAX_WAITING, pool.waiting, queue.waiting)
+        refusal = admission.check_admission(pool, request, usable, occupancy, now)
         if refusal is not None:
             self.fleet.record_refusal(request)
             return
--- a/packages/bench/tests/test_fleet_rollout.py
+++ b/packages/bench/tests/test_fleet_rollout.py
@@ -2,7 +2,7 @@
 
 from medlarspring_bench.fleet_world import FleetShape, FleetWorld
 from medlarspring_bench.measure.fleet_rollout import (
-    TODAY,
+    CURRENT_SHAPE,
     SpareReserveLimit,
     compute_budget_bound,
     list_limit_factories,
@@ -16,10 +16,10 @@
 
 def test_wave_without_faults_takes_what_the_budgets_alone_allow():
     wave_limit = list_limit_factories()["budgets alone"]
-    rollout = run_rollout(TODAY, wave_limit, 0, 1.0, has_faults=False)
+    rollout = run_rollout(CURRENT_SHAPE, wave_limit, 0, 1.0, has_faults=False)
     assert rollout.is_done
     assert rollout.broken_by_drains == rollout.seconds_under_budget == 0
-    assert rollout.seconds <= 1.05 * compute_budget_bound(TODAY)
+    assert rollout.seconds <= 1.05 * compute_budget_bound(CURRENT_SHAPE)
 
 
 def test_spare_for_failures_is_left_alone_by_the_rule_that_was_dropped():
