--- a/packages/bench/src/medlarspring_bench/measure/burst_overload.py
+++ b/packages/bench/src/medlarspring_bench/measure/burst_overload.py
@@ -100,7 +100,7 @@
     task_sigma: float
     """Standard deviation of the logarithm of task durations within a step."""
     estimate_sigma: float
-    """Standard deviation of the logarithm of estimated over usual duration."""
+    """Standard deviation of the logarithm of estimated over typical duration."""
 
 
 SHORT_JOBS = JobKind(
