--- a/packages/bench/tests/test_fleet_rollout.py
+++ b/packages/bench/tests/test_fleet_rollout.py
@@ -14,7 +14,7 @@
 from medlarspring_tables.waves import WaveRecord
 
 
-def test_wave_without_faults_takes_what_the_budgets_alone_allow():
+def test_wave_without_faults_meets_the_time_bound_of_the_budgets():
     wave_limit = list_limit_factories()["budgets alone"]
     rollout = run_rollout(CURRENT_SHAPE, wave_limit, 0, 1.0, has_faults=False)
     assert rollout.is_done
@@ -22,7 +22,7 @@
     assert rollout.seconds <= 1.05 * compute_budget_bound(CURRENT_SHAPE)
 
 
-def test_spare_for_failures_is_left_alone_by_the_rule_that_was_dropped():
+def test_spare_reserve_limit_keeps_spare_vms_for_failures():
     shape = FleetShape(
         pools=2, min_available=6, spare_percent=12.5, vms_in_pool=8, zones=4
     )
