--- a/packages/bench/src/medlarspring_bench/measure/configuration_takeover.py
+++ b/packages/bench/src/medlarspring_bench/measure/configuration_takeover.py
@@ -1,4 +1,8 @@
-"""Measures how fast pools are taken over after a kill, a pause and a shutdown."""
+"""Measures how fast pools are taken over after a kill, a pause and a shutdown.
+
+Also measures how soon a paused holder notices, once it resumes, that its lease has
+expired; until then two daemons could hold one pool.
+"""
 
 from __future__ import annotations
 
