--- a/packages/bench/src/medlarspring_bench/measure/__main__.py
+++ b/packages/bench/src/medlarspring_bench/measure/__main__.py
@@ -1,4 +1,4 @@
-"""Runs all measurements one after the other: ``python -m medlarspring_bench.measure``.
+"""Runs all measurements in sequence: ``python -m medlarspring_bench.measure``.
 
 Each area can be run alone as ``python -m medlarspring_bench.measure.<area>``.
 """
@@ -9,12 +9,12 @@
 import time
 
 from medlarspring_bench.measure import (
+    burst_overload,
     configuration,
     fleet,
     jobs,
     requests,
     table_edits,
-    turn_overload,
 )
 
 AREAS = {
@@ -23,12 +23,12 @@
     "jobs": jobs.main,
     "configuration": lambda: configuration.main([]),
     "table_edits": table_edits.main,
-    "turns": turn_overload.main,
+    "turns": burst_overload.main,
 }
 
 
 def main() -> int:
-    """Run the named areas, or all; returns the exit status."""
+    """Run the named areas, all by default, and return the exit status."""
     wanted = sys.argv[1:] or list(AREAS)
     unknown = [name for name in wanted if name not in AREAS]
     if unknown:
--- a/packages/bench/src/medlarspring_bench/measure/turn_overload.py
+++ b/packages/bench/src/medlarspring_bench/measure/burst_overload.py
@@ -1,9 +1,11 @@
-"""A queue's turn that asks for more than its pool holds, replayed in virtual time.
+"""Replays a burst that exceeds the capacity of its pool, in virtual time.
 
-Jobs of one queue come for four seconds at a rate beyond the pool's processors, with
-sizes, durations and estimates as wrong as customers' are. The product's own tables
-and rounds place them; workers are sound and take each task's true duration. What is
-compared is the order of the steps: ``python -m medlarspring_bench.measure turns``.
+Jobs of one queue arrive for four seconds at a rate beyond the pool's processors.
+Their sizes, durations and estimates are as inaccurate as those of customers. The
+product's tables and planning rounds place them; workers never fail and run each
+task for its true duration. The measurement compares rules for the order of steps.
+
+Command: ``python -m medlarspring_bench.measure turns``
 """
 
 from __future__ import annotations
@@ -59,73 +61,73 @@
     stretch=1.6,
     allowance_ms=600,
 )
-VM_ROOM = Resources(32_000, 65_536, 0)
-TURN_SECONDS = 4.0
+VM_RESOURCES = Resources(32_000, 65_536, 0)
+BURST_SECONDS = 4.0
 SETTLE_SECONDS = 12.0
-"""After the turn; jobs that end later are of no use to anybody."""
+"""Replayed time after the burst; jobs that end later count as not served."""
 TICK_SECONDS = 0.015
-ORDER_SECONDS = 0.03
-"""From a decision to the start on the worker."""
-LATE_WORTH = 0.07
-"""Part of a job's worth that is left up to three times its objective."""
+START_DELAY_SECONDS = 0.03
+"""Delay between the decision and the start of the run on the worker."""
+LATE_VALUE_FRACTION = 0.07
+"""Fraction of a job's value that remains up to three times its objective."""
 LATE_FACTOR = 3.0
 
 
 @dataclass(frozen=True, slots=True)
-class Spread:
-    """A quantity that spreads log-normally, up to a limit."""
+class LogNormal:
+    """A log-normal distribution, capped at an upper limit."""
 
     mean: float
-    spread: float
-    most: float
+    coefficient_of_variation: float
+    maximum: float
 
     def draw(self, rng: random.Random) -> float:
-        """Draw a value."""
-        sigma = math.sqrt(math.log(1.0 + self.spread**2))
+        """Return a random value from the distribution."""
+        sigma = math.sqrt(math.log(1.0 + self.coefficient_of_variation**2))
         drawn = rng.lognormvariate(math.log(self.mean) - sigma**2 / 2.0, sigma)
-        return min(drawn, self.most)
+        return min(drawn, self.maximum)
 
 
 @dataclass(frozen=True, slots=True)
 class JobKind:
-    """What the jobs of a queue are like."""
+    """Distributions from which the jobs of a queue are drawn."""
 
-    steps: Spread
-    width: Spread
-    seconds: Spread
-    cores: Spread
-    memory_mb: Spread
-    uneven: float
-    """Spread of the tasks of one step, as a standard deviation of logarithms."""
-    estimate_error: float
-    """The same of estimates against true durations."""
+    steps: LogNormal
+    width: LogNormal
+    seconds: LogNormal
+    cores: LogNormal
+    memory_mb: LogNormal
+    task_sigma: float
+    """Standard deviation of the logarithm of task durations within a step."""
+    estimate_sigma: float
+    """Standard deviation of the logarithm of estimated over typical duration."""
 
 
 SHORT_JOBS = JobKind(
-    steps=Spread(1.6, 0.4, 4.0),
-    width=Spread(8.0, 0.6, 32.0),
-    seconds=Spread(0.64, 0.5, 1.6),
-    cores=Spread(3.1, 0.45, 9.3),
-    memory_mb=Spread(4_400.0, 0.6, 13_000.0),
-    uneven=0.15,
-    estimate_error=0.5,
+    steps=LogNormal(1.6, 0.4, 4.0),
+    width=LogNormal(8.0, 0.6, 32.0),
+    seconds=LogNormal(0.64, 0.5, 1.6),
+    cores=LogNormal(3.1, 0.45, 9.3),
+    memory_mb=LogNormal(4_400.0, 0.6, 13_000.0),
+    task_sigma=0.15,
+    estimate_sigma=0.5,
 )
 LONG_JOBS = JobKind(
-    steps=Spread(2.0, 0.4, 4.0),
-    width=Spread(8.0, 0.6, 32.0),
-    seconds=Spread(2.1, 0.5, 5.2),
-    cores=Spread(6.7, 0.45, 20.0),
-    memory_mb=Spread(9_600.0, 0.6, 29_000.0),
-    uneven=0.3,
-    estimate_error=0.2,
+    steps=LogNormal(2.0, 0.4, 4.0),
+    width=LogNormal(8.0, 0.6, 32.0),
+    seconds=LogNormal(2.1, 0.5, 5.2),
+    cores=LogNormal(6.7, 0.45, 20.0),
+    memory_mb=LogNormal(9_600.0, 0.6, 29_000.0),
+    task_sigma=0.3,
+    estimate_sigma=0.2,
 )
 
 
 @dataclass(slots=True)
-class TrueJob:
-    """What only the replay knows of a job."""
+class SimulatedJob:
+    """True durations and result of a job, which the scheduler cannot see."""
 
-    came_at: Seconds
+    arrived_at: Seconds
     seconds: list[list[Seconds]]
     """True durations by step and task."""
     objective: Seconds
@@ -135,45 +137,45 @@
 
     @property
     def served(self) -> float:
-        """What is left of the job's worth when it ends."""
+        """Fraction of the job's value that remains when it ends."""
         if self.took is None or self.took > LATE_FACTOR * self.objective:
             return 0.0
-        return 1.0 if self.took <= self.objective else LATE_WORTH
+        return 1.0 if self.took <= self.objective else LATE_VALUE_FRACTION
 
 
 @dataclass(frozen=True, slots=True)
-class TurnOutcome:
-    """What came of a turn."""
+class BurstOutcome:
+    """Results of one replayed burst."""
 
     jobs: int
     in_time: float
-    """Part of the jobs that ended within their objective."""
-    worth: float
-    """Part of the worth that was earned; a job's worth grows with its work."""
+    """Fraction of the jobs that ended within their objective."""
+    value: float
+    """Fraction of the total value earned; a job's value grows with its work."""
     largest: float
-    """What the largest tenth of the jobs earned, each counted alike."""
+    """Fraction of value earned by the largest tenth of jobs, weighted equally."""
 
 
 @dataclass(slots=True)
 class Replay:
-    """One turn while it is replayed."""
+    """State of a burst during its replay."""
 
     kind: JobKind
     rng: random.Random
     tables: WorkTables
-    jobs_by_id: dict[JobId, TrueJob] = field(default_factory=dict)
+    jobs_by_id: dict[JobId, SimulatedJob] = field(default_factory=dict)
     ends: list[tuple[Seconds, int, Run]] = field(default_factory=list)
 
-    def add_job(self, number: int, came_at: Seconds, now: Seconds) -> None:
-        """Let a job come."""
+    def add_job(self, number: int, arrived_at: Seconds, now: Seconds) -> None:
+        """Draw a job and admit it to the tables."""
         count = max(round(self.kind.steps.draw(self.rng)), 1)
-        usual = self.kind.seconds.draw(self.rng)
-        steps = tuple(self._draw_step(index, usual) for index in range(count))
-        true = [self._draw_seconds(step, usual) for step in steps]
+        typical_seconds = self.kind.seconds.draw(self.rng)
+        steps = tuple(self._draw_step(index, typical_seconds) for index in range(count))
+        true = [self._draw_seconds(step, typical_seconds) for step in steps]
         job_id = JobId(f"{number:016x}")
         record = JobRecord(
             queue=QUEUE,
-            accepted_at_ms=round(came_at * 1_000),
+            accepted_at_ms=round(arrived_at * 1_000),
             spec=JobSpec(payload="", steps=steps),
         )
         chain = sum(max(seconds) for seconds in true)
@@ -182,75 +184,75 @@
             for seconds, step in zip(true, steps, strict=True)
         )
         objective = QUEUE.stretch * chain + QUEUE.allowance_ms / 1_000.0
-        self.jobs_by_id[job_id] = TrueJob(came_at, true, objective, work)
-        job = admit_job(self.tables, job_id, record, Revision(1), came_at)
+        self.jobs_by_id[job_id] = SimulatedJob(arrived_at, true, objective, work)
+        job = admit_job(self.tables, job_id, record, Revision(1), arrived_at)
         open_due_occurrences(self.tables, job, now, now * 1_000)
 
-    def _draw_step(self, index: int, usual: Seconds) -> StepSpec:
-        error = math.exp(self.rng.gauss(0.0, self.kind.estimate_error))
+    def _draw_step(self, index: int, typical_seconds: Seconds) -> StepSpec:
+        error = math.exp(self.rng.gauss(0.0, self.kind.estimate_sigma))
         return StepSpec(
             count=max(round(self.kind.width.draw(self.rng)), 1),
             cpu_millis=round(self.kind.cores.draw(self.rng) * 1_000),
             memory_mb=round(self.kind.memory_mb.draw(self.rng)),
-            estimate_ms=round(usual * error * 1_000),
+            estimate_ms=round(typical_seconds * error * 1_000),
             after=(index - 1,) if index else (),
         )
 
-    def _draw_seconds(self, step: StepSpec, usual: Seconds) -> list[Seconds]:
+    def _draw_seconds(self, step: StepSpec, typical_seconds: Seconds) -> list[Seconds]:
         return [
-            usual * math.exp(self.rng.gauss(0.0, self.kind.uneven))
+            typical_seconds * math.exp(self.rng.gauss(0.0, self.kind.task_sigma))
             for _ in range(step.count)
         ]
 
     def start(self, run: Run, now: Seconds) -> None:
-        """Carry a start out."""
+        """Start a run and schedule its end after the true duration."""
         step = run.task.step
         run.state = RunState.RUNNING
-        run.confirmed_at = now + ORDER_SECONDS
+        run.confirmed_at = now + START_DELAY_SECONDS
         true = self.jobs_by_id[step.job.id].seconds[step.index][run.task.index]
         entry = (run.confirmed_at + true, id(run), run)
         heapq.heappush(self.ends, entry)
 
     def end_due(self, now: Seconds) -> None:
-        """Take over what has ended by now."""
+        """Apply the ends of all runs that are due by ``now``."""
         while self.ends and self.ends[0][0] <= now:
             run = heapq.heappop(self.ends)[2]
             end_run(self.tables, run, RunEnd.DONE, "", now)
             job = run.task.step.job
             if job.outcome is JobOutcome.COMPLETE:
                 true = self.jobs_by_id[job.id]
-                true.took = now - true.came_at
+                true.took = now - true.arrived_at
                 forget_job(self.tables, job, now)
 
 
 def rank_by_latest_start(step: StepRun, now: Seconds, _: float) -> Rank:
-    """Return the rank that the product gave before sizes counted."""
+    """Return the rank by latest start alone, without regard to job size."""
     return rank_step(step, now, 0.0)
 
 
-def replay_turn(
+def replay_burst(
     kind: JobKind,
     seed: int,
     vms: int,
     jobs_per_second: float,
     rule: RankRule = rank_step,
-) -> TurnOutcome:
-    """Replay one turn over a pool of ``vms`` VMs."""
+) -> BurstOutcome:
+    """Replay one burst on a pool of ``vms`` VMs."""
     rng = random.Random(seed)
     replay = Replay(kind, rng, _create_tables(vms))
-    came_at = rng.expovariate(jobs_per_second)
-    ticks = round((TURN_SECONDS + SETTLE_SECONDS) / TICK_SECONDS)
+    arrived_at = rng.expovariate(jobs_per_second)
+    ticks = round((BURST_SECONDS + SETTLE_SECONDS) / TICK_SECONDS)
     number = 0
     for tick in range(ticks):
         now = tick * TICK_SECONDS
-        while came_at <= min(now, TURN_SECONDS):
-            replay.add_job(number, came_at, now)
+        while arrived_at <= min(now, BURST_SECONDS):
+            replay.add_job(number, arrived_at, now)
             number += 1
-            came_at += rng.expovariate(jobs_per_second)
+            arrived_at += rng.expovariate(jobs_per_second)
         replay.end_due(now)
         for run in plan_round(replay.tables, POOL, now, rule):
             replay.start(run, now)
-    return _judge(list(replay.jobs_by_id.values()))
+    return _compute_outcome(list(replay.jobs_by_id.values()))
 
 
 def _create_tables(vms: int) -> WorkTables:
@@ -268,7 +270,7 @@
             zone_id=ZoneId("zone-a"),
             address="127.0.0.1:1",
             condition=WorkerCondition.READY,
-            resources=VM_ROOM,
+            resources=VM_RESOURCES,
             labels=(),
             rack_id=RackId(f"r1-{number // 8}"),
             clock_ms=0,
@@ -279,18 +281,18 @@
     return tables
 
 
-def _judge(jobs: list[TrueJob]) -> TurnOutcome:
+def _compute_outcome(jobs: list[SimulatedJob]) -> BurstOutcome:
     mean = sum(job.work for job in jobs) / len(jobs)
-    owed = earned = 0.0
+    total_value = earned = 0.0
     for job in jobs:
-        worth = min(0.3 + 0.7 * job.work / mean, 4.0)
-        owed += worth
-        earned += worth * job.served
+        value = min(0.3 + 0.7 * job.work / mean, 4.0)
+        total_value += value
+        earned += value * job.served
     largest = sorted(jobs, key=lambda job: job.work)[-max(len(jobs) // 10, 1) :]
-    return TurnOutcome(
+    return BurstOutcome(
         jobs=len(jobs),
         in_time=sum(job.served == 1.0 for job in jobs) / len(jobs),
-        worth=earned / owed,
+        value=earned / total_value,
         largest=sum(job.served for job in largest) / len(largest),
     )
 
@@ -307,7 +309,7 @@
 
 
 def main() -> None:
-    """Print what each order earns of the replayed turns."""
+    """Print the results of each ranking rule for the replayed bursts."""
     rules: tuple[tuple[str, RankRule], ...] = (
         ("latest start alone", rank_by_latest_start),
         ("latest start and size", rank_step),
@@ -315,13 +317,13 @@
     for title, kind, rate in CASES:
         print(title)
         for name, rule in rules:
-            outcomes = [replay_turn(kind, seed, VMS, rate, rule) for seed in SEEDS]
+            outcomes = [replay_burst(kind, seed, VMS, rate, rule) for seed in SEEDS]
             count = len(outcomes)
             in_time = sum(each.in_time for each in outcomes) / count
-            worth = sum(each.worth for each in outcomes) / count
+            value = sum(each.value for each in outcomes) / count
             largest = sum(each.largest for each in outcomes) / count
             print(
-                f"  {name:24} in time {in_time:.3f}  worth {worth:.3f}"
+                f"  {name:24} in time {in_time:.3f}  worth {value:.3f}"
                 f"  largest tenth {largest:.3f}"
             )
 
@@ -333,8 +335,8 @@
 __all__ = [
     "LONG_JOBS",
     "SHORT_JOBS",
-    "TurnOutcome",
+    "BurstOutcome",
     "main",
     "rank_by_latest_start",
-    "replay_turn",
+    "replay_burst",
 ]
--- a/packages/bench/src/medlarspring_bench/measure/fleet_rollout.py
+++ b/packages/bench/src/medlarspring_bench/measure/fleet_rollout.py
@@ -1,4 +1,4 @@
-"""Roll-out time of a full wave, by the rule that limits its width.
+"""Measures the roll-out time of a full wave under different wave limits.
 
 Command: ``python -m medlarspring_bench.measure.fleet rollout``
 """
@@ -34,12 +34,14 @@
 DRAIN_SECONDS = 60.0
 REBOOT_SECONDS = 180.0
 RACK_LOST_SECONDS = 1_800.0
-FAILING_PART = 0.02
+FAILING_FRACTION = 0.02
 MAX_SECONDS = 130_000.0
 BAD_IMAGE_SECONDS = 10_000.0
 WAVE = WaveId("w")
 
-TODAY = FleetShape(pools=5, vms_in_pool=8, min_available=6, wanted_vms=8, spare_vms=4)
+CURRENT_SHAPE = FleetShape(
+    pools=5, vms_in_pool=8, min_available=6, wanted_vms=8, spare_vms=4
+)
 TARGET = FleetShape(
     pools=46,
     vms_in_pool=18,
@@ -51,8 +53,8 @@
 )
 
 
-class RackWidth:
-    """One rack of the whole fleet at a time; the baseline."""
+class SingleRackLimit:
+    """Baseline wave limit: drains one rack of the fleet at a time."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -62,7 +64,7 @@
     def allows(
         self, draft: Draft, wave: WaveRecord, vm: VMRecord, pool: PoolRow
     ) -> bool:
-        """Allow a VM of the first rack that is not through."""
+        """Return whether the VM is in the first rack that is not finished."""
         if self._chosen_at != self._clock.now():
             self._chosen_at = self._clock.now()
             left = (
@@ -75,12 +77,12 @@
         return vm.rack_id == self._rack_id
 
 
-class SpareWidth:
-    """As the inner rule, but leaves the fleet's spare to failures.
+class SpareReserveLimit:
+    """Wave limit that also reserves the fleet's spare VMs for failures.
 
-    Weighed and dropped: slower, and no pool was under its budget for less
-    time. Spare is counted over the fleet, as what serves above all budgets
-    together; a wave with no VM out may always take one.
+    The product does not use it: it is slower and does not shorten the time that
+    pools are under their budgets. Spare is counted over the fleet, as the VMs that
+    serve above the sum of all budgets. A wave with no VM out may always take one.
     """
 
     def __init__(
@@ -93,7 +95,7 @@
     def allows(
         self, draft: Draft, wave: WaveRecord, vm: VMRecord, pool: PoolRow
     ) -> bool:
-        """Allow what the inner rule allows while spare stays whole."""
+        """Return whether the inner limit allows the VM and the reserve is kept."""
         if not self._inner.allows(draft, wave, vm, pool):
             return False
         tables = draft.tables
@@ -110,39 +112,42 @@
 
 @dataclass(slots=True)
 class Rollout:
-    """What one wave took."""
+    """Results of one wave."""
 
     seconds: float
     is_done: bool
     broken_by_drains: int
     seconds_under_budget: float
-    """Summed over pools, whatever the cause."""
+    """Sum over all pools, whatever the cause."""
     rebooted: int
     given_up: int
     idle_vms: float
-    """VMs that served above the budgets, on average."""
+    """Average number of VMs that served above the budgets."""
 
 
 def run_rollout(
     shape: FleetShape,
-    create_width: Callable[[FleetWorld], WaveLimit],
+    create_limit: Callable[[FleetWorld], WaveLimit],
     seed: int,
     tick_seconds: float,
     *,
     has_faults: bool = True,
     bad_image: bool = False,
 ) -> Rollout:
-    """Run one wave over the whole fleet to its end."""
+    """Run one wave over the whole fleet until it ends or reaches the time limit.
+
+    With a bad image, the run also ends when the wave is paused.
+    """
     rng = random.Random(seed)
     world = FleetWorld(shape, 1, VMTimes(DRAIN_SECONDS, REBOOT_SECONDS))
-    # The rule needs the table that the world makes, so it is set afterwards.
-    world.processes[0].controller.wave_limit = create_width(world)
+    # The limit needs the configuration table that the world creates.
+    world.processes[0].controller.wave_limit = create_limit(world)
     checker = FleetChecker(world)
     rows = world.platform.rows_by_id
     if bad_image:
         world.platform.faults.fail = set(rows)
     elif has_faults:
-        failing = max(1, round(len(rows) * FAILING_PART))
+        failing = max(1, round(len(rows) * FAILING_FRACTION))
         world.platform.faults.fail = set(rng.sample(sorted(rows), failing))
     started_at = world.clock.now()
     wave = WaveRecord(
@@ -163,7 +168,7 @@
             is_lost = True
             world.platform.set_rack_down(lost_rack, down=True)
         if is_lost and now >= lost_at + RACK_LOST_SECONDS:
-            _mend_rack(world, lost_rack)
+            _restore_rack(world, lost_rack)
             lost_at, is_lost = math.inf, False
         world.run_rounds(1, tick_seconds)
         short, spare = _count(world, checker)
@@ -186,7 +191,7 @@
     )
 
 
-def _mend_rack(world: FleetWorld, rack: str) -> None:
+def _restore_rack(world: FleetWorld, rack: str) -> None:
     for row in world.platform.rows_by_id.values():
         if row.rack == rack and row.condition is Condition.DOWN:
             row.boot += 1
@@ -194,7 +199,7 @@
 
 
 def _count(world: FleetWorld, checker: FleetChecker) -> tuple[int, int]:
-    """Return the pools under their budget and the VMs above all budgets."""
+    """Return the number of pools under budget and of VMs above the budgets."""
     short = spare = 0
     for pool in world.config.pools_by_id.values():
         serving = sum(
@@ -207,56 +212,56 @@
     return short, spare
 
 
-def bound_by_budgets(shape: FleetShape) -> float:
-    """Return the shortest time that budgets and zones alone would allow."""
+def compute_budget_bound(shape: FleetShape) -> float:
+    """Return the shortest time in seconds that budgets and zone limits allow."""
     seconds = DRAIN_SECONDS + REBOOT_SECONDS
-    room = shape.vms_in_pool - shape.min_available
-    by_pool = math.ceil(shape.vms_in_pool / room)
+    max_unavailable = shape.vms_in_pool - shape.min_available
+    by_pool = math.ceil(shape.vms_in_pool / max_unavailable)
     vms = shape.pools * shape.vms_in_pool
     by_zone = math.ceil(vms / (shape.zones * shape.max_drains_per_zone))
     return max(by_pool, by_zone) * seconds
 
 
-def create_widths() -> dict[str, Callable[[FleetWorld], WaveLimit]]:
-    """Return the rules that are compared, the baseline first."""
+def list_limit_factories() -> dict[str, Callable[[FleetWorld], WaveLimit]]:
+    """Return factories of the compared wave limits by name, baseline first."""
     return {
-        "one rack at a time": lambda world: RackWidth(world.clock),
+        "one rack at a time": lambda world: SingleRackLimit(world.clock),
         "budgets alone": lambda world: BudgetOnlyLimit(),
         "canary, then budgets": lambda world: CanaryLimit(),
         "canary, then budgets less a rack": lambda world: RackReserveLimit(
             CanaryLimit()
         ),
-        "canary, then budgets less spare": lambda world: SpareWidth(
+        "canary, then budgets less spare": lambda world: SpareReserveLimit(
             world.config.pools_by_id, world.config.fleet, CanaryLimit()
         ),
     }
 
 
 def measure_rollout(seeds: int = 4) -> None:
-    """Print the roll-out times of all rules at today's size."""
-    _measure("44 VMs, 5 pools", TODAY, 5.0, seeds)
+    """Print the roll-out times of all wave limits for the current fleet size."""
+    _measure("44 VMs, 5 pools", CURRENT_SHAPE, 5.0, seeds)
 
 
 def measure_target() -> None:
-    """Print the roll-out times of all rules at the target's size."""
+    """Print the roll-out times of all wave limits for the target fleet size."""
     _measure("848 VMs, 46 pools", TARGET, 40.0, 1)
 
 
 def _measure(name: str, shape: FleetShape, tick_seconds: float, seeds: int) -> None:
-    bound = bound_by_budgets(shape)
+    bound = compute_budget_bound(shape)
     print(f"full wave, {name}, 2% failing, one rack lost for {RACK_LOST_SECONDS:.0f} s")
     print(f"  bound by budgets and zones alone: {bound:.0f} s")
     baseline = 0.0
-    for rule, create_width in create_widths().items():
+    for rule, create_limit in list_limit_factories().items():
         done = [
-            run_rollout(shape, create_width, seed, tick_seconds)
+            run_rollout(shape, create_limit, seed, tick_seconds)
             for seed in range(seeds)
         ]
         seconds = sum(each.seconds for each in done) / seeds
         baseline = baseline or seconds
         under = sum(each.seconds_under_budget for each in done) / seeds
         bad = run_rollout(
-            shape, create_width, 0, tick_seconds, has_faults=False, bad_image=True
+            shape, create_limit, 0, tick_seconds, has_faults=False, bad_image=True
         )
         print(
             f"  {rule:32} {seconds:7.0f} s  {seconds / baseline:5.3f} of the baseline"
@@ -270,12 +275,12 @@
 
 __all__ = [
     "TARGET",
-    "TODAY",
-    "RackWidth",
+    "CURRENT_SHAPE",
+    "SingleRackLimit",
     "Rollout",
-    "SpareWidth",
-    "bound_by_budgets",
-    "create_widths",
+    "SpareReserveLimit",
+    "compute_budget_bound",
+    "list_limit_factories",
     "measure_rollout",
     "measure_target",
     "run_rollout",
--- a/packages/bench/src/medlarspring_bench/measure/requests_entry_vm.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_entry_vm.py
@@ -1,4 +1,4 @@
-"""One simulated entry VM: the product's decisions without its event loop."""
+"""Simulates an entry VM with the product's decisions but no event loop."""
 
 from __future__ import annotations
 
@@ -72,10 +72,10 @@
             return
         usable = self.state.count_usable_slots(POOL, now)
         queue = fair_queue.get_partner_queue(pool, request.partner_id)
-        room = admission.QueueOccupancy(MAX_WAITING, pool.waiting, queue.waiting)
-        refusal = admission.check_admission(pool, request, usable, room, now)
+        occupancy = admission.QueueOccupancy(MAX_WAITING, pool.waiting, queue.waiting)
+        refusal = admission.check_admission(pool, request, usable, occupancy, now)
         if refusal is not None:
-            self.fleet.note_refused(request)
+            self.fleet.record_refusal(request)
             return
         fair_queue.enqueue(pool, request)
         self.exchange.request_slots_soon(POOL)
@@ -83,7 +83,7 @@
         self.fleet.at(max(0.0, left), lambda: self._expire(request))
 
     def pump(self) -> None:
-        """Give free slots to the requests that go next."""
+        """Send queued requests to free slots in fair-queue order."""
         pool = self.state.get_pool(POOL)
         now = self.fleet.clock.now()
         fleet_slots = self.state.count_fleet_slots(POOL)
@@ -100,20 +100,25 @@
 
     def _expire(self, request: CallerRequest) -> None:
         if fair_queue.remove(self.state.get_pool(POOL), request):
-            self.fleet.note_refused(request)
+            self.fleet.record_refusal(request)
 
     def _begin(self, request: CallerRequest, upstream: Upstream, now: float) -> None:
         upstream.in_use += 1
         fair_queue.begin_request(self.state.get_pool(POOL), request.partner_id, now)
         if not self.fleet.run(upstream.id):
-            self.fleet.at(2 * ONE_WAY_SECONDS, lambda: self._refused(request, upstream))
+            self.fleet.at(
+                2 * ONE_WAY_SECONDS, lambda: self._handle_refusal(request, upstream)
+            )
             return
-        self.fleet.note_start(request, now)
+        self.fleet.record_start(request, now)
         took = self.fleet.draw_service()
         self.fleet.at(took, lambda: self._finish(request, upstream, now))
 
-    def _refused(self, request: CallerRequest, upstream: Upstream) -> None:
-        """The upstream's slots were full; only optimistic sending sees this."""
+    def _handle_refusal(self, request: CallerRequest, upstream: Upstream) -> None:
+        """Requeue a request that a full upstream refused.
+
+        This happens with optimistic sharing only.
+        """
         now = self.fleet.clock.now()
         pool = self.state.get_pool(POOL)
         upstream.in_use -= 1
@@ -137,7 +142,7 @@
         )
         if upstream.id in self.limits:
             self._set_limit(upstream, self.limits[upstream.id] + LIMIT_STEP)
-        self.fleet.note_end(request, began, now)
+        self.fleet.record_end(request, began, now)
         self.pump()
 
     def _set_limit(self, upstream: Upstream, limit: float) -> None:
--- a/packages/bench/src/medlarspring_bench/measure/requests_processes.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_processes.py
@@ -1,4 +1,4 @@
-"""Processes of the cost measurement: an upstream, a bare forwarder, a caller port.
+"""Runs an upstream, a bare forwarder or a caller port for the measurements.
 
 ``python -m medlarspring_bench.measure.requests_processes KIND [UPSTREAM ...]``
 """
@@ -57,11 +57,11 @@
 
     Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
-ANSWER = b"x" * 512
+RESPONSE_BODY = b"x" * 512
 CREDENTIAL = "measure"
 SERVICE = "consent"
 UPSTREAM_SLOTS = 64
-"""So many that slots do not limit what the cost measurement measures."""
+"""High enough that slots do not limit the cost measurement."""
 
 
 async def _open(handler: Handler) -> str:
@@ -72,58 +72,58 @@
 
 
 async def serve_upstream() -> None:
-    """Answer everything at once."""
+    """Serve an upstream that answers every request immediately."""
 
     async def handle(request: web.BaseRequest) -> web.Response:
         await request.read()
-        return web.Response(body=ANSWER, headers={"Content-Type": "text/plain"})
+        return web.Response(body=RESPONSE_BODY, headers={"Content-Type": "text/plain"})
 
     announce(control=await _open(handle))
     await wait_for_end()
 
 
 async def serve_bare(upstreams: list[str]) -> None:
-    """Forward without any policy: read, send to the next upstream, pass on."""
+    """Serve a forwarder without policy that uses the upstreams in rotation."""
     connector = aiohttp.TCPConnector(limit=0, use_dns_cache=False)
     session = aiohttp.ClientSession(
         connector=connector,
         cookie_jar=aiohttp.DummyCookieJar(),
         auto_decompress=False,
     )
-    turn = 0
+    request_count = 0
 
     async def handle(request: web.BaseRequest) -> web.Response:
-        nonlocal turn
-        turn += 1
+        nonlocal request_count
+        request_count += 1
         body = await request.read()
-        upstream = upstreams[turn % len(upstreams)]
+        upstream = upstreams[request_count % len(upstreams)]
         async with session.request(
             request.method,
             URL(f"http://{upstream}{request.raw_path}", encoded=True),
-            headers=_pass(request.headers),
+            headers=_copy_end_to_end_headers(request.headers),
             data=body or None,
             allow_redirects=False,
-        ) as answer:
-            held = await answer.read()
-            headers = _pass(answer.headers)
+        ) as response:
+            content = await response.read()
+            headers = _copy_end_to_end_headers(response.headers)
             headers.popall("Content-Length", None)
-            return web.Response(status=answer.status, headers=headers, body=held)
+            return web.Response(status=response.status, headers=headers, body=content)
 
     announce(control=await _open(handle))
     await wait_for_end()
     await session.close()
 
 
-def _pass(headers: CIMultiDictProxy[str]) -> CIMultiDict[str]:
-    passed: CIMultiDict[str] = CIMultiDict()
+def _copy_end_to_end_headers(headers: CIMultiDictProxy[str]) -> CIMultiDict[str]:
+    copied: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
         if name.lower() not in HOP_HEADERS and name.lower() != "host":
-            passed.add(name, value)
-    return passed
+            copied.add(name, value)
+    return copied
 
 
 async def serve_caller_port(upstreams: list[str], slots: int) -> None:
-    """Open the caller port of one entry VM with all its policy."""
+    """Serve the caller port of one entry VM with all its policies."""
     clock = SystemClock()
     node = create_node(
         create_settings(),
@@ -163,7 +163,7 @@
 
 
 def create_settings(entry_vm: str = "e1", zone: str = "a") -> Settings:
-    """Return settings that open ports of the kernel's choice."""
+    """Return settings with ports that the kernel assigns."""
     local = "127.0.0.1:0"
     nowhere = "127.0.0.1:1"
     token_file = Path("unused")
--- a/packages/bench/src/medlarspring_bench/measure/requests_shares.py
+++ b/packages/bench/src/medlarspring_bench/measure/requests_shares.py
@@ -1,6 +1,6 @@
-"""Shares, utilisation, urgency and overload, in simulated fleets.
+"""Measures shares, utilisation, urgent starts and overload in simulated fleets.
 
-Seeds are fixed, so that the same code gives the same figures.
+Seeds are fixed, so the same code gives the same figures.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
 WARM_SECONDS = 8.0
 COUNTED_SECONDS = 12.0
 PARTNERS = ("p1", "p2", "p3", "p4")
-FLOOD = 10.0
-OVERLOAD = 3.0
+FLOOD_FACTOR = 10.0
+OVERLOAD_FACTOR = 3.0
 URGENT_RATE = 4.0
 URGENT_SERVICE_SECONDS = 0.5
 URGENT_DEADLINE_SECONDS = 10.0
 
 
 @dataclass(slots=True, frozen=True)
-class Saturated:
-    """One saturated run."""
+class SaturatedRun:
+    """Results of one run of a saturated fleet."""
 
     worst_share: float
-    """Least of the victims' served share of their entitlement."""
+    """Smallest fraction of its entitlement that a non-flooding partner got."""
     utilisation: float
     over_slots: int
     refusals: int
 
 
 def _capacity(shape: FleetShape) -> float:
-    """Requests per second that all slots together can serve."""
+    """Return the requests per second that all slots together can serve."""
     busy = shape.service_seconds + 2 * ONE_WAY_SECONDS
     return shape.upstreams * SLOTS / busy
 
@@ -49,21 +49,21 @@
     return FleetShape(weights_by_partner=dict.fromkeys(PARTNERS, 1.0))
 
 
-def run_flood(sharing: Sharing, seed: int) -> Saturated:
-    """One partner floods with ten times its entitlement; the rest want theirs."""
+def run_flood(sharing: Sharing, seed: int) -> SaturatedRun:
+    """Run a flood: one partner sends ten times its entitlement, others once."""
     shape = _create_shape()
     fleet = Fleet(shape, sharing, seed)
     entitled = _capacity(shape) / len(PARTNERS)
     for partner in PARTNERS[1:]:
         fleet.add_load(partner, entitled)
-    fleet.add_load(PARTNERS[0], FLOOD * entitled)
+    fleet.add_load(PARTNERS[0], FLOOD_FACTOR * entitled)
     tally = _count(fleet)
     shares = [
         tally.served[partner] / min(entitled * COUNTED_SECONDS, tally.offered[partner])
         for partner in PARTNERS[1:]
     ]
     slot_seconds = shape.upstreams * SLOTS * COUNTED_SECONDS
-    return Saturated(
+    return SaturatedRun(
         worst_share=min(shares),
         utilisation=tally.busy_slot_seconds / slot_seconds,
         over_slots=tally.over_slots,
@@ -79,7 +79,7 @@
 
 
 def measure_urgent_start(seed: int) -> float:
-    """Return p99 of the wait of urgent work on a full fleet, in seconds."""
+    """Return the p99 wait of urgent requests on a full fleet, in seconds."""
     shape = _create_shape()
     shape.service_seconds = URGENT_SERVICE_SECONDS
     shape.deadline_seconds = URGENT_DEADLINE_SECONDS
@@ -93,7 +93,10 @@
 
 
 def measure_goodput(load: float, seed: int) -> float:
-    """Return answers within their deadline per second at a part of capacity."""
+    """Return responses within their deadline per second.
+
+    ``load`` is the offered load as a multiple of the capacity.
+    """
     shape = _create_shape()
     fleet = Fleet(shape, Sharing.CREDITS, seed)
     for partner in PARTNERS:
@@ -102,7 +105,7 @@
 
 
 def measure_sharing() -> list[str]:
-    """Return one row for each way of sharing slots."""
+    """Return one table row for each scheme of sharing slots."""
     rows = []
     for sharing in Sharing:
         runs = [run_flood(sharing, seed) for seed in SEEDS]
@@ -116,14 +119,16 @@
 
 
 def main() -> None:
-    """Print the rows."""
+    """Print the table."""
     print("| way | worst share | utilisation | refused by VMs | over slots |")
     print("| --- | --- | --- | --- | --- |")
     for row in measure_sharing():
         print(row)
     urgent = max(measure_urgent_start(seed) for seed in SEEDS)
     print(f"| p99 of urgent start on a full fleet (s) | {urgent:.3f} |")
-    ratios = [measure_goodput(OVERLOAD, s) / measure_goodput(1.0, s) for s in SEEDS]
+    ratios = [
+        measure_goodput(OVERLOAD_FACTOR, s) / measure_goodput(1.0, s) for s in SEEDS
+    ]
     print(f"| goodput at 3 times / at 1 time the capacity | {min(ratios):.3f} |")
 
 
