--- a/packages/bench/src/medlarspring_bench/callers.py
+++ b/packages/bench/src/medlarspring_bench/callers.py
@@ -18,12 +18,12 @@
 
 PROBLEM = "application/problem+json"
 SAFE_METHODS = frozenset({"GET", "HEAD"})
-GRACE_SECONDS = 3.0
+RESPONSE_GRACE_SECONDS = 3.0
 """Beyond its deadline a request may take so long until the caller gives up."""
 FIRST_PAUSE_SECONDS = 0.1
 
 
-class Wish(Struct, kw_only=True):
+class CallSpec(Struct, kw_only=True):
     """What a caller wants."""
 
     id: str
@@ -78,7 +78,7 @@
         assert self._session is not None
         await self._session.close()
 
-    async def make(self, wish: Wish, addresses: Sequence[str] = ()) -> Call:
+    async def make(self, call_spec: CallSpec, addresses: Sequence[str] = ()) -> Call:
         """Try until the wish is answered or patience ends.
 
         Attempts go to the given addresses in turn, the last one for all that
@@ -86,40 +86,44 @@
         """
         targets = [*addresses] or [self.address]
         call = Call(
-            id=wish.id,
-            partner=wish.partner,
-            repeatable=wish.may_repeat and not wish.key,
-            digest=hashlib.sha256(wish.body).hexdigest(),
-            key=wish.key,
+            id=call_spec.id,
+            partner=call_spec.partner,
+            repeatable=call_spec.may_repeat and not call_spec.key,
+            digest=hashlib.sha256(call_spec.body).hexdigest(),
+            key=call_spec.key,
         )
         self.calls.append(call)
-        patience_ends = time.monotonic() + wish.patience_seconds
+        patience_ends = time.monotonic() + call_spec.patience_seconds
         pause = FIRST_PAUSE_SECONDS
         while True:
             target = targets[min(len(call.attempts), len(targets) - 1)]
-            attempt, retry_after = await self._try(wish, call, target)
+            attempt, retry_after = await self._try(call_spec, call, target)
             call.attempts.append(attempt)
-            if not _goes_on(wish, attempt):
+            if not _may_retry(call_spec, attempt):
                 return call
             pause = max(pause * 2, retry_after)
             if time.monotonic() + pause > patience_ends:
                 return call
             await asyncio.sleep(pause)
 
-    async def _try(self, wish: Wish, call: Call, target: str) -> tuple[Attempt, float]:
-        request_id = f"{wish.id}.{len(call.attempts) + 1}"
+    async def _try(
+        self, call_spec: CallSpec, call: Call, target: str
+    ) -> tuple[Attempt, float]:
+        request_id = f"{call_spec.id}.{len(call.attempts) + 1}"
         now = time.monotonic()
         attempt = Attempt(request_id, now, now, Seen.NOTHING)
         retry_after = 0.0
         started = False
         assert self._session is not None
         try:
-            async with asyncio.timeout(wish.timeout_seconds + GRACE_SECONDS):
+            async with asyncio.timeout(
+                call_spec.timeout_seconds + RESPONSE_GRACE_SECONDS
+            ):
                 request = self._session.request(
-                    wish.method,
-                    f"http://{target}{wish.path}",
-                    data=wish.body or None,
-                    headers=_headers(wish, request_id),
+                    call_spec.method,
+                    f"http://{target}{call_spec.path}",
+                    data=call_spec.body or None,
+                    headers=_headers(call_spec, request_id),
                 )
                 async with request as response:
                     started = True
@@ -135,16 +139,16 @@
         return attempt, retry_after
 
 
-def _headers(wish: Wish, request_id: str) -> dict[str, str]:
+def _headers(call_spec: CallSpec, request_id: str) -> dict[str, str]:
     headers = {
-        "Authorization": f"Bearer {wish.credential}",
+        "Authorization": f"Bearer {call_spec.credential}",
         "Request-Id": request_id,
-        "Request-Timeout": f"{wish.timeout_seconds:g}",
-        "Priority": f"u={wish.urgency}",
+        "Request-Timeout": f"{call_spec.timeout_seconds:g}",
+        "Priority": f"u={call_spec.urgency}",
     }
-    if wish.key:
-        headers["Idempotency-Key"] = wish.key
-    if wish.repeatable:
+    if call_spec.key:
+        headers["Idempotency-Key"] = call_spec.key
+    if call_spec.repeatable:
         headers["Repeatable"] = "?1"
     return headers
 
@@ -166,13 +170,13 @@
     attempt.answered_digest = answer.digest
 
 
-def _goes_on(wish: Wish, attempt: Attempt) -> bool:
+def _may_retry(call_spec: CallSpec, attempt: Attempt) -> bool:
     """Whether the caller may send the wish again."""
     if attempt.seen is Seen.ANSWERED:
         return False
     if attempt.seen is Seen.NOT_RUN:
         return attempt.status in (429, 503, 504)
-    return wish.may_repeat
+    return call_spec.may_repeat
 
 
-__all__ = ["Callers", "Wish"]
+__all__ = ["Callers", "CallSpec"]
--- a/packages/bench/src/medlarspring_bench/demo.py
+++ b/packages/bench/src/medlarspring_bench/demo.py
@@ -20,18 +20,18 @@
 from medlarspring_bench.history_checker import (
     count_by_kind,
     describe_end,
-    find_breaches,
+    find_violations,
 )
 from medlarspring_bench.platform_watch import PlatformWatch, watch_platform
 from medlarspring_bench.processes import Processes
 from medlarspring_bench.recording import record_history
 from medlarspring_bench.report import create_table, report_by_partner
 from medlarspring_bench.waiting import wait_for
-from medlarspring_bench.workload import create_wishes, send_paced
+from medlarspring_bench.workload import create_call_specs, send_paced
 
 if TYPE_CHECKING:
     from medlarspring_bench.history import Call
-    from medlarspring_bench.history_checker import Breach
+    from medlarspring_bench.history_checker import Violation
 
 EDIT_AT = 0.25
 DRAIN_AT = 0.4
@@ -88,21 +88,23 @@
 
     def _send_batch(self, loop: BackgroundLoop) -> list[Call]:
         options = self._options
-        wishes = create_wishes(self._cluster.platform, options.requests, options.seed)
+        call_specs = create_call_specs(
+            self._cluster.platform, options.requests, options.seed
+        )
         callers = Callers(self._cluster.balancer["address"])
 
         async def send() -> None:
             async with callers:
-                await send_paced(callers, wishes, options.seconds, self._count)
+                await send_paced(callers, call_specs, options.seconds, self._count)
 
-        self._say(f"sending {len(wishes)} requests over {options.seconds:g} s")
+        self._say(f"sending {len(call_specs)} requests over {options.seconds:g} s")
         sending = loop.submit(send())
         for part, disturb in (
             (EDIT_AT, self._edit_row),
             (DRAIN_AT, self._drain_rack),
             (KILL_AT, self._kill_daemon),
         ):
-            wait_for(partial(self._has_sent, part * len(wishes)), "the batch", 60.0)
+            wait_for(partial(self._has_sent, part * len(call_specs)), "the batch", 60.0)
             disturb()
         sending.result(120.0)
         self._say("every call has come to its end")
@@ -143,24 +145,24 @@
         self._say(f"daemon {id_} killed")
 
     def _conclude(self, history: History) -> int:
-        breaches = find_breaches(history)
+        violations = find_violations(history)
         title = f"{self._cluster.platform.name}, seed {self._options.seed}"
-        reports = report_by_partner(history.calls, breaches)
+        reports = report_by_partner(history.calls, violations)
         self._console.print(create_table(title, reports))
-        self._print_faults(history, breaches)
+        self._print_faults(history, violations)
         self._say(
             f"{len(history.calls)} calls, {len(history.runs)} runs,"
             f" {len(history.pool_samples)} samples of budgets,"
-            f" {len(breaches)} broken promises"
+            f" {len(violations)} broken promises"
         )
-        return 1 if breaches else 0
+        return 1 if violations else 0
 
-    def _print_faults(self, history: History, breaches: list[Breach]) -> None:
-        for kind, count in count_by_kind(breaches).items():
+    def _print_faults(self, history: History, violations: list[Violation]) -> None:
+        for kind, count in count_by_kind(violations).items():
             self._console.print(f"{kind.value}: {count}")
-        for breach in breaches[:SHOWN_BREACHES]:
+        for violation in violations[:SHOWN_BREACHES]:
             self._console.print(
-                f"  {breach.kind.value} {breach.subject}: {breach.detail}"
+                f"  {violation.kind.value} {violation.subject}: {violation.detail}"
             )
         if not self._options.verbose:
             return
--- a/packages/bench/src/medlarspring_bench/disturbances.py
+++ b/packages/bench/src/medlarspring_bench/disturbances.py
@@ -70,11 +70,11 @@
     cluster.processes.by_name[first_daemon(cluster)].resume()
 
 
-def _cut_first_zone(cluster: Cluster) -> None:
+def _partition_first_zone(cluster: Cluster) -> None:
     cluster.cut_zone(cluster.platform.zones[0], cut=True)
 
 
-def _heal_first_zone(cluster: Cluster) -> None:
+def _reconnect_first_zone(cluster: Cluster) -> None:
     cluster.cut_zone(cluster.platform.zones[0], cut=False)
 
 
@@ -114,7 +114,7 @@
     "upstream VMs are unreachable": Disturbance(
         _vms(unreachable=True), _vms(unreachable=False)
     ),
-    "a zone is cut off": Disturbance(_cut_first_zone, _heal_first_zone),
+    "a zone is cut off": Disturbance(_partition_first_zone, _reconnect_first_zone),
 }
 
 
--- a/packages/bench/src/medlarspring_bench/fleet_checker.py
+++ b/packages/bench/src/medlarspring_bench/fleet_checker.py
@@ -31,7 +31,7 @@
         self._world = world
         self._reboots_by_wave: Counter[tuple[str, str]] = Counter()
         for commit in world.store_state.commits_since(1):
-            self._take(commit)
+            self._apply_commit(commit)
         self._vms = len(self.truth.vms_by_id)
         world.store_state.listeners.append(self.on_commit)
         world.action_listeners.append(self.on_action)
@@ -40,7 +40,7 @@
         """Check one write."""
         before = dict(self.truth.vms_by_id)
         revisions = {vm: self.truth.revision_of(key_of_vm(vm)) for vm in before}
-        self._take(commit)
+        self._apply_commit(commit)
         if len(self.truth.vms_by_id) != self._vms:
             self._violate("a VM record came or went")
         for vm_id, record in self.truth.vms_by_id.items():
@@ -88,7 +88,7 @@
         for move in self.truth.open_moves_by_id.values():
             self._violate(f"move {move.id} is {move.state}")
 
-    def _take(self, commit: Commit) -> None:
+    def _apply_commit(self, commit: Commit) -> None:
         for change in commit.changes:
             key = change.kv.key.decode()
             if change.deleted:
--- a/packages/bench/src/medlarspring_bench/history_checker.py
+++ b/packages/bench/src/medlarspring_bench/history_checker.py
@@ -35,7 +35,7 @@
     JOB_RAN_TWICE_AT_ONCE = "job ran twice at once"
 
 
-class Breach(Struct, frozen=True):
+class Violation(Struct, frozen=True):
     """One broken promise."""
 
     kind: Kind
@@ -43,7 +43,7 @@
     detail: str
 
 
-def find_breaches(history: History) -> list[Breach]:
+def find_violations(history: History) -> list[Violation]:
     """Return all broken promises of a history."""
     return [
         *_find_lost(history),
@@ -61,30 +61,30 @@
     ]
 
 
-def count_by_kind(breaches: Iterable[Breach]) -> Counter[Kind]:
+def count_by_kind(violations: Iterable[Violation]) -> Counter[Kind]:
     """Count breaches by kind."""
-    return Counter(breach.kind for breach in breaches)
+    return Counter(violation.kind for violation in violations)
 
 
-def _find_lost(history: History) -> Iterator[Breach]:
+def _find_lost(history: History) -> Iterator[Violation]:
     run_ids = {run.request_id for run in history.runs}
     for call in history.calls:
         if call.seen is Seen.NOTHING:
-            yield Breach(Kind.LOST, call.id, "the caller never heard of it again")
+            yield Violation(Kind.LOST, call.id, "the caller never heard of it again")
         for attempt in call.attempts:
             if attempt.seen is not Seen.ANSWERED:
                 continue
             if call.key or attempt.request_id in run_ids:
                 continue
-            yield Breach(Kind.LOST, call.id, "answered, but no upstream ran it")
+            yield Violation(Kind.LOST, call.id, "answered, but no upstream ran it")
     keys_run = {(run.partner, run.key) for run in history.runs}
     for call in history.calls:
         answered = any(one.seen is Seen.ANSWERED for one in call.attempts)
         if call.key and answered and (call.partner, call.key) not in keys_run:
-            yield Breach(Kind.LOST, call.id, "answered, but no upstream ran the key")
+            yield Violation(Kind.LOST, call.id, "answered, but no upstream ran the key")
 
 
-def _find_doubled(history: History) -> Iterator[Breach]:
+def _find_doubled(history: History) -> Iterator[Violation]:
     runs_by_id: dict[str, list[UpstreamRun]] = defaultdict(list)
     runs_by_key: dict[tuple[str, str], list[UpstreamRun]] = defaultdict(list)
     for run in history.runs:
@@ -100,17 +100,17 @@
             runs = [run for one in call.attempts for run in runs_by_id[one.request_id]]
         if len(runs) > 1:
             where = ", ".join(f"{run.vm} at {run.start:.3f}" for run in runs)
-            yield Breach(Kind.DOUBLED, call.id, f"ran {len(runs)} times: {where}")
+            yield Violation(Kind.DOUBLED, call.id, f"ran {len(runs)} times: {where}")
 
 
-def _find_cut(history: History) -> Iterator[Breach]:
+def _find_cut(history: History) -> Iterator[Violation]:
     for call in history.calls:
         for attempt in call.attempts:
             if attempt.seen is Seen.CUT:
-                yield Breach(Kind.CUT, call.id, f"attempt {attempt.request_id}")
+                yield Violation(Kind.CUT, call.id, f"attempt {attempt.request_id}")
 
 
-def _find_mixed(history: History) -> Iterator[Breach]:
+def _find_mixed(history: History) -> Iterator[Violation]:
     ids_by_key: dict[tuple[str, str], set[str]] = defaultdict(set)
     for call in history.calls:
         ids_by_key[call.partner, call.key].update(
@@ -125,10 +125,10 @@
             own_id = attempt.answered_id in ids | {attempt.request_id}
             if not own_id or attempt.answered_digest != call.digest:
                 detail = f"{attempt.request_id} got the answer of {attempt.answered_id}"
-                yield Breach(Kind.MIXED, call.id, detail)
+                yield Violation(Kind.MIXED, call.id, detail)
 
 
-def _find_falsely_refused(history: History) -> Iterator[Breach]:
+def _find_falsely_refused(history: History) -> Iterator[Violation]:
     runs_by_id = {run.request_id: run for run in history.runs}
     runs_by_key = {(run.partner, run.key): run for run in history.runs if run.key}
     for call in history.calls:
@@ -140,7 +140,7 @@
                 run = _run_before(runs_by_key.get((call.partner, call.key)), attempt)
             if run is not None:
                 detail = f"{attempt.request_id} said {attempt.reason}, ran on {run.vm}"
-                yield Breach(Kind.FALSELY_REFUSED, call.id, detail)
+                yield Violation(Kind.FALSELY_REFUSED, call.id, detail)
 
 
 def _run_before(run: UpstreamRun | None, attempt: Attempt) -> UpstreamRun | None:
@@ -148,19 +148,21 @@
     return run if run is not None and run.start < attempt.ended_at else None
 
 
-def _find_slots_over(history: History) -> Iterator[Breach]:
+def _find_slots_over(history: History) -> Iterator[Violation]:
     edges_by_vm: dict[str, list[tuple[float, int]]] = defaultdict(list)
     for run in history.runs:
         edges_by_vm[run.vm].append((run.start, 1))
         edges_by_vm[run.vm].append((run.end or history.ended_at, -1))
     for vm, edges in edges_by_vm.items():
         slots = history.slots_by_vm.get(vm)
-        most = _most_at_once(edges)
+        most = _count_max_concurrent(edges)
         if slots is not None and most > slots:
-            yield Breach(Kind.SLOTS_OVER, vm, f"{most} runs at once in {slots} slots")
+            yield Violation(
+                Kind.SLOTS_OVER, vm, f"{most} runs at once in {slots} slots"
+            )
 
 
-def _most_at_once(edges: list[tuple[float, int]]) -> int:
+def _count_max_concurrent(edges: list[tuple[float, int]]) -> int:
     running = most = 0
     for _, step in sorted(edges):
         running += step
@@ -168,7 +170,7 @@
     return most
 
 
-def _find_work_after_leaving(history: History) -> Iterator[Breach]:
+def _find_work_after_leaving(history: History) -> Iterator[Violation]:
     """Nothing runs on a leaving VM after the grace, and nobody goes on trying.
 
     The list may lag behind the whole history, so that the VM's first refusal is the
@@ -190,41 +192,41 @@
 
 def _find_late(
     leaving: Leaving, times: Iterable[tuple[str, float]], known_at: float
-) -> Iterator[Breach]:
+) -> Iterator[Violation]:
     for request_id, at in times:
         if known_at + LEAVING_GRACE_SECONDS < at < leaving.until:
             detail = f"{request_id} came {at - leaving.at:.2f} s after the start"
-            yield Breach(Kind.WORK_AFTER_LEAVING, leaving.vm, detail)
+            yield Violation(Kind.WORK_AFTER_LEAVING, leaving.vm, detail)
 
 
-def _find_budgets_broken(history: History) -> Iterator[Breach]:
+def _find_budgets_broken(history: History) -> Iterator[Violation]:
     for sample in history.pool_samples:
         if sample.available < sample.min_available:
             detail = f"{sample.available} of {sample.min_available} at {sample.at:.3f}"
-            yield Breach(Kind.BUDGET_BROKEN, sample.pool, detail)
+            yield Violation(Kind.BUDGET_BROKEN, sample.pool, detail)
 
 
-def _find_vms_in_two_pools(history: History) -> Iterator[Breach]:
+def _find_vms_in_two_pools(history: History) -> Iterator[Violation]:
     spans = [(span.vm, span.start, span.end, span.pool) for span in history.memberships]
     for subject, first, second in _find_overlaps(spans):
-        yield Breach(Kind.VM_IN_TWO_POOLS, subject, f"{first} and {second}")
+        yield Violation(Kind.VM_IN_TWO_POOLS, subject, f"{first} and {second}")
 
 
-def _find_holders_overlapping(history: History) -> Iterator[Breach]:
+def _find_holders_overlapping(history: History) -> Iterator[Violation]:
     spans = [
         (span.pool, span.start, span.end, span.holder) for span in history.holdings
     ]
     for subject, first, second in _find_overlaps(spans):
-        yield Breach(Kind.HOLDERS_OVERLAP, subject, f"{first} and {second}")
+        yield Violation(Kind.HOLDERS_OVERLAP, subject, f"{first} and {second}")
 
 
-def _find_jobs_overlapping(history: History) -> Iterator[Breach]:
+def _find_jobs_overlapping(history: History) -> Iterator[Violation]:
     spans = [
         (run.job, run.start, run.end, f"attempt {run.attempt} on {run.vm}")
         for run in history.job_runs
     ]
     for subject, first, second in _find_overlaps(spans):
-        yield Breach(Kind.JOB_RAN_TWICE_AT_ONCE, subject, f"{first} and {second}")
+        yield Violation(Kind.JOB_RAN_TWICE_AT_ONCE, subject, f"{first} and {second}")
 
 
 def _find_overlaps(
@@ -245,13 +247,13 @@
             latest_by_owner[owner] = (former_start, max(former_end, end))
 
 
-def _find_tables_reverted(history: History) -> Iterator[Breach]:
+def _find_tables_reverted(history: History) -> Iterator[Violation]:
     newest_by_vm: dict[str, int] = {}
     for table in sorted(history.tables, key=lambda one: one.at):
         newest = newest_by_vm.get(table.entry_vm, 0)
         if table.revision < newest:
             detail = f"from {newest} back to {table.revision} at {table.at:.3f}"
-            yield Breach(Kind.TABLE_REVERTED, table.entry_vm, detail)
+            yield Violation(Kind.TABLE_REVERTED, table.entry_vm, detail)
         newest_by_vm[table.entry_vm] = max(newest, table.revision)
 
 
@@ -261,4 +263,4 @@
     return f"{call.id} ({call.partner}): " + " -> ".join(steps)
 
 
-__all__ = ["Breach", "Kind", "count_by_kind", "describe_end", "find_breaches"]
+__all__ = ["Violation", "Kind", "count_by_kind", "describe_end", "find_violations"]
--- a/packages/bench/src/medlarspring_bench/report.py
+++ b/packages/bench/src/medlarspring_bench/report.py
@@ -8,7 +8,7 @@
 from rich.table import Table
 
 from medlarspring_bench.history import Seen
-from medlarspring_bench.history_checker import Breach, Kind
+from medlarspring_bench.history_checker import Kind, Violation
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -30,12 +30,12 @@
 
 
 def report_by_partner(
-    calls: Sequence[Call], breaches: Iterable[Breach]
+    calls: Sequence[Call], violations: Iterable[Violation]
 ) -> list[PartnerReport]:
     """Return a report for each partner."""
     kinds_by_call: dict[str, set[Kind]] = {}
-    for breach in breaches:
-        kinds_by_call.setdefault(breach.subject, set()).add(breach.kind)
+    for violation in violations:
+        kinds_by_call.setdefault(violation.subject, set()).add(violation.kind)
     partners = dict.fromkeys(call.partner for call in calls)
     return [
         _report(
--- a/packages/bench/src/medlarspring_bench/story.py
+++ b/packages/bench/src/medlarspring_bench/story.py
@@ -5,14 +5,14 @@
 import time
 from typing import TYPE_CHECKING
 
-from medlarspring_bench.callers import Callers, Wish
+from medlarspring_bench.callers import Callers, CallSpec
 from medlarspring_bench.disturbances import DISTURBANCES, order_ends
 from medlarspring_bench.history import History, Leaving, Membership, Seen
-from medlarspring_bench.history_checker import describe_end, find_breaches
+from medlarspring_bench.history_checker import describe_end, find_violations
 from medlarspring_bench.platform_watch import PlatformWatch, watch_platform
 from medlarspring_bench.recording import record_history
 from medlarspring_bench.waiting import wait_for
-from medlarspring_bench.workload import create_wishes, send_paced
+from medlarspring_bench.workload import create_call_specs, send_paced
 from medlarspring_tables.requests import RefusalKind
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
     from medlarspring_bench.history import Attempt, Call
 
 END_SECONDS = 45.0
-SHOWN = 10
+MAX_SHOWN_VIOLATIONS = 10
 DETECTION_SECONDS = 2.0
 """A fault that lasts is noticed at the latest after this time."""
 SINGLE_TIMEOUT_SECONDS = 2.0
@@ -44,7 +44,7 @@
         self.callers = Callers(cluster.balancer["address"])
         self.leavings: list[Leaving] = []
         self._fault_starts: list[float] = []
-        self._healing: list[float] = []
+        self._fault_end_times: list[float] = []
         """When faults began to be taken back, and when the last of them was."""
         self.dead_daemons: list[str] = []
         """Killed by steps of the scenario; started again with all else."""
@@ -55,8 +55,8 @@
         self._sent = 0
         self._count = 0
         self._sending: Future[None] | None = None
-        self._open_faults: list[str] = []
-        self._singles: list[Future[Call]] = []
+        self._active_faults: list[str] = []
+        self._single_calls: list[Future[Call]] = []
         loop.run(self.callers.__aenter__())
 
     @property
@@ -66,10 +66,10 @@
 
     def send(self, count: int, seconds: float, seed: int = 1) -> None:
         """Begin to send a mixed batch of all partners."""
-        wishes = create_wishes(self.cluster.platform, count, seed, self.name)
+        call_specs = create_call_specs(self.cluster.platform, count, seed, self.name)
         self._count = count
         self._sending = self._loop.submit(
-            send_paced(self.callers, wishes, seconds, self._count_sent)
+            send_paced(self.callers, call_specs, seconds, self._count_sent)
         )
 
     def wait_until_sent(self, percent: float) -> None:
@@ -81,7 +81,7 @@
         """Begin a disturbance."""
         self._fault_starts.append(time.monotonic())
         DISTURBANCES[fault].begin(self.cluster)
-        self._open_faults.append(fault)
+        self._active_faults.append(fault)
 
     def kill_daemon(self, id_: str) -> None:
         """Kill a daemon; it is started again when the faults end."""
@@ -96,20 +96,22 @@
         on so long after the moment at which all should be well, and met requests sent
         2.9 s after it had begun.
         """
-        self._healing.append(time.monotonic())
-        for fault in order_ends(self._open_faults):
+        self._fault_end_times.append(time.monotonic())
+        for fault in order_ends(self._active_faults):
             DISTURBANCES[fault].end(self.cluster)
-        self._open_faults.clear()
+        self._active_faults.clear()
         while self.dead_daemons:
             self.cluster.restart_daemon(self.dead_daemons.pop())
-        self._healing.append(time.monotonic())
+        self._fault_end_times.append(time.monotonic())
 
-    def create_wish(self, kind: str, name: str, work_ms: float | None = None) -> Wish:
+    def create_call_spec(
+        self, kind: str, name: str, work_ms: float | None = None
+    ) -> CallSpec:
         """Return one wish of the first partner."""
         platform = self.cluster.platform
         (found,) = (one for one in platform.requests if one.kind == kind)
         partner, credential = next(iter(platform.credentials.items()))
-        return Wish(
+        return CallSpec(
             id=f"{self.name}-{name}",
             partner=partner,
             credential=credential,
@@ -121,28 +123,30 @@
             urgency=found.urgency,
         )
 
-    def call(self, wish: Wish, *daemons: int) -> Future[Call]:
+    def call(self, call_spec: CallSpec, *daemons: int) -> Future[Call]:
         """Begin one call, through the balancer or straight to daemons in turn."""
         addresses = [self.cluster.daemon(number).caller for number in daemons]
-        single = self._loop.submit(self.callers.make(wish, addresses))
-        self._singles.append(single)
+        single = self._loop.submit(self.callers.make(call_spec, addresses))
+        self._single_calls.append(single)
         return single
 
     def finish(self) -> None:
         """Wait until every call has come to its end."""
         if self._sending is not None:
             self._sending.result(END_SECONDS)
-        for single in self._singles:
+        for single in self._single_calls:
             single.result(END_SECONDS)
 
-    def wait_until_running(self, wish: Wish) -> None:
+    def wait_until_running(self, call_spec: CallSpec) -> None:
         """Wait until an upstream VM runs the wish."""
 
         def runs() -> bool:
             records = self.cluster.upstream_records("runs")
-            return any(record["request_id"].startswith(wish.id) for record in records)
+            return any(
+                record["request_id"].startswith(call_spec.id) for record in records
+            )
 
-        wait_for(runs, f"{wish.id} runs")
+        wait_for(runs, f"{call_spec.id} runs")
 
     def wait_for_attempts(self, count: int) -> None:
         """Wait until the first call has seen the end of so many attempts."""
@@ -219,7 +223,7 @@
             f"{describe_end(call)}; {self._describe_times(call)}"
             for call in self.calls
             if call.seen not in (Seen.ANSWERED, Seen.NOT_RUN)
-            and not self._was_met_by_fault(call)
+            and not self._is_affected_by_fault(call)
         ]
 
     def _describe_times(self, call: Call) -> str:
@@ -232,35 +236,36 @@
         ended = [attempt.ended_at for attempt in call.attempts]
         return (
             f"sent at {show(*sent)}, ended at {show(*ended)}, faults began at"
-            f" {show(*self._fault_starts)}, were taken back at {show(*self._healing)}"
+            f" {show(*self._fault_starts)}, were taken back at"
+            f" {show(*self._fault_end_times)}"
         )
 
-    def _was_met_by_fault(self, call: Call) -> bool:
+    def _is_affected_by_fault(self, call: Call) -> bool:
         harmless = (Seen.ANSWERED, Seen.NOT_RUN)
         first = next(one for one in call.attempts if one.seen not in harmless)
-        if is_undecided(first) and self._is_fault_on(first.sent_at):
+        if is_undecided(first) and self._is_fault_active(first.sent_at):
             return True
         return any(
             first.ended_at >= start and first.sent_at <= start + DETECTION_SECONDS
             for start in self._fault_starts
         )
 
-    def _is_fault_on(self, at: float) -> bool:
+    def _is_fault_active(self, at: float) -> bool:
         """Tell whether a fault went on, or was taken back a moment ago."""
         began = [start for start in self._fault_starts if start <= at]
         if not began:
             return False
-        ended = [end for end in self._healing if end >= began[-1]]
+        ended = [end for end in self._fault_end_times if end >= began[-1]]
         return not ended or at <= ended[-1] + DETECTION_SECONDS
 
-    def check_promises(self) -> None:
+    def check_guarantees(self) -> None:
         """Fail with every broken promise."""
-        breaches = find_breaches(self.history())
+        violations = find_violations(self.history())
         shown = "\n".join(
-            f"{breach.kind.value} {breach.subject}: {breach.detail}"
-            for breach in breaches[:SHOWN]
+            f"{violation.kind.value} {violation.subject}: {violation.detail}"
+            for violation in violations[:MAX_SHOWN_VIOLATIONS]
         )
-        assert not breaches, f"{len(breaches)} broken promises:\n{shown}"
+        assert not violations, f"{len(violations)} broken promises:\n{shown}"
 
     def note_leaving(self, vm: str) -> None:
         """Remember that a VM leaves from now on."""
--- a/packages/bench/src/medlarspring_bench/workload.py
+++ b/packages/bench/src/medlarspring_bench/workload.py
@@ -6,7 +6,7 @@
 import random
 from typing import TYPE_CHECKING
 
-from medlarspring_bench.callers import Wish
+from medlarspring_bench.callers import CallSpec
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,15 +17,15 @@
 BODY_BYTES = 200
 
 
-def create_wishes(
+def create_call_specs(
     platform: Platform, count: int, seed: int, prefix: str = "call"
-) -> list[Wish]:
+) -> list[CallSpec]:
     """Return wishes of all partners in turn, kinds by their share."""
     rng = random.Random(seed)
     partners = list(platform.credentials)
     shares = [kind.share for kind in platform.requests]
     return [
-        _create_wish(
+        _create_call_spec(
             f"{prefix}-{number}",
             partners[number % len(partners)],
             platform,
@@ -36,11 +36,11 @@
     ]
 
 
-def _create_wish(
+def _create_call_spec(
     id_: str, partner: str, platform: Platform, kind: RequestKind, rng: random.Random
-) -> Wish:
+) -> CallSpec:
     safe = kind.method == "GET"
-    return Wish(
+    return CallSpec(
         id=id_,
         partner=partner,
         credential=platform.credentials[partner],
@@ -56,7 +56,7 @@
 
 async def send_paced(
     callers: Callers,
-    wishes: list[Wish],
+    call_specs: list[CallSpec],
     seconds: float,
     on_sent: Callable[[int], None] | None = None,
 ) -> None:
@@ -64,12 +64,12 @@
     loop = asyncio.get_running_loop()
     start = loop.time()
     async with asyncio.TaskGroup() as group:
-        for number, wish in enumerate(wishes):
-            due = start + seconds * number / len(wishes)
+        for number, call_spec in enumerate(call_specs):
+            due = start + seconds * number / len(call_specs)
             await asyncio.sleep(max(0.0, due - loop.time()))
-            group.create_task(callers.make(wish))
+            group.create_task(callers.make(call_spec))
             if on_sent is not None:
                 on_sent(number)
 
 
-__all__ = ["create_wishes", "send_paced"]
+__all__ = ["create_call_specs", "send_paced"]
--- a/packages/bench/tests/test_history_checker.py
+++ b/packages/bench/tests/test_history_checker.py
@@ -16,7 +16,7 @@
     TableInForce,
     UpstreamRun,
 )
-from medlarspring_bench.history_checker import Kind, find_breaches
+from medlarspring_bench.history_checker import Kind, find_violations
 
 
 def answered(id_: str, at: float = 0.0, of: str = "", digest: str = "d") -> Attempt:
@@ -223,7 +223,7 @@
 
 @pytest.mark.parametrize("history", CLEAN.values(), ids=CLEAN.keys())
 def test_kept_promises_are_no_breach(history: History):
-    assert find_breaches(history) == []
+    assert find_violations(history) == []
 
 
 @pytest.mark.parametrize(
@@ -234,7 +234,7 @@
     ],
 )
 def test_each_fault_is_found(kind: Kind, history: History):
-    assert {breach.kind for breach in find_breaches(history)} == {kind}
+    assert {breach.kind for breach in find_violations(history)} == {kind}
 
 
 def test_every_kind_of_breach_has_a_faulty_history():
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -135,7 +135,7 @@
 
 @then("every guarantee holds")
 def no_guarantee_violated(story: Story) -> None:
-    story.check_promises()
+    story.check_guarantees()
 
 
 @then("every request is answered")
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -16,24 +16,24 @@
 
 @when("a payment is sent to daemon 1, and repeated through daemon 2")
 def send_payment(story: Story) -> None:
-    story.call(story.create_wish("payment", "p"), 1, 2)
+    story.call(story.create_call_spec("payment", "p"), 1, 2)
 
 
 @when("a long payment is sent to daemon 1, and repeated through daemon 2")
 def send_long_payment(story: Story) -> None:
-    story.call(story.create_wish("payment", "p", LONG_MS), 1, 2)
+    story.call(story.create_call_spec("payment", "p", LONG_MS), 1, 2)
 
 
 @when("a payment is sent once to daemon 1")
 def send_payment_once(story: Story) -> None:
-    caller_request = story.create_wish("payment", "p")
+    caller_request = story.create_call_spec("payment", "p")
     caller_request.patience_seconds = 0.0
     story.call(caller_request, 1)
 
 
 @when("it runs")
 def wait_until_running(story: Story) -> None:
-    story.wait_until_running(story.create_wish("payment", "p"))
+    story.wait_until_running(story.create_call_spec("payment", "p"))
 
 
 @when("the faults end after the first attempt")
@@ -45,8 +45,8 @@
 @when("20 payments are sent to daemons 1 and 2 at the same moment")
 def send_duplicates(story: Story) -> None:
     for number in range(20):
-        first = story.create_wish("payment", f"p{number}")
-        second = story.create_wish("payment", f"p{number}")
+        first = story.create_call_spec("payment", f"p{number}")
+        second = story.create_call_spec("payment", f"p{number}")
         second.id += "-twin"
         story.call(first, 1)
         story.call(second, 2)
@@ -55,7 +55,7 @@
 @when("the same key is sent with another body to daemon 3")
 def send_other_body(story: Story) -> None:
     story.finish()
-    caller_request = story.create_wish("payment", "p")
+    caller_request = story.create_call_spec("payment", "p")
     caller_request.id += "-other"
     caller_request.body = b"another body"
     story.call(caller_request, 3)
@@ -68,7 +68,7 @@
 
 @when("the payment is sent again through daemon 2")
 def send_payment_again(story: Story) -> None:
-    caller_request = story.create_wish("payment", "p")
+    caller_request = story.create_call_spec("payment", "p")
     caller_request.id += "-again"
     story.call(caller_request, 2)
 
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -37,7 +37,7 @@
     )
 )
 def send_long(story: Story, seconds: float, number: int) -> None:
-    caller_request = story.create_wish("read", "long", seconds * 1000)
+    caller_request = story.create_call_spec("read", "long", seconds * 1000)
     caller_request.timeout_seconds = 10.0
     story.call(caller_request, number)
     story.wait_until_running(caller_request)
--- a/tests/test_leaving_upstreams.py
+++ b/tests/test_leaving_upstreams.py
@@ -7,7 +7,7 @@
 
 from medlarspring_bench.cluster import ClusterOptions
 from medlarspring_bench.control_client import call
-from medlarspring_bench.history_checker import Kind, find_breaches
+from medlarspring_bench.history_checker import Kind, find_violations
 
 if TYPE_CHECKING:
     from medlarspring_bench.story import Story
@@ -33,6 +33,6 @@
 
 @then("no work reached a leaving VM later than 3 seconds after the start")
 def no_late_work(story: Story) -> None:
-    breaches = find_breaches(story.history())
+    breaches = find_violations(story.history())
     late = [one for one in breaches if one.kind is Kind.WORK_AFTER_LEAVING]
     assert not late, late
--- a/tests/test_zone_cut.py
+++ b/tests/test_zone_cut.py
@@ -28,7 +28,7 @@
 )
 def reads_answered(story: Story, count: int, number: int, seconds: float) -> None:
     for index in range(count):
-        caller_request = story.create_wish("read", f"read-{number}-{index}")
+        caller_request = story.create_call_spec("read", f"read-{number}-{index}")
         caller_request.patience_seconds = 0.0
         call = story.call(caller_request, number).result(10)
         attempt = call.attempts[0]
@@ -42,7 +42,7 @@
     )
 )
 def payment_refused(story: Story, number: int) -> None:
-    caller_request = story.create_wish("payment", "cut")
+    caller_request = story.create_call_spec("payment", "cut")
     caller_request.patience_seconds = 0.0
     call = story.call(caller_request, number).result(20)
     assert is_undecided(call.attempts[-1]), call.attempts
