--- a/packages/bench/src/medlarspring_bench/callers.py
+++ b/packages/bench/src/medlarspring_bench/callers.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from medlarspring_bench.history import Attempt, Call, Seen
+from medlarspring_bench.history import Attempt, AttemptOutcome, Call
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -111,7 +111,7 @@
     ) -> tuple[Attempt, float]:
         request_id = f"{call_spec.id}.{len(call.attempts) + 1}"
         now = time.monotonic()
-        attempt = Attempt(request_id, now, now, Seen.NOTHING)
+        attempt = Attempt(request_id, now, now, AttemptOutcome.NOTHING)
         retry_after = 0.0
         started = False
         assert self._session is not None
@@ -132,9 +132,9 @@
                     retry_after = float(response.headers.get("Retry-After", "0"))
                     _read_answer(attempt, response.headers, body)
         except TimeoutError:
-            attempt.seen = Seen.CUT if started else Seen.NOTHING
+            attempt.outcome = AttemptOutcome.CUT if started else AttemptOutcome.NOTHING
         except (aiohttp.ClientError, OSError):
-            attempt.seen = Seen.CUT if started else Seen.RESET
+            attempt.outcome = AttemptOutcome.CUT if started else AttemptOutcome.RESET
         attempt.ended_at = time.monotonic()
         return attempt, retry_after
 
@@ -156,25 +156,25 @@
 def _read_answer(attempt: Attempt, headers: Mapping[str, str], body: bytes) -> None:
     if headers.get("Content-Type", "").startswith(PROBLEM):
         refused = msgspec.json.decode(body, type=Refused)
-        attempt.seen = Seen(refused.outcome)
+        attempt.outcome = AttemptOutcome(refused.outcome)
         attempt.reason = refused.reason
         return
     try:
         answer = msgspec.json.decode(body, type=UpstreamAnswer)
     except msgspec.MsgspecError:
-        attempt.seen = Seen.UNKNOWN
+        attempt.outcome = AttemptOutcome.UNKNOWN
         attempt.reason = f"not an upstream's answer: {body[:80]!r}"
         return
-    attempt.seen = Seen.ANSWERED
+    attempt.outcome = AttemptOutcome.ANSWERED
     attempt.answered_id = answer.request_id
     attempt.answered_digest = answer.digest
 
 
 def _may_retry(call_spec: CallSpec, attempt: Attempt) -> bool:
     """Whether the caller may send the wish again."""
-    if attempt.seen is Seen.ANSWERED:
+    if attempt.outcome is AttemptOutcome.ANSWERED:
         return False
-    if attempt.seen is Seen.NOT_RUN:
+    if attempt.outcome is AttemptOutcome.NOT_RUN:
         return attempt.status in (429, 503, 504)
     return call_spec.may_repeat
 
--- a/packages/bench/src/medlarspring_bench/cluster.py
+++ b/packages/bench/src/medlarspring_bench/cluster.py
@@ -247,10 +247,10 @@
         """Start a daemon that ended, on new ports, and tell the platform."""
         self.start_daemon(id_)
         self.wait_for_daemon(id_)
-        self.tell_platform(id_)
+        self.publish_daemon_addresses(id_)
         self.wait_until_serving(id_)
 
-    def tell_platform(self, id_: str) -> None:
+    def publish_daemon_addresses(self, id_: str) -> None:
         """Show a restarted daemon's new addresses in the list and the balancer."""
         entries = self._list_entries()
         address = self.vm_list["control"]
@@ -313,7 +313,7 @@
         self.vm_list = vm_list.wait_for_announcement()
         self.balancer = balancer.wait_for_announcement()
         for process in upstreams:
-            self._take_upstream(process.wait_for_announcement())
+            self._register_upstream(process.wait_for_announcement())
 
     def _start_upstream(self, number: int) -> Process:
         ids = [vm for rack in self.platform.racks for vm in rack.vm_ids()]
@@ -328,7 +328,7 @@
             *("--connections", str(self.platform.vm.connections)),
         )
 
-    def _take_upstream(self, announced: dict[str, Any]) -> None:
+    def _register_upstream(self, announced: dict[str, Any]) -> None:
         self.upstream_controls.append(announced["control"])
         for vm, address in announced["addresses"].items():
             self.vm_addresses_by_id[vm] = address
--- a/packages/bench/src/medlarspring_bench/demo.py
+++ b/packages/bench/src/medlarspring_bench/demo.py
@@ -16,7 +16,7 @@
 from medlarspring_bench.callers import Callers
 from medlarspring_bench.cluster import OPERATOR_POLL_SECONDS, Cluster
 from medlarspring_bench.example import read_example
-from medlarspring_bench.history import History, Seen
+from medlarspring_bench.history import AttemptOutcome, History
 from medlarspring_bench.history_checker import (
     count_by_kind,
     describe_end,
@@ -36,7 +36,7 @@
 EDIT_AT = 0.25
 DRAIN_AT = 0.4
 KILL_AT = 0.6
-SHOWN_BREACHES = 20
+MAX_SHOWN_VIOLATIONS = 20
 TABLE_WIDTH = 100
 WAVE = "demo-wave"
 WAVE_SECONDS = 30.0
@@ -59,15 +59,15 @@
         """Start, send, disturb, check; returns the exit status."""
         cluster = self._cluster
         cluster.start()
-        self._say(
+        self._print_progress(
             f"{len(cluster.zones_by_id)} daemons in {len(cluster.platform.zones)} zones"
             f" and {len(cluster.vm_addresses_by_id)} upstream VMs are up"
         )
         cluster.load_table()
         cluster.wait_for_balancer(len(cluster.zones_by_id))
-        self._say("the operators' table is loaded; every daemon is ready")
+        self._print_progress("the operators' table is loaded; every daemon is ready")
         cluster.wait_for_records()
-        self._say("every upstream VM is on record")
+        self._print_progress("every upstream VM is on record")
         self._watch = watch_platform(cluster)
         loop = BackgroundLoop()
         try:
@@ -76,7 +76,7 @@
         finally:
             loop.close()
             self._watch.close()
-        return self._conclude(self._record(calls))
+        return self._report_results(self._record(calls))
 
     def _record(self, calls: list[Call]) -> History:
         history = record_history(self._cluster, calls)
@@ -97,7 +97,9 @@
             async with callers:
                 await send_paced(callers, call_specs, options.seconds, self._count)
 
-        self._say(f"sending {len(call_specs)} requests over {options.seconds:g} s")
+        self._print_progress(
+            f"sending {len(call_specs)} requests over {options.seconds:g} s"
+        )
         sending = loop.submit(send())
         for part, disturb in (
             (EDIT_AT, self._edit_row),
@@ -107,7 +109,7 @@
             wait_for(partial(self._has_sent, part * len(call_specs)), "the batch", 60.0)
             disturb()
         sending.result(120.0)
-        self._say("every call has come to its end")
+        self._print_progress("every call has come to its end")
         return callers.calls
 
     def _has_sent(self, count: float) -> bool:
@@ -119,7 +121,7 @@
     def _edit_row(self) -> None:
         kind, id_, field = self._cluster.platform.events.edit_row
         self._cluster.run_cli("table", "set", kind, id_, field)
-        self._say(f"row edited: {kind} {id_} {field}")
+        self._print_progress(f"row edited: {kind} {id_} {field}")
 
     def _drain_rack(self) -> None:
         cluster = self._cluster
@@ -127,7 +129,7 @@
         (rack,) = (rack for rack in cluster.platform.racks if rack.id == wanted)
         chosen = [part for vm in rack.vm_ids() for part in ("--vm", vm)]
         cluster.run_cli("wave", "start", "--id", WAVE, *chosen)
-        self._say(f"a wave drains and reboots rack {wanted}")
+        self._print_progress(f"a wave drains and reboots rack {wanted}")
 
     def _wait_for_wave(self) -> None:
         path = f"/v1/waves/{WAVE}"
@@ -137,20 +139,20 @@
             WAVE_SECONDS,
             OPERATOR_POLL_SECONDS,
         )
-        self._say("the wave is done")
+        self._print_progress("the wave is done")
 
     def _kill_daemon(self) -> None:
         id_ = next(iter(self._cluster.zones_by_id))
         self._cluster.processes.by_name[id_].kill()
-        self._say(f"daemon {id_} killed")
+        self._print_progress(f"daemon {id_} killed")
 
-    def _conclude(self, history: History) -> int:
+    def _report_results(self, history: History) -> int:
         violations = find_violations(history)
         title = f"{self._cluster.platform.name}, seed {self._options.seed}"
         reports = report_by_partner(history.calls, violations)
         self._console.print(create_table(title, reports))
         self._print_faults(history, violations)
-        self._say(
+        self._print_progress(
             f"{len(history.calls)} calls, {len(history.runs)} runs,"
             f" {len(history.pool_samples)} samples of budgets,"
             f" {len(violations)} broken promises"
@@ -160,17 +162,17 @@
     def _print_faults(self, history: History, violations: list[Violation]) -> None:
         for kind, count in count_by_kind(violations).items():
             self._console.print(f"{kind.value}: {count}")
-        for violation in violations[:SHOWN_BREACHES]:
+        for violation in violations[:MAX_SHOWN_VIOLATIONS]:
             self._console.print(
                 f"  {violation.kind.value} {violation.subject}: {violation.detail}"
             )
         if not self._options.verbose:
             return
         for one in history.calls:
-            if one.seen is not Seen.ANSWERED or len(one.attempts) > 1:
+            if one.outcome is not AttemptOutcome.ANSWERED or len(one.attempts) > 1:
                 self._console.print(describe_end(one))
 
-    def _say(self, text: str) -> None:
+    def _print_progress(self, text: str) -> None:
         elapsed = time.monotonic() - self._began
         self._console.print(f"[{elapsed:5.1f} s] {text}", markup=False, highlight=False)
 
--- a/packages/bench/src/medlarspring_bench/fleet_checker.py
+++ b/packages/bench/src/medlarspring_bench/fleet_checker.py
@@ -42,13 +42,13 @@
         revisions = {vm: self.truth.revision_of(key_of_vm(vm)) for vm in before}
         self._apply_commit(commit)
         if len(self.truth.vms_by_id) != self._vms:
-            self._violate("a VM record came or went")
+            self._record_violation("a VM record came or went")
         for vm_id, record in self.truth.vms_by_id.items():
             old = before.get(vm_id)
             if old is not None and old is not record:
                 self._check_change(old, record)
                 if record.state is VMState.SERVING:
-                    self._check_closed(revisions[vm_id], record)
+                    self._check_closed_revision(revisions[vm_id], record)
 
     def on_action(self, row: VMRow, action: Action, revision: int) -> None:
         """Check one action that changed a VM at the platform.
@@ -59,7 +59,9 @@
         """
         record = self.truth.vms_by_id[VMId(row.id)]
         if record.state is VMState.SERVING:
-            self._violate(f"{row.id}: {action} of {revision} on a VM that counts")
+            self._record_violation(
+                f"{row.id}: {action} of {revision} on a VM that counts"
+            )
         if action is Action.DRAIN:
             self.drains += 1
         elif action is Action.REBOOT:
@@ -67,26 +69,32 @@
         elif action is Action.ASSIGN:
             self.moves += 1
             if record.pool_id != row.pool:
-                self._violate(f"{row.id} assigned to {row.pool}, not {record.pool_id}")
+                self._record_violation(
+                    f"{row.id} assigned to {row.pool}, not {record.pool_id}"
+                )
 
     def check_settled(self) -> None:
         """Check that after all faults have ended nothing is left half done."""
         for record in self.truth.vms_by_id.values():
             row = self._world.platform.rows_by_id[record.id]
             if record.state is not VMState.SERVING:
-                self._violate(f"{record.id} stays {record.state}")
+                self._record_violation(f"{record.id} stays {record.state}")
             if row.condition is not Condition.SERVING or row.pool != record.pool_id:
-                self._violate(f"{record.id} is {row.condition} in {row.pool}")
+                self._record_violation(f"{record.id} is {row.condition} in {row.pool}")
         for pool in self.truth.disruptions_by_pool.values():
             if pool.causes_by_vm:
-                self._violate(f"{pool.pool_id} still lists {set(pool.causes_by_vm)}")
+                self._record_violation(
+                    f"{pool.pool_id} still lists {set(pool.causes_by_vm)}"
+                )
         for zone in self.truth.disruptions_by_zone.values():
             if zone.causes_by_vm:
-                self._violate(f"{zone.zone_id} still lists {set(zone.causes_by_vm)}")
+                self._record_violation(
+                    f"{zone.zone_id} still lists {set(zone.causes_by_vm)}"
+                )
         for wave in self.truth.open_waves_by_id.values():
-            self._violate(f"wave {wave.id} is {wave.state}: {wave.reason}")
+            self._record_violation(f"wave {wave.id} is {wave.state}: {wave.reason}")
         for move in self.truth.open_moves_by_id.values():
-            self._violate(f"move {move.id} is {move.state}")
+            self._record_violation(f"move {move.id} is {move.state}")
 
     def _apply_commit(self, commit: Commit) -> None:
         for change in commit.changes:
@@ -102,7 +110,7 @@
         if old.pool_id != record.pool_id and (
             old.state is not VMState.DRAINING or record.state is not VMState.JOINING
         ):
-            self._violate(f"{record.id} changed pools while {old.state}")
+            self._record_violation(f"{record.id} changed pools while {old.state}")
         if record.state is VMState.DRAINING and old.state is VMState.SERVING:
             self._check_budget(record)
 
@@ -113,16 +121,18 @@
         pool_id = record.pool_id
         listed = self.truth.disruptions_by_pool.get(pool_id)
         if listed is None or record.id not in listed.causes_by_vm:
-            self._violate(f"{record.id} is drained but not listed")
+            self._record_violation(f"{record.id} is drained but not listed")
         zone = self.truth.disruptions_by_zone[record.zone_id]
         if len(zone.causes_by_vm) > self._world.config.fleet.max_drains_per_zone:
-            self._violate(f"zone {record.zone_id} has {len(zone.causes_by_vm)} out")
-        available = self._count_seen_serving(process, pool_id)
+            self._record_violation(
+                f"zone {record.zone_id} has {len(zone.causes_by_vm)} out"
+            )
+        available = self._count_observed_serving(process, pool_id)
         wanted = self._world.config.pools_by_id[pool_id].min_available
         if available < wanted:
-            self._violate(f"{pool_id} has {available} of {wanted} available")
+            self._record_violation(f"{pool_id} has {available} of {wanted} available")
 
-    def _count_seen_serving(self, process: FleetProcess, pool_id: PoolId) -> int:
+    def _count_observed_serving(self, process: FleetProcess, pool_id: PoolId) -> int:
         """Count what serves by the true records and the holder's last look."""
         count = 0
         for vm_id in self.truth.vm_ids_by_pool[pool_id]:
@@ -135,21 +145,23 @@
             )
         return count
 
-    def _check_closed(self, old_revision: Revision, record: VMRecord) -> None:
+    def _check_closed_revision(self, old_revision: Revision, record: VMRecord) -> None:
         """Check that the platform refuses every earlier action on the VM."""
         row = self._world.platform.rows_by_id[record.id]
         if row.revision < old_revision:
-            self._violate(f"{record.id} counts again, open to late actions")
+            self._record_violation(f"{record.id} counts again, open to late actions")
 
     def _check_reboot(self, record: VMRecord) -> None:
         self.reboots += 1
         if record.cause is not None and record.cause.kind is CauseKind.WAVE:
             self._reboots_by_wave[record.id, record.cause.id] += 1
             if self._reboots_by_wave[record.id, record.cause.id] > 1:
-                self._violate(f"{record.id} rebooted twice by {record.cause.id}")
+                self._record_violation(
+                    f"{record.id} rebooted twice by {record.cause.id}"
+                )
 
-    def _violate(self, words: str) -> None:
-        self.violations.append(f"at {self._world.clock.now():.0f}: {words}")
+    def _record_violation(self, message: str) -> None:
+        self.violations.append(f"at {self._world.clock.now():.0f}: {message}")
 
 
 __all__ = ["FleetChecker"]
--- a/packages/bench/src/medlarspring_bench/fleet_histories.py
+++ b/packages/bench/src/medlarspring_bench/fleet_histories.py
@@ -51,8 +51,8 @@
 
     def step(self) -> None:
         """Let one process come to its next pause."""
-        awake = [each for each in self.world.processes if not each.is_frozen]
-        self.rng.choice(awake).step()
+        running = [each for each in self.world.processes if not each.is_frozen]
+        self.rng.choice(running).step()
 
     def advance(self) -> None:
         """Let time pass."""
@@ -121,7 +121,7 @@
         if self.rng.random() < 0.5:
             self.world.platform.set_rack_down(self.rng.choice(racks), down=True)
         else:
-            self.world.mend_all()
+            self.world.restore_failed_vms()
 
     def break_reboots(self) -> None:
         """Let some VMs never return from their next reboot."""
@@ -154,11 +154,11 @@
         """Wish for the move of any VM, as an operator does."""
         self._records += 1
         pool_ids = sorted(self.world.config.pools_by_id)
-        giver, taker = self.rng.sample(pool_ids, 2)
+        source_pool_id, target_pool_id = self.rng.sample(pool_ids, 2)
         record = MoveRecord(
             id=MoveId(f"m{self._records}"),
-            from_pool_id=giver,
-            to_pool_id=taker,
+            from_pool_id=source_pool_id,
+            to_pool_id=target_pool_id,
             created_at=self.world.clock.wall(),
         )
         self.world.put(record)
@@ -166,9 +166,9 @@
     def change_wanted(self) -> None:
         """Change what two pools should hold, as an edit of the table does."""
         pool_ids = sorted(self.world.config.pools_by_id)
-        giver, taker = self.rng.sample(pool_ids, 2)
-        self.world.set_wanted(giver, self.rng.choice((6, 7)), 6)
-        self.world.set_wanted(taker, self.rng.choice((8, 9)), 6)
+        source_pool_id, target_pool_id = self.rng.sample(pool_ids, 2)
+        self.world.set_wanted(source_pool_id, self.rng.choice((6, 7)), 6)
+        self.world.set_wanted(target_pool_id, self.rng.choice((8, 9)), 6)
 
     def settle(self) -> None:
         """End all faults and let the rest of the work come to its end."""
@@ -180,7 +180,7 @@
             self.thaw()
         for process in self.world.processes:
             process.finish()
-        self.world.mend_all()
+        self.world.restore_failed_vms()
         for pool_id in sorted(self.world.config.pools_by_id):
             self.world.set_wanted(pool_id, wanted_vms=0, min_available=1)
         self._run_until_settled(is_pause_enough=True)
@@ -204,8 +204,8 @@
         return not states or (is_pause_enough and states == {WaveState.PAUSED})
 
     def _choose_process(self) -> FleetProcess:
-        awake = [each for each in self.world.processes if not each.is_frozen]
-        return self.rng.choice(awake)
+        running = [each for each in self.world.processes if not each.is_frozen]
+        return self.rng.choice(running)
 
 
 WEIGHTS_BY_NAME: dict[str, int] = {
--- a/packages/bench/src/medlarspring_bench/fleet_stepping.py
+++ b/packages/bench/src/medlarspring_bench/fleet_stepping.py
@@ -85,12 +85,12 @@
         """Show VMs."""
         await Pause()
         rows = self._state.find(pool_ids, vm_ids)
-        seen = [_to_sighting(row) for row in rows]
+        seen = [_to_observation(row) for row in rows]
         await Pause()
         if self._loses_reply():
             return Failure(VMControlUnreachable("lost"))
-        self.last_seen.update({sighting.vm_id: sighting for sighting in seen})
-        return Success([replace(sighting) for sighting in seen])
+        self.last_seen.update({observation.vm_id: observation for observation in seen})
+        return Success([replace(observation) for observation in seen])
 
     async def act(
         self,
@@ -107,7 +107,7 @@
             row = self._carry_out(vm_id, action, revision, pool_id)
         except ActionRefused as error:
             return Failure(VMActionRefused(vm_id, error.reason))
-        seen = _to_sighting(row)
+        seen = _to_observation(row)
         await Pause()
         if self._loses_reply():
             return Failure(VMControlUnreachable("lost"))
@@ -141,7 +141,7 @@
         return False
 
 
-def _to_sighting(row: VMRow) -> VMObservation:
+def _to_observation(row: VMRow) -> VMObservation:
     return VMObservation(
         vm_id=VMId(row.id),
         pool_id=PoolId(row.pool),
--- a/packages/bench/src/medlarspring_bench/fleet_world.py
+++ b/packages/bench/src/medlarspring_bench/fleet_world.py
@@ -241,7 +241,7 @@
         """Let a VM fail by itself."""
         self.platform.rows_by_id[vm_id].condition = Condition.DOWN
 
-    def mend_all(self) -> None:
+    def restore_failed_vms(self) -> None:
         """Bring every failed VM back."""
         self.platform.faults.fail.clear()
         self.platform.faults.never_return.clear()
--- a/packages/bench/src/medlarspring_bench/history.py
+++ b/packages/bench/src/medlarspring_bench/history.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 
-class Seen(Enum):
+class AttemptOutcome(Enum):
     """What a caller saw of one attempt."""
 
     ANSWERED = "answered"
@@ -33,7 +33,7 @@
     request_id: str
     sent_at: float
     ended_at: float
-    seen: Seen
+    outcome: AttemptOutcome
     status: int = 0
     reason: str = ""
     answered_id: str = ""
@@ -56,9 +56,9 @@
     attempts: list[Attempt] = field(default_factory=list)
 
     @property
-    def seen(self) -> Seen:
+    def outcome(self) -> AttemptOutcome:
         """What the caller saw in the end."""
-        return self.attempts[-1].seen if self.attempts else Seen.NOTHING
+        return self.attempts[-1].outcome if self.attempts else AttemptOutcome.NOTHING
 
 
 @dataclass(slots=True)
@@ -170,7 +170,7 @@
     "Leaving",
     "Membership",
     "PoolSample",
-    "Seen",
+    "AttemptOutcome",
     "TableInForce",
     "UpstreamRun",
 ]
--- a/packages/bench/src/medlarspring_bench/history_checker.py
+++ b/packages/bench/src/medlarspring_bench/history_checker.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from medlarspring_bench.history import History, Seen
+from medlarspring_bench.history import AttemptOutcome, History
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
@@ -69,17 +69,17 @@
 def _find_lost(history: History) -> Iterator[Violation]:
     run_ids = {run.request_id for run in history.runs}
     for call in history.calls:
-        if call.seen is Seen.NOTHING:
+        if call.outcome is AttemptOutcome.NOTHING:
             yield Violation(Kind.LOST, call.id, "the caller never heard of it again")
         for attempt in call.attempts:
-            if attempt.seen is not Seen.ANSWERED:
+            if attempt.outcome is not AttemptOutcome.ANSWERED:
                 continue
             if call.key or attempt.request_id in run_ids:
                 continue
             yield Violation(Kind.LOST, call.id, "answered, but no upstream ran it")
     keys_run = {(run.partner, run.key) for run in history.runs}
     for call in history.calls:
-        answered = any(one.seen is Seen.ANSWERED for one in call.attempts)
+        answered = any(one.outcome is AttemptOutcome.ANSWERED for one in call.attempts)
         if call.key and answered and (call.partner, call.key) not in keys_run:
             yield Violation(Kind.LOST, call.id, "answered, but no upstream ran the key")
 
@@ -106,7 +106,7 @@
 def _find_cut(history: History) -> Iterator[Violation]:
     for call in history.calls:
         for attempt in call.attempts:
-            if attempt.seen is Seen.CUT:
+            if attempt.outcome is AttemptOutcome.CUT:
                 yield Violation(Kind.CUT, call.id, f"attempt {attempt.request_id}")
 
 
@@ -118,7 +118,7 @@
         )
     for call in history.calls:
         for attempt in call.attempts:
-            if attempt.seen is not Seen.ANSWERED:
+            if attempt.outcome is not AttemptOutcome.ANSWERED:
                 continue
             # A key's one answer goes to everyone who sent the key.
             ids = ids_by_key[call.partner, call.key] if call.key else set()
@@ -133,7 +133,7 @@
     runs_by_key = {(run.partner, run.key): run for run in history.runs if run.key}
     for call in history.calls:
         for attempt in call.attempts:
-            if attempt.seen is not Seen.NOT_RUN:
+            if attempt.outcome is not AttemptOutcome.NOT_RUN:
                 continue
             run = runs_by_id.get(attempt.request_id)
             if run is None and call.key:
@@ -259,7 +259,7 @@
 
 def describe_end(call: Call) -> str:
     """Tell in one line how a call went, for reports."""
-    steps = (f"{one.seen.value}/{one.status}/{one.reason}" for one in call.attempts)
+    steps = (f"{one.outcome.value}/{one.status}/{one.reason}" for one in call.attempts)
     return f"{call.id} ({call.partner}): " + " -> ".join(steps)
 
 
--- a/packages/bench/src/medlarspring_bench/job_histories.py
+++ b/packages/bench/src/medlarspring_bench/job_histories.py
@@ -17,7 +17,7 @@
 from medlarspring_bench.key_value_ops import RangeOp, RangeReply, prefix_end
 from medlarspring_bench.key_value_state import KeyValueState
 from medlarspring_bench.memory_store import MemoryStore
-from medlarspring_bench.worker_tasks import DirectWorkerControl, TrueTask, WorkerTasks
+from medlarspring_bench.worker_tasks import ActualTask, DirectWorkerControl, WorkerTasks
 from medlarspring_daemon.jobs.controller import JobController
 from medlarspring_systems.job_lifecycle import FINAL_STATES, cancel_job
 from medlarspring_systems.job_records import put_partner, put_worker
@@ -103,7 +103,7 @@
             put_partner(self.controller.tables, use)
         self.controller.workers.set_addresses({VMId(v): v for v in pool.workers_by_id})
 
-    async def take_pool(self) -> None:
+    async def acquire_pool(self) -> None:
         """Write the holder key, as the service of the holders does."""
         found = await self.store.read(HOLDER_KEY)
         if not is_successful(found):
@@ -118,7 +118,7 @@
     async def run_round(self) -> None:
         """Run one tick unless the last one is still frozen."""
         if self.fence is None:
-            await self.take_pool()
+            await self.acquire_pool()
         if self.round is None or self.round.done():
             self.round = asyncio.create_task(self.controller.tick())
         for _ in range(60):
@@ -142,7 +142,9 @@
             for number in range(4)
         }
         self.workers_by_id = {
-            f"vm-{number}": WorkerTasks(f"vm-{number}", self.clock, self._true_task)
+            f"vm-{number}": WorkerTasks(
+                f"vm-{number}", self.clock, self._create_actual_task
+            )
             for number in range(workers)
         }
         self.control = DirectWorkerControl(self.workers_by_id)
@@ -158,7 +160,7 @@
             for vm_id in self.workers_by_id
         ]
 
-    def _true_task(self, order: TaskOrder) -> TrueTask:
+    def _create_actual_task(self, order: TaskOrder) -> ActualTask:
         job = self.jobs_by_id[order.job_id]
         factor = self.factors_by_kind[job.kind]
         size = Size(
@@ -167,7 +169,7 @@
         )
         rng = random.Random(f"{self.history.seed}/{job.id}")
         seconds = job.declared_seconds * rng.choice((0.1, 0.5, 1.0, 3.0))
-        return TrueTask(size, seconds, fails=rng.random() < 0.03)
+        return ActualTask(size, seconds, fails=rng.random() < 0.03)
 
     async def submit(self, count: int) -> None:
         """Submit jobs of all partners; one in ten is urgent."""
@@ -234,7 +236,7 @@
             await holder.controller.tick()
         self.frozen.clear()
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         """End all faults."""
         self.holder.store.faults.down = False
         self.control.unreachable.clear()
@@ -294,7 +296,7 @@
 
 async def _settle(pool: FakePool) -> None:
     await pool.thaw()
-    pool.heal()
+    pool.clear_faults()
     pool.holder = Holder(pool)
     until = pool.clock.now() + SETTLE_SECONDS
     while pool.clock.now() < until:
--- a/packages/bench/src/medlarspring_bench/job_pool_model.py
+++ b/packages/bench/src/medlarspring_bench/job_pool_model.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class PoolFigures:
+class PoolMetrics:
     """What one run showed."""
 
     done: int = 0
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True)
-class TrueNeed:
+class ActualNeed:
     """What a job really takes."""
 
     size: Size
@@ -84,9 +84,9 @@
         self.rng = random.Random(seed)
         self.now = 0.0
         self.learn = learn
-        self.figures = PoolFigures()
+        self.figures = PoolMetrics()
         self.tables = JobTables()
-        self.needs_by_id: dict[JobId, TrueNeed] = {}
+        self.needs_by_id: dict[JobId, ActualNeed] = {}
         self.stops: list[tuple[float, JobId, int]] = []
         for number in range(partners):
             quota = Size(32.0 * workers, 64.0 * workers, workers)
@@ -104,7 +104,7 @@
                 ),
             )
 
-    def submit(self, job: Job, need: TrueNeed) -> None:
+    def submit(self, job: Job, need: ActualNeed) -> None:
         """Submit a job with its true need."""
         self.needs_by_id[job.id] = need
         put_job(self.tables, job)
@@ -201,4 +201,4 @@
         return sum(job.state is state for job in self.tables.jobs_by_id.values())
 
 
-__all__ = ["POOL_ID", "PoolFigures", "PoolModel", "TrueNeed"]
+__all__ = ["POOL_ID", "PoolMetrics", "PoolModel", "ActualNeed"]
--- a/packages/bench/src/medlarspring_bench/measure/jobs.py
+++ b/packages/bench/src/medlarspring_bench/measure/jobs.py
@@ -10,7 +10,7 @@
 
 from msgspec.structs import replace
 
-from medlarspring_bench.job_pool_model import POOL_ID, PoolModel, TrueNeed
+from medlarspring_bench.job_pool_model import POOL_ID, ActualNeed, PoolModel
 from medlarspring_tables import Job, JobId, JobUrgency, PartnerId, Size
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 
 def make_job(
     rng: random.Random, number: int, now: float, partners: int, cpus: float
-) -> tuple[Job, TrueNeed]:
+) -> tuple[Job, ActualNeed]:
     """Return a job whose declaration is off by its kind's factor."""
     partner = rng.randrange(partners)
     kind = rng.randrange(3)
@@ -43,7 +43,7 @@
         can_checkpoint=True,
         submitted_at=now,
     )
-    return job, TrueNeed(need, rng.uniform(5.0, 40.0))
+    return job, ActualNeed(need, rng.uniform(5.0, 40.0))
 
 
 def measure_waste(seed: int, *, learn: bool) -> tuple[float, int, int]:
@@ -72,7 +72,7 @@
         if tick > 240 and model.rng.random() < 0.1:
             job, need = make_job(model.rng, number, model.now, 8, 4.0)
             job = replace(job, urgency=JobUrgency.URGENT, kind="urgent")
-            model.submit(job, TrueNeed(job.declared, need.seconds_left))
+            model.submit(job, ActualNeed(job.declared, need.seconds_left))
             number += 1
         model.step()
     return sorted(model.figures.urgent_waits)
--- a/packages/bench/src/medlarspring_bench/platform_watch.py
+++ b/packages/bench/src/medlarspring_bench/platform_watch.py
@@ -71,11 +71,11 @@
         for pool, min_available in self._min_available_by_pool.items():
             self.samples.append(PoolSample(pool, now, available[pool], min_available))
         for row in rows:
-            self._note_pool(row, now)
-            self._note_leaving(row, now)
+            self._record_pool(row, now)
+            self._record_leaving(row, now)
         self._sampled_at = asked_at
 
-    def _note_leaving(self, row: VMRow, now: float) -> None:
+    def _record_leaving(self, row: VMRow, now: float) -> None:
         leaving = self._leaving_by_vm.get(row.id)
         if row.condition is Condition.SERVING:
             if leaving is not None:
@@ -86,7 +86,7 @@
             self._leaving_by_vm[row.id] = leaving
             self._leavings.append(leaving)
 
-    def _note_pool(self, row: VMRow, now: float) -> None:
+    def _record_pool(self, row: VMRow, now: float) -> None:
         newest = self._newest_by_vm.get(row.id)
         if newest is not None and newest.pool == row.pool:
             newest.end = now
--- a/packages/bench/src/medlarspring_bench/processes.py
+++ b/packages/bench/src/medlarspring_bench/processes.py
@@ -52,7 +52,7 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
             env={**os.environ, **(env or {})},
-            preexec_fn=_die_with_parent,
+            preexec_fn=_set_parent_death_signal,
         )
         assert self._popen.stdout is not None
         assert self._popen.stderr is not None
@@ -196,7 +196,7 @@
                 process.kill()
 
 
-def _die_with_parent() -> None:
+def _set_parent_death_signal() -> None:
     # A killed test run cannot clean up; the kernel then ends its children.
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
--- a/packages/bench/src/medlarspring_bench/report.py
+++ b/packages/bench/src/medlarspring_bench/report.py
@@ -7,7 +7,7 @@
 
 from rich.table import Table
 
-from medlarspring_bench.history import Seen
+from medlarspring_bench.history import AttemptOutcome
 from medlarspring_bench.history_checker import Kind, Violation
 
 if TYPE_CHECKING:
@@ -48,8 +48,8 @@
 def _report(
     partner: str, calls: list[Call], kinds_by_call: dict[str, set[Kind]]
 ) -> PartnerReport:
-    def count_seen(*wanted: Seen) -> int:
-        return sum(call.seen in wanted for call in calls)
+    def count_seen(*wanted: AttemptOutcome) -> int:
+        return sum(call.outcome in wanted for call in calls)
 
     def count_kind(kind: Kind) -> int:
         return sum(kind in kinds_by_call.get(call.id, ()) for call in calls)
@@ -57,15 +57,15 @@
     times = sorted(
         (call.attempts[-1].ended_at - call.attempts[0].sent_at) * 1000
         for call in calls
-        if call.seen is Seen.ANSWERED
+        if call.outcome is AttemptOutcome.ANSWERED
     )
     return PartnerReport(
         partner=partner,
         sent=len(calls),
         counts={
-            "answered": count_seen(Seen.ANSWERED),
-            "not run": count_seen(Seen.NOT_RUN),
-            "unknown": count_seen(Seen.UNKNOWN, Seen.RESET),
+            "answered": count_seen(AttemptOutcome.ANSWERED),
+            "not run": count_seen(AttemptOutcome.NOT_RUN),
+            "unknown": count_seen(AttemptOutcome.UNKNOWN, AttemptOutcome.RESET),
             "lost": count_kind(Kind.LOST),
             "doubled": count_kind(Kind.DOUBLED),
             "cut": count_kind(Kind.CUT),
--- a/packages/bench/src/medlarspring_bench/standins/upstream.py
+++ b/packages/bench/src/medlarspring_bench/standins/upstream.py
@@ -25,7 +25,7 @@
     split_address,
     wait_for_end,
 )
-from medlarspring_bench.worker_tasks import TrueTask, WorkerTasks, add_task_routes
+from medlarspring_bench.worker_tasks import ActualTask, WorkerTasks, add_task_routes
 from medlarspring_tables import Size
 
 if TYPE_CHECKING:
@@ -171,7 +171,7 @@
         response.headers["Request-Id"] = record.request_id
         return response
 
-    def _draw_actual_task(self, order: TaskOrder) -> TrueTask:
+    def _draw_actual_task(self, order: TaskOrder) -> ActualTask:
         """Draw a job's actual size and duration, which differ from the declared."""
         rng = random.Random(f"{self._seed}/{order.job_id}")
         scale = rng.lognormvariate(0.0, LOGNORMAL_SIGMA)
@@ -181,7 +181,7 @@
             order.size.accelerators,
         )
         seconds = order.declared_seconds * rng.lognormvariate(0.0, LOGNORMAL_SIGMA)
-        return TrueTask(size, seconds)
+        return ActualTask(size, seconds)
 
     def _service_seconds(self, query: Mapping[str, str]) -> float:
         mean = self._mean_seconds
--- a/packages/bench/src/medlarspring_bench/story.py
+++ b/packages/bench/src/medlarspring_bench/story.py
@@ -7,7 +7,7 @@
 
 from medlarspring_bench.callers import Callers, CallSpec
 from medlarspring_bench.disturbances import DISTURBANCES, order_ends
-from medlarspring_bench.history import History, Leaving, Membership, Seen
+from medlarspring_bench.history import AttemptOutcome, History, Leaving, Membership
 from medlarspring_bench.history_checker import describe_end, find_violations
 from medlarspring_bench.platform_watch import PlatformWatch, watch_platform
 from medlarspring_bench.recording import record_history
@@ -186,13 +186,13 @@
 
     def answered_percent(self) -> float:
         """Return the part of the calls that were answered in the end."""
-        answered = sum(call.seen is Seen.ANSWERED for call in self.calls)
+        answered = sum(call.outcome is AttemptOutcome.ANSWERED for call in self.calls)
         return 100.0 * answered / len(self.calls)
 
     def refused_percent(self) -> float:
         """Return the part of the calls that were refused before they ran."""
         refused = sum(
-            call.seen is Seen.NOT_RUN or is_undecided(call.attempts[-1])
+            call.outcome is AttemptOutcome.NOT_RUN or is_undecided(call.attempts[-1])
             for call in self.calls
             if call.attempts
         )
@@ -201,7 +201,9 @@
     def find_unanswered(self) -> list[str]:
         """Return how the calls without an answer went."""
         return [
-            describe_end(call) for call in self.calls if call.seen is not Seen.ANSWERED
+            describe_end(call)
+            for call in self.calls
+            if call.outcome is not AttemptOutcome.ANSWERED
         ]
 
     def find_unanswered_repeatable(self) -> list[str]:
@@ -209,7 +211,7 @@
         return [
             describe_end(call)
             for call in self.calls
-            if call.repeatable and call.seen is not Seen.ANSWERED
+            if call.repeatable and call.outcome is not AttemptOutcome.ANSWERED
         ]
 
     def find_unexplained_unknown(self) -> list[str]:
@@ -222,7 +224,7 @@
         return [
             f"{describe_end(call)}; {self._describe_times(call)}"
             for call in self.calls
-            if call.seen not in (Seen.ANSWERED, Seen.NOT_RUN)
+            if call.outcome not in (AttemptOutcome.ANSWERED, AttemptOutcome.NOT_RUN)
             and not self._is_affected_by_fault(call)
         ]
 
@@ -241,8 +243,8 @@
         )
 
     def _is_affected_by_fault(self, call: Call) -> bool:
-        harmless = (Seen.ANSWERED, Seen.NOT_RUN)
-        first = next(one for one in call.attempts if one.seen not in harmless)
+        harmless = (AttemptOutcome.ANSWERED, AttemptOutcome.NOT_RUN)
+        first = next(one for one in call.attempts if one.outcome not in harmless)
         if is_undecided(first) and self._is_fault_active(first.sent_at):
             return True
         return any(
@@ -267,7 +269,7 @@
         )
         assert not violations, f"{len(violations)} broken promises:\n{shown}"
 
-    def note_leaving(self, vm: str) -> None:
+    def record_leaving(self, vm: str) -> None:
         """Remember that a VM leaves from now on."""
         self.leavings.append(Leaving(vm, time.monotonic()))
 
--- a/packages/bench/src/medlarspring_bench/worker_tasks.py
+++ b/packages/bench/src/medlarspring_bench/worker_tasks.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TrueTask:
+class ActualTask:
     """What a job really needs, unknown to the system."""
 
     size: Size
@@ -46,7 +46,7 @@
     """One attempt on this worker."""
 
     order: TaskOrder
-    true: TrueTask
+    true: ActualTask
     started_at: Seconds
     lease_until: Seconds
     state: TaskState = TaskState.RUNNING
@@ -72,7 +72,7 @@
 
     vm_id: str
     clock: Clock
-    true_task: Callable[[TaskOrder], TrueTask]
+    true_task: Callable[[TaskOrder], ActualTask]
     fails_everything: bool = False
     tasks_by_id: dict[JobId, Task] = field(default_factory=dict)
     newest_attempt_by_id: dict[JobId, int] = field(default_factory=dict)
@@ -261,7 +261,7 @@
     "DirectWorkerControl",
     "Run",
     "Task",
-    "TrueTask",
+    "ActualTask",
     "WorkerTasks",
     "add_task_routes",
 ]
--- a/packages/bench/tests/test_history_checker.py
+++ b/packages/bench/tests/test_history_checker.py
@@ -5,6 +5,7 @@
 from medlarspring_bench.history import (
     Arrival,
     Attempt,
+    AttemptOutcome,
     Call,
     History,
     Holding,
@@ -12,7 +13,6 @@
     Leaving,
     Membership,
     PoolSample,
-    Seen,
     TableInForce,
     UpstreamRun,
 )
@@ -24,15 +24,15 @@
         id_,
         at,
         at + 1,
-        Seen.ANSWERED,
+        AttemptOutcome.ANSWERED,
         200,
         answered_id=of or id_,
         answered_digest=digest,
     )
 
 
-def saw(id_: str, seen: Seen, at: float = 0.0) -> Attempt:
-    return Attempt(id_, at, at + 1, seen)
+def attempt_with(id_: str, outcome: AttemptOutcome, at: float = 0.0) -> Attempt:
+    return Attempt(id_, at, at + 1, outcome)
 
 
 def run(
@@ -48,11 +48,23 @@
 CLEAN = {
     "answer": History([call(answered("r"))], [run("r")]),
     "read repeated after a reset": History(
-        [call(saw("r1", Seen.RESET), answered("r2", 2), repeatable=True)],
+        [
+            call(
+                attempt_with("r1", AttemptOutcome.RESET),
+                answered("r2", 2),
+                repeatable=True,
+            )
+        ],
         [run("r1"), run("r2", 2)],
     ),
     "payment repeated, run once, answered by its record": History(
-        [call(saw("r1", Seen.UNKNOWN), answered("r2", 2, of="r1"), key="k")],
+        [
+            call(
+                attempt_with("r1", AttemptOutcome.UNKNOWN),
+                answered("r2", 2, of="r1"),
+                key="k",
+            )
+        ],
         [run("r1", key="k")],
     ),
     "one key sent twice at once, both get its one answer": History(
@@ -63,11 +75,13 @@
         [run("r1", key="k")],
     ),
     "refused, then run": History(
-        [call(saw("r1", Seen.NOT_RUN), answered("r2", 2), key="k")],
+        [call(attempt_with("r1", AttemptOutcome.NOT_RUN), answered("r2", 2), key="k")],
         [run("r2", 2.1, key="k")],
     ),
-    "refused and never run": History([call(saw("r", Seen.NOT_RUN))]),
-    "run with an unknown end": History([call(saw("r", Seen.UNKNOWN))], [run("r")]),
+    "refused and never run": History([call(attempt_with("r", AttemptOutcome.NOT_RUN))]),
+    "run with an unknown end": History(
+        [call(attempt_with("r", AttemptOutcome.UNKNOWN))], [run("r")]
+    ),
     "slots used in turn": History(
         runs=[run("a", 0, end=1), run("b", 1, end=2)], slots_by_vm={"v": 1}
     ),
@@ -94,7 +108,7 @@
 }
 
 FAULTY = [
-    (Kind.LOST, "no end", History([call(saw("r", Seen.NOTHING))])),
+    (Kind.LOST, "no end", History([call(attempt_with("r", AttemptOutcome.NOTHING))])),
     (Kind.LOST, "no attempt", History([call()])),
     (Kind.LOST, "answer without a run", History([call(answered("r"))])),
     (
@@ -111,7 +125,13 @@
         Kind.DOUBLED,
         "one key twice under two request ids",
         History(
-            [call(saw("r1", Seen.UNKNOWN), answered("r2", 2), key="k")],
+            [
+                call(
+                    attempt_with("r1", AttemptOutcome.UNKNOWN),
+                    answered("r2", 2),
+                    key="k",
+                )
+            ],
             [run("r1", key="k"), run("r2", 2, key="k")],
         ),
     ),
@@ -119,10 +139,15 @@
         Kind.DOUBLED,
         "unsafe request without a key repeated",
         History(
-            [call(saw("r1", Seen.RESET), answered("r2", 2))], [run("r1"), run("r2", 2)]
+            [call(attempt_with("r1", AttemptOutcome.RESET), answered("r2", 2))],
+            [run("r1"), run("r2", 2)],
         ),
     ),
-    (Kind.CUT, "half an answer", History([call(saw("r", Seen.CUT))], [run("r")])),
+    (
+        Kind.CUT,
+        "half an answer",
+        History([call(attempt_with("r", AttemptOutcome.CUT))], [run("r")]),
+    ),
     (
         Kind.MIXED,
         "another's answer",
@@ -144,13 +169,19 @@
     (
         Kind.FALSELY_REFUSED,
         "refused as not run, but ran",
-        History([call(saw("r", Seen.NOT_RUN))], [run("r")]),
+        History([call(attempt_with("r", AttemptOutcome.NOT_RUN))], [run("r")]),
     ),
     (
         Kind.FALSELY_REFUSED,
         "a key that ran is refused as not run",
         History(
-            [call(saw("r1", Seen.UNKNOWN), saw("r2", Seen.NOT_RUN, 2), key="k")],
+            [
+                call(
+                    attempt_with("r1", AttemptOutcome.UNKNOWN),
+                    attempt_with("r2", AttemptOutcome.NOT_RUN, 2),
+                    key="k",
+                )
+            ],
             [run("r1", key="k")],
         ),
     ),
@@ -234,7 +265,7 @@
     ],
 )
 def test_each_fault_is_found(kind: Kind, history: History):
-    assert {breach.kind for breach in find_violations(history)} == {kind}
+    assert {violation.kind for violation in find_violations(history)} == {kind}
 
 
 def test_every_kind_of_breach_has_a_faulty_history():
--- a/tests/test_accepted_configuration.py
+++ b/tests/test_accepted_configuration.py
@@ -36,7 +36,7 @@
     id_ = story.cluster.daemon_id(1)
     story.cluster.start_daemon(id_)
     story.cluster.wait_for_daemon(id_)
-    story.cluster.tell_platform(id_)
+    story.cluster.publish_daemon_addresses(id_)
 
 
 @when("two operators change partner west at the same moment", target_fixture="outputs")
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -4,7 +4,7 @@
 
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from medlarspring_bench.history import Seen
+from medlarspring_bench.history import AttemptOutcome
 from medlarspring_bench.waiting import wait_for
 
 if TYPE_CHECKING:
@@ -65,6 +65,7 @@
         attempt.request_id
         for call in story.calls
         for attempt in call.attempts
-        if attempt.seen in (Seen.RESET, Seen.CUT, Seen.NOTHING)
+        if attempt.outcome
+        in (AttemptOutcome.RESET, AttemptOutcome.CUT, AttemptOutcome.NOTHING)
     ]
     assert not broken, broken
--- a/tests/test_leaving_upstreams.py
+++ b/tests/test_leaving_upstreams.py
@@ -28,7 +28,7 @@
     for vm in vms.split(" and "):
         path = f"/control/vms/{vm}/drain"
         call("POST", story.cluster.vm_list["address"], path, {"revision": 1})
-        story.note_leaving(vm)
+        story.record_leaving(vm)
 
 
 @then("no work reached a leaving VM later than 3 seconds after the start")
--- a/tests/test_zone_cut.py
+++ b/tests/test_zone_cut.py
@@ -6,7 +6,7 @@
 from pytest_bdd import parsers, scenarios, then
 
 from medlarspring_bench.cluster import ClusterOptions
-from medlarspring_bench.history import Seen
+from medlarspring_bench.history import AttemptOutcome
 from medlarspring_bench.story import is_undecided
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
         caller_request.patience_seconds = 0.0
         call = story.call(caller_request, number).result(10)
         attempt = call.attempts[0]
-        assert attempt.seen is Seen.ANSWERED, attempt
+        assert attempt.outcome is AttemptOutcome.ANSWERED, attempt
         assert attempt.ended_at - attempt.sent_at < seconds, attempt
 
 
