--- a/packages/bench/src/medlarspring_bench/__init__.py
+++ b/packages/bench/src/medlarspring_bench/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins, demo and measurements; never shipped."""
+"""Stand-ins, demo, simulations and measurements for tests; never shipped."""
 
 from __future__ import annotations
--- a/packages/bench/src/medlarspring_bench/callers.py
+++ b/packages/bench/src/medlarspring_bench/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the demo and the scenarios: they retry as callers are told to."""
+"""Callers of the demo and the scenarios, with the documented retry rules."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 PROBLEM = "application/problem+json"
 SAFE_METHODS = frozenset({"GET", "HEAD"})
 RESPONSE_GRACE_SECONDS = 3.0
-"""Beyond its deadline a request may take so long until the caller gives up."""
+"""Time beyond the request's deadline after which the caller gives up."""
 FIRST_PAUSE_SECONDS = 0.1
 
 
 class CallSpec(Struct, kw_only=True):
-    """What a caller wants."""
+    """Specification of one call: the request and its retry limits."""
 
     id: str
     partner: str
@@ -38,7 +38,7 @@
     repeatable: bool = False
     timeout_seconds: float = 5.0
     patience_seconds: float = 15.0
-    """How long the caller goes on trying."""
+    """How long the caller keeps retrying."""
 
     @property
     def may_repeat(self) -> bool:
@@ -47,21 +47,21 @@
 
 
 class UpstreamAnswer(Struct):
-    """The part of the upstream stand-in's answer that callers check."""
+    """The fields of the upstream stand-in's answer that callers check."""
 
     request_id: str
     digest: str
 
 
 class Refused(Struct):
-    """The part of a refusal that callers act on."""
+    """The fields of a refusal that callers act on."""
 
     outcome: str
     reason: str = ""
 
 
 class Callers:
-    """Sends wishes to one address and keeps what came of them."""
+    """Sends calls to one address and records their attempts."""
 
     def __init__(self, address: str, max_connections: int = 256) -> None:
         self.address = address
@@ -79,10 +79,10 @@
         await self._session.close()
 
     async def make(self, call_spec: CallSpec, addresses: Sequence[str] = ()) -> Call:
-        """Try until the wish is answered or patience ends.
+        """Send attempts until the call is answered or may not be retried.
 
-        Attempts go to the given addresses in turn, the last one for all that
-        follow; by default all go to the balancer.
+        Attempts go to the given addresses in turn, and all further attempts to the
+        last one. Without addresses all attempts go to the balancer.
         """
         targets = [*addresses] or [self.address]
         call = Call(
@@ -171,7 +171,7 @@
 
 
 def _may_retry(call_spec: CallSpec, attempt: Attempt) -> bool:
-    """Whether the caller may send the wish again."""
+    """Return whether the caller may send the request again."""
     if attempt.outcome is AttemptOutcome.ANSWERED:
         return False
     if attempt.outcome is AttemptOutcome.NOT_RUN:
--- a/packages/bench/src/medlarspring_bench/disturbances.py
+++ b/packages/bench/src/medlarspring_bench/disturbances.py
@@ -1,4 +1,4 @@
-"""What scenarios do to a running cluster, by the phrase that names it."""
+"""Faults that scenarios inject into a running cluster, by their phrases."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Disturbance:
-    """A fault and how it is taken back."""
+    """A fault: how it begins and how it ends."""
 
     begin: Callable[[Cluster], None]
     end: Callable[[Cluster], None]
     end_waits: bool = False
-    """Whether the end waits for a process to start, for seconds beside load."""
+    """Whether the end waits for a process start, which takes seconds under load."""
 
 
 def first_daemon(cluster: Cluster) -> str:
-    """Return the daemon that faults of one daemon hit."""
+    """Return the daemon that single-daemon faults affect."""
     return next(iter(cluster.zones_by_id))
 
 
 def first_vms(cluster: Cluster) -> list[str]:
-    """Return one upstream VM of each pool: those that faults of a VM hit."""
+    """Return the upstream VMs that VM faults affect: one of each pool."""
     vm_by_pool: dict[str, str] = {}
     for rack in cluster.platform.racks:
         vm_by_pool.setdefault(rack.pool, rack.vm_ids()[0])
@@ -51,7 +51,7 @@
 
 
 def _nothing(cluster: Cluster) -> None:
-    """Some faults end by themselves."""
+    """Do nothing, for faults that end by themselves."""
 
 
 def _kill(cluster: Cluster) -> None:
@@ -119,7 +119,7 @@
 
 
 def order_ends(begun: Sequence[str]) -> list[str]:
-    """Return in which order disturbances are taken back, by their phrases.
+    """Return the phrases of the faults in the order in which to end them.
 
     The newest goes first, and those whose end waits go after all others.
     """
--- a/packages/bench/src/medlarspring_bench/history.py
+++ b/packages/bench/src/medlarspring_bench/history.py
@@ -10,25 +10,25 @@
 
 
 class AttemptOutcome(Enum):
-    """What a caller saw of one attempt."""
+    """Outcome of one attempt as its caller observed it."""
 
     ANSWERED = "answered"
-    """The whole answer of an upstream."""
+    """A complete answer of an upstream."""
     NOT_RUN = "not-run"
-    """A refusal that promises that the request was not run."""
+    """A refusal which guarantees that the request was not run."""
     UNKNOWN = "unknown"
-    """A refusal that promises nothing."""
+    """A refusal after which the request may or may not have run."""
     RESET = "reset"
     """The connection ended before the first byte of an answer."""
     CUT = "cut"
-    """The answer ended in its middle."""
+    """The answer was truncated."""
     NOTHING = "nothing"
     """No answer, refusal or end of the connection until long after the deadline."""
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One request as its caller saw it."""
+    """One request as its caller observed it."""
 
     request_id: str
     sent_at: float
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """What a caller wanted, with all its attempts, oldest first."""
+    """One call with all its attempts, oldest first."""
 
     id: str
     partner: str
@@ -52,12 +52,12 @@
     digest: str
     """Digest of the body that was sent."""
     key: str = ""
-    """The ``Idempotency-Key``; one for all attempts."""
+    """The ``Idempotency-Key``, the same for all attempts."""
     attempts: list[Attempt] = field(default_factory=list)
 
     @property
     def outcome(self) -> AttemptOutcome:
-        """What the caller saw in the end."""
+        """Outcome of the last attempt."""
         return self.attempts[-1].outcome if self.attempts else AttemptOutcome.NOTHING
 
 
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True)
 class Leaving:
-    """When a VM began to leave, and when it was back."""
+    """The period from when a VM began to leave until it served again."""
 
     vm: str
     at: float
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True)
 class PoolSample:
-    """VMs of a pool able to serve at one moment."""
+    """Number of available VMs in a pool at one moment."""
 
     pool: str
     at: float
@@ -105,7 +105,7 @@
 
 @dataclass(slots=True)
 class Membership:
-    """A VM belonged to a pool for a while."""
+    """The period in which a VM belonged to a pool."""
 
     vm: str
     pool: str
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True)
 class TableInForce:
-    """A daemon process put a table revision in force."""
+    """A daemon process applied a table revision."""
 
     entry_vm: str
     at: float
@@ -124,7 +124,7 @@
 
 @dataclass(slots=True)
 class Holding:
-    """A process acted as holder of a pool's control work."""
+    """The period in which a process held a pool's control work."""
 
     pool: str
     holder: str
@@ -134,7 +134,7 @@
 
 @dataclass(slots=True)
 class JobRun:
-    """A worker ran an attempt of a job for a while."""
+    """The period in which a worker ran an attempt of a job."""
 
     job: str
     vm: str
--- a/packages/bench/src/medlarspring_bench/history_checker.py
+++ b/packages/bench/src/medlarspring_bench/history_checker.py
@@ -1,4 +1,4 @@
-"""Finds every broken promise in a history; pure."""
+"""Finds every violated guarantee in a history, without input or output."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Kind(Enum):
-    """The promises that a history can break."""
+    """The kinds of guarantee violations."""
 
     LOST = "lost"
     DOUBLED = "doubled"
@@ -36,7 +36,7 @@
 
 
 class Violation(Struct, frozen=True):
-    """One broken promise."""
+    """One violated guarantee."""
 
     kind: Kind
     subject: str
@@ -44,7 +44,7 @@
 
 
 def find_violations(history: History) -> list[Violation]:
-    """Return all broken promises of a history."""
+    """Return all violations in a history."""
     return [
         *_find_lost(history),
         *_find_doubled(history),
@@ -62,7 +62,7 @@
 
 
 def count_by_kind(violations: Iterable[Violation]) -> Counter[Kind]:
-    """Count breaches by kind."""
+    """Return the number of violations of each kind."""
     return Counter(violation.kind for violation in violations)
 
 
@@ -70,7 +70,7 @@
     run_ids = {run.request_id for run in history.runs}
     for call in history.calls:
         if call.outcome is AttemptOutcome.NOTHING:
-            yield Violation(Kind.LOST, call.id, "the caller never heard of it again")
+            yield Violation(Kind.LOST, call.id, "the caller got no response")
         for attempt in call.attempts:
             if attempt.outcome is not AttemptOutcome.ANSWERED:
                 continue
@@ -120,7 +120,7 @@
         for attempt in call.attempts:
             if attempt.outcome is not AttemptOutcome.ANSWERED:
                 continue
-            # A key's one answer goes to everyone who sent the key.
+            # All requests with one key get the same stored answer.
             ids = ids_by_key[call.partner, call.key] if call.key else set()
             own_id = attempt.answered_id in ids | {attempt.request_id}
             if not own_id or attempt.answered_digest != call.digest:
@@ -139,7 +139,9 @@
             if run is None and call.key:
                 run = _run_before(runs_by_key.get((call.partner, call.key)), attempt)
             if run is not None:
-                detail = f"{attempt.request_id} said {attempt.reason}, ran on {run.vm}"
+                detail = (
+                    f"{attempt.request_id} refused ({attempt.reason}), ran on {run.vm}"
+                )
                 yield Violation(Kind.FALSELY_REFUSED, call.id, detail)
 
 
@@ -171,10 +173,11 @@
 
 
 def _find_work_after_leaving(history: History) -> Iterator[Violation]:
-    """Nothing runs on a leaving VM after the grace, and nobody goes on trying.
+    """Yield runs and refused attempts on a leaving VM after the grace period.
 
-    The list may lag behind the whole history, so that the VM's first refusal is the
-    first sign that anybody can have: other attempts are judged from there.
+    The VM list may lag by more than the whole history. The VM's first refusal is then
+    the first leaving signal that an entry VM can get, so the grace period of refused
+    attempts starts there.
     """
     for leaving in history.leavings:
         runs = [
@@ -195,7 +198,9 @@
 ) -> Iterator[Violation]:
     for request_id, at in times:
         if known_at + LEAVING_GRACE_SECONDS < at < leaving.until:
-            detail = f"{request_id} came {at - leaving.at:.2f} s after the start"
+            detail = (
+                f"{request_id} came {at - leaving.at:.2f} s after the VM began to leave"
+            )
             yield Violation(Kind.WORK_AFTER_LEAVING, leaving.vm, detail)
 
 
@@ -232,7 +237,7 @@
 def _find_overlaps(
     spans: list[tuple[str, float, float, str]],
 ) -> Iterator[tuple[str, str, str]]:
-    """Yield subjects that two different owners have at once, and both owners."""
+    """Yield each subject held by two owners at the same time, with both owners."""
     spans_by_subject: dict[str, list[tuple[float, float, str]]] = defaultdict(list)
     for subject, start, end, owner in spans:
         spans_by_subject[subject].append((start, end, owner))
@@ -258,7 +263,7 @@
 
 
 def describe_end(call: Call) -> str:
-    """Tell in one line how a call went, for reports."""
+    """Return a one-line summary of a call's attempts for reports."""
     steps = (f"{one.outcome.value}/{one.status}/{one.reason}" for one in call.attempts)
     return f"{call.id} ({call.partner}): " + " -> ".join(steps)
 
--- a/packages/bench/src/medlarspring_bench/story.py
+++ b/packages/bench/src/medlarspring_bench/story.py
@@ -1,4 +1,4 @@
-"""One scenario on a running cluster: load, disturbances and the verdict."""
+"""One scenario on a running cluster: load, faults and checks of the guarantees."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 END_SECONDS = 45.0
 MAX_SHOWN_VIOLATIONS = 10
 DETECTION_SECONDS = 2.0
-"""A fault that lasts is noticed at the latest after this time."""
+"""Longest time until a persistent fault is detected."""
 SINGLE_TIMEOUT_SECONDS = 2.0
 
 
 def is_undecided(attempt: Attempt) -> bool:
-    """Tell whether an attempt was refused because its key could not be looked up."""
+    """Return whether an attempt was refused because its key could not be looked up."""
     return attempt.reason == RefusalKind.STORE_UNREACHABLE.code
 
 
 class Story:
-    """What a scenario has done so far; ends every fault it began."""
+    """State of one running scenario; ends every fault that it began."""
 
     def __init__(self, cluster: Cluster, loop: BackgroundLoop, name: str) -> None:
         self.cluster = cluster
@@ -45,9 +45,9 @@
         self.leavings: list[Leaving] = []
         self._fault_starts: list[float] = []
         self._fault_end_times: list[float] = []
-        """When faults began to be taken back, and when the last of them was."""
+        """Start and end times of each call of ``end_faults``."""
         self.dead_daemons: list[str] = []
-        """Killed by steps of the scenario; started again with all else."""
+        """Daemons killed by scenario steps; ``end_faults`` restarts them."""
         self.watch: PlatformWatch | None = None
         self._began = time.monotonic()
         self._kinds = cluster.platform.requests
@@ -61,11 +61,11 @@
 
     @property
     def calls(self) -> list[Call]:
-        """All calls of this story."""
+        """All calls of this scenario."""
         return self.callers.calls
 
     def send(self, count: int, seconds: float, seed: int = 1) -> None:
-        """Begin to send a mixed batch of all partners."""
+        """Start sending a mixed batch of calls from all partners."""
         call_specs = create_call_specs(self.cluster.platform, count, seed, self.name)
         self._count = count
         self._sending = self._loop.submit(
@@ -73,28 +73,28 @@
         )
 
     def wait_until_sent(self, percent: float) -> None:
-        """Wait until so many of the batch are sent."""
+        """Wait until the given percentage of the batch has been sent."""
         wanted = self._count * percent / 100
         wait_for(lambda: self._sent >= wanted, f"{percent} % sent", 60.0)
 
     def begin(self, fault: str) -> None:
-        """Begin a disturbance."""
+        """Begin a fault, given by its phrase in ``DISTURBANCES``."""
         self._fault_starts.append(time.monotonic())
         DISTURBANCES[fault].begin(self.cluster)
         self._active_faults.append(fault)
 
     def kill_daemon(self, id_: str) -> None:
-        """Kill a daemon; it is started again when the faults end."""
+        """Kill a daemon; ``end_faults`` restarts it."""
         self._fault_starts.append(time.monotonic())
         self.cluster.processes.by_name[id_].kill()
         self.dead_daemons.append(id_)
 
     def end_faults(self) -> None:
-        """End every disturbance, the newest first, those that wait after the others.
+        """End every fault, the newest first, and those whose end waits last.
 
-        Beside load a daemon took 3.7 s to start again. A fault that waited for it went
-        on so long after the moment at which all should be well, and met requests sent
-        2.9 s after it had begun.
+        Under load a daemon took 3.7 s to restart. A fault that was ended only after
+        the restart lasted that much longer than the scenario intended, and affected
+        requests sent 2.9 s after it had begun.
         """
         self._fault_end_times.append(time.monotonic())
         for fault in order_ends(self._active_faults):
@@ -107,7 +107,7 @@
     def create_call_spec(
         self, kind: str, name: str, work_ms: float | None = None
     ) -> CallSpec:
-        """Return one wish of the first partner."""
+        """Return the specification of one call by the first partner."""
         platform = self.cluster.platform
         (found,) = (one for one in platform.requests if one.kind == kind)
         partner, credential = next(iter(platform.credentials.items()))
@@ -124,21 +124,21 @@
         )
 
     def call(self, call_spec: CallSpec, *daemons: int) -> Future[Call]:
-        """Begin one call, through the balancer or straight to daemons in turn."""
+        """Start one call through the balancer, or directly to the daemons in turn."""
         addresses = [self.cluster.daemon(number).caller for number in daemons]
         single = self._loop.submit(self.callers.make(call_spec, addresses))
         self._single_calls.append(single)
         return single
 
     def finish(self) -> None:
-        """Wait until every call has come to its end."""
+        """Wait until every call has ended."""
         if self._sending is not None:
             self._sending.result(END_SECONDS)
         for single in self._single_calls:
             single.result(END_SECONDS)
 
     def wait_until_running(self, call_spec: CallSpec) -> None:
-        """Wait until an upstream VM runs the wish."""
+        """Wait until an upstream VM runs the call."""
 
         def runs() -> bool:
             records = self.cluster.upstream_records("runs")
@@ -149,7 +149,7 @@
         wait_for(runs, f"{call_spec.id} runs")
 
     def wait_for_attempts(self, count: int) -> None:
-        """Wait until the first call has seen the end of so many attempts."""
+        """Wait until the first call has completed ``count`` attempts."""
         wait_for(
             lambda: self.calls and len(self.calls[0].attempts) >= count,
             f"attempt {count}",
@@ -157,16 +157,16 @@
         )
 
     def count_runs(self, key: str) -> int:
-        """Return how often upstream VMs ran a key."""
+        """Return how often upstream VMs ran requests with a key."""
         return sum(run.key == key for run in self.history().runs)
 
     def watch_platform(self) -> PlatformWatch:
-        """Begin to sample budgets and pools."""
+        """Start sampling the budgets and pools."""
         self.watch = watch_platform(self.cluster)
         return self.watch
 
     def history(self) -> History:
-        """Return what was recorded of this story."""
+        """Return the recorded history of this scenario."""
         history = record_history(self.cluster, self.calls, self.leavings)
         if self.watch is not None:
             history.pool_samples = self.watch.samples
@@ -175,7 +175,7 @@
         return history
 
     def _used_pools(self, history: History) -> list[Membership]:
-        """Return for which pool each VM worked, told by the paths it ran."""
+        """Return the pool that each VM served, derived from the request paths it ran."""
         pool_by_path = {kind.path: kind.service for kind in self._kinds}
         return [
             Membership(run.vm, pool, run.start, run.end or history.ended_at)
@@ -185,12 +185,12 @@
         ]
 
     def answered_percent(self) -> float:
-        """Return the part of the calls that were answered in the end."""
+        """Return the percentage of calls that were answered in the end."""
         answered = sum(call.outcome is AttemptOutcome.ANSWERED for call in self.calls)
         return 100.0 * answered / len(self.calls)
 
     def refused_percent(self) -> float:
-        """Return the part of the calls that were refused before they ran."""
+        """Return the percentage of calls that were refused before they ran."""
         refused = sum(
             call.outcome is AttemptOutcome.NOT_RUN or is_undecided(call.attempts[-1])
             for call in self.calls
@@ -199,7 +199,7 @@
         return 100.0 * refused / len(self.calls)
 
     def find_unanswered(self) -> list[str]:
-        """Return how the calls without an answer went."""
+        """Return descriptions of the calls without an answer."""
         return [
             describe_end(call)
             for call in self.calls
@@ -207,7 +207,7 @@
         ]
 
     def find_unanswered_repeatable(self) -> list[str]:
-        """Return calls that may be repeated, yet got no answer in the end."""
+        """Return descriptions of repeatable calls that got no answer in the end."""
         return [
             describe_end(call)
             for call in self.calls
@@ -215,11 +215,11 @@
         ]
 
     def find_unexplained_unknown(self) -> list[str]:
-        """Return calls of unknown end that no fault can have met.
+        """Return calls of unknown outcome that no fault can have affected.
 
-        Only a call that was under way when a fault began, or that was sent
-        before the fault can have been noticed, may end without a verdict; and one
-        whose key could not be looked up, while the fault goes on.
+        A call may end with an unknown outcome only if it was in flight when a fault
+        began, if it was sent before the fault can have been detected, or if its key
+        could not be looked up during the fault.
         """
         return [
             f"{describe_end(call)}; {self._describe_times(call)}"
@@ -229,7 +229,7 @@
         ]
 
     def _describe_times(self, call: Call) -> str:
-        """Tell when a call was sent and ended, beside the faults; in seconds."""
+        """Return when a call and the faults started and ended, in seconds."""
 
         def show(*times: float) -> str:
             return ", ".join(f"{each - self._began:.2f}" for each in times)
@@ -238,7 +238,7 @@
         ended = [attempt.ended_at for attempt in call.attempts]
         return (
             f"sent at {show(*sent)}, ended at {show(*ended)}, faults began at"
-            f" {show(*self._fault_starts)}, were taken back at"
+            f" {show(*self._fault_starts)}, were being ended at"
             f" {show(*self._fault_end_times)}"
         )
 
@@ -253,7 +253,7 @@
         )
 
     def _is_fault_active(self, at: float) -> bool:
-        """Tell whether a fault went on, or was taken back a moment ago."""
+        """Return whether a fault was active or ended within the detection time."""
         began = [start for start in self._fault_starts if start <= at]
         if not began:
             return False
@@ -261,20 +261,20 @@
         return not ended or at <= ended[-1] + DETECTION_SECONDS
 
     def check_guarantees(self) -> None:
-        """Fail with every broken promise."""
+        """Fail with the violated guarantees, if any."""
         violations = find_violations(self.history())
         shown = "\n".join(
             f"{violation.kind.value} {violation.subject}: {violation.detail}"
             for violation in violations[:MAX_SHOWN_VIOLATIONS]
         )
-        assert not violations, f"{len(violations)} broken promises:\n{shown}"
+        assert not violations, f"{len(violations)} violated guarantees:\n{shown}"
 
     def record_leaving(self, vm: str) -> None:
-        """Remember that a VM leaves from now on."""
+        """Record that a VM starts leaving now."""
         self.leavings.append(Leaving(vm, time.monotonic()))
 
     def close(self) -> None:
-        """End faults and calls."""
+        """End all faults and cancel the batch of calls."""
         self.end_faults()
         if self.watch is not None:
             self.watch.close()
--- a/packages/bench/src/medlarspring_bench/waiting.py
+++ b/packages/bench/src/medlarspring_bench/waiting.py
@@ -1,4 +1,4 @@
-"""Waits on conditions; nothing in the tests sleeps for luck."""
+"""Waits for conditions by polling, so that tests need no fixed sleeps."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class WaitTimedOut(AssertionError):
-    """The condition did not come true in time."""
+    """The condition did not become true in time."""
 
 
 def wait_for(
--- a/packages/bench/src/medlarspring_bench/workload.py
+++ b/packages/bench/src/medlarspring_bench/workload.py
@@ -20,7 +20,7 @@
 def create_call_specs(
     platform: Platform, count: int, seed: int, prefix: str = "call"
 ) -> list[CallSpec]:
-    """Return wishes of all partners in turn, kinds by their share."""
+    """Return calls of all partners in turn, with kinds drawn by their share."""
     rng = random.Random(seed)
     partners = list(platform.credentials)
     shares = [kind.share for kind in platform.requests]
@@ -60,7 +60,7 @@
     seconds: float,
     on_sent: Callable[[int], None] | None = None,
 ) -> None:
-    """Send wishes evenly over a time, whatever becomes of earlier ones."""
+    """Start calls evenly over a time, without waiting for earlier ones."""
     loop = asyncio.get_running_loop()
     start = loop.time()
     async with asyncio.TaskGroup() as group:
