--- a/packages/bench/src/medlarspring_bench/background.py
+++ b/packages/bench/src/medlarspring_bench/background.py
@@ -1,4 +1,4 @@
-"""An event loop in a thread, so that plain test steps can drive callers."""
+"""An event loop in a thread, so that synchronous test steps can run callers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class BackgroundLoop:
-    """Runs coroutines beside the thread that starts processes."""
+    """Runs coroutines in a thread of its own."""
 
     def __init__(self) -> None:
         self._loop = uvloop.new_event_loop()
@@ -28,7 +28,7 @@
         return asyncio.run_coroutine_threadsafe(coroutine, self._loop)
 
     def run(self, coroutine: Coroutine[Any, Any, T], seconds: float = 60.0) -> T:
-        """Run a coroutine to its end."""
+        """Run a coroutine to its end and return its result."""
         return self.submit(coroutine).result(seconds)
 
     def close(self) -> None:
--- a/packages/bench/src/medlarspring_bench/cluster.py
+++ b/packages/bench/src/medlarspring_bench/cluster.py
@@ -30,11 +30,11 @@
 EXIT_SECONDS = 40.0
 POOL_HELD = 4020
 OPERATOR_POLL_SECONDS = 0.5
-"""Each view costs the daemon calls of the store, which are budgeted."""
+"""Each view makes the daemon call the store, and these calls are budgeted."""
 
 
 class DaemonAddresses(Struct):
-    """Where one daemon listens."""
+    """Addresses of the ports of one daemon."""
 
     caller: str
     operator: str
@@ -42,21 +42,21 @@
 
 
 class ClusterOptions(Struct, kw_only=True):
-    """What differs between the demo and the scenarios."""
+    """Options that differ between the demo and the scenarios."""
 
     seed: int = 1
     lag_seconds: float = 2.0
-    """Age of the VM list."""
+    """Delay with which the VM list shows changes."""
     service_ms: float = 20.0
     upstream_processes: int = 2
     skew: float = 1.0
-    """Weight of the first daemon at the balancer, all others having 1."""
+    """Weight of the first daemon at the balancer; all others have 1."""
     linked: bool = False
-    """Lead the ways between zones over links that can be cut."""
+    """Whether connections between zones go through links that can be cut."""
 
 
 class Cluster:
-    """Starts everything concurrently and knows all addresses."""
+    """Starts all processes concurrently and keeps their addresses."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
             self.wait_until_serving(id_)
 
     def wait_until_serving(self, id_: str) -> None:
-        """Wait until a daemon is ready and reaches each service."""
+        """Wait until a daemon is ready and can forward to each service."""
         wait_for(lambda: self.is_ready(id_), f"{id_} ready", 20.0)
         for service in dict.fromkeys(rack.pool for rack in self.platform.racks):
             what = f"{id_} serves {service}"
@@ -116,7 +116,7 @@
         return call("GET", address, path, headers=headers).status == 200
 
     def start_daemon(self, id_: str) -> Process:
-        """Start a daemon, or start it again."""
+        """Start or restart a daemon."""
         settings = self._directory / f"{id_}.toml"
         settings.write_text(self._settings(id_), encoding="utf-8")
         return self.processes.start_daemon(id_, settings)
@@ -131,26 +131,26 @@
         return addresses
 
     def daemon_id(self, number: int) -> str:
-        """Return the id of a daemon by its place, from 1 on."""
+        """Return the id of a daemon by its number, starting at 1."""
         return list(self.zones_by_id)[number - 1]
 
     def daemon(self, number: int) -> DaemonAddresses:
-        """Return the addresses of a daemon by its place, from 1 on."""
+        """Return the addresses of a daemon by its number, starting at 1."""
         return self.daemons_by_id[self.daemon_id(number)]
 
     def daemon_process(self, number: int) -> Process:
-        """Return the process of a daemon by its place, from 1 on."""
+        """Return the process of a daemon by its number, starting at 1."""
         return self.processes.by_name[self.daemon_id(number)]
 
     def is_ready(self, id_: str) -> bool:
-        """Ask a daemon's readiness."""
+        """Return whether a daemon reports that it is ready."""
         try:
             return call("GET", self.daemons_by_id[id_].caller, "/readyz").status == 200
         except OSError:
             return False
 
     def set_backends(self, weights_by_id: dict[str, float]) -> None:
-        """Tell the balancer which daemons there are."""
+        """Set the daemons and their weights at the balancer."""
         backends = [
             {"address": self.daemons_by_id[id_].caller, "weight": weight}
             for id_, weight in weights_by_id.items()
@@ -158,7 +158,7 @@
         control("PUT", self.balancer["control"], "backends", backends)
 
     def wait_for_balancer(self, count: int) -> None:
-        """Wait until the balancer finds so many daemons ready."""
+        """Wait until the balancer finds exactly ``count`` daemons ready."""
         wait_for(
             lambda: (
                 len(control("GET", self.balancer["control"], "backends")["ready"])
@@ -168,7 +168,7 @@
         )
 
     def run_cli(self, *arguments: str, status: int | None = 0) -> str:
-        """Run ``medlarspring`` to its end; returns what it wrote."""
+        """Run ``medlarspring`` to its end and return its output."""
         process = self.start_cli(f"medlarspring {' '.join(arguments[:2])}", *arguments)
         found = process.wait(EXIT_SECONDS)
         if status is not None and found != status:
@@ -178,7 +178,7 @@
     def start_cli(self, name: str, *arguments: str) -> Process:
         """Start ``medlarspring`` with the addresses of all daemons.
 
-        Faults of one daemon hit the first; the operators ask the last one first.
+        Single-daemon faults affect the first daemon, so the last one is tried first.
         """
         known = reversed(self.daemons_by_id.values())
         addresses = ",".join(addresses.operator for addresses in known)
@@ -192,14 +192,14 @@
         )
 
     def ask_operator_port(self, method: str, path: str, body: object = None) -> Any:
-        """Call the operator port of the last daemon that runs."""
+        """Call the operator port of the last running daemon."""
         reply = self._call_operator_port(method, path, body)
         if reply.status >= 400:
             raise AssertionError(f"{method} {path}: {reply.status} {reply.body!r}")
         return reply.json()
 
     def view(self, path: str) -> Any:
-        """Read from the operator port; None while it cannot answer."""
+        """Read from the operator port; None if the status is not 200."""
         reply = self._call_operator_port("GET", path, None)
         return reply.json() if reply.status == 200 else None
 
@@ -223,7 +223,7 @@
         )
 
     def find_holder(self, pool: str) -> str:
-        """Return the daemon that last began to hold a pool's control work."""
+        """Return the daemon that most recently became holder of a pool."""
 
         def newest() -> str:
             began_by_id = {
@@ -244,14 +244,14 @@
         return wait_for(newest, f"a holder of {pool}", 20.0)
 
     def restart_daemon(self, id_: str) -> None:
-        """Start a daemon that ended, on new ports, and tell the platform."""
+        """Restart an ended daemon on new ports and publish its addresses."""
         self.start_daemon(id_)
         self.wait_for_daemon(id_)
         self.publish_daemon_addresses(id_)
         self.wait_until_serving(id_)
 
     def publish_daemon_addresses(self, id_: str) -> None:
-        """Show a restarted daemon's new addresses in the list and the balancer."""
+        """Publish a restarted daemon's new addresses to the VM list and the balancer."""
         entries = self._list_entries()
         address = self.vm_list["control"]
         for entry in entries:
@@ -262,20 +262,20 @@
         self.set_backends(dict.fromkeys(self.zones_by_id, 1.0))
 
     def store_faults(self, **faults: object) -> None:
-        """Switch faults of the key-value service."""
+        """Set faults of the key-value service."""
         control("POST", self.store["control"], "faults", faults)
 
     def vm_faults(self, vm: str, **faults: object) -> None:
-        """Switch faults of one upstream VM's port."""
+        """Set faults of one upstream VM's port."""
         body = {"gate": vm, **faults}
         control("POST", self._control_by_vm[vm], "faults", body)
 
     def set_vm_state(self, vm: str, state: str) -> None:
-        """Let an upstream VM leave without a word to the list."""
+        """Set an upstream VM's state without a change in the VM list."""
         control("POST", self._control_by_vm[vm], f"vms/{vm}", {"state": state})
 
     def cut_zone(self, zone: str, cut: bool) -> None:
-        """Cut a zone off from all others and from the platform, or heal the cut."""
+        """Partition a zone from the other zones and the platform, or reconnect it."""
         for other in self.platform.zones:
             for group in (f"{zone}>{other}", f"{other}>{zone}"):
                 control(
@@ -350,7 +350,7 @@
         ]
 
     def _link_zones(self, entries: list[ListEntry]) -> None:
-        """Show each zone the addresses of the others through links."""
+        """Give each zone the link addresses of the VMs in the other zones."""
         for zone in self.platform.zones:
             links = create_links(zone, entries)
             opened = control("POST", self.links, "links", list(links.values()))
--- a/packages/bench/src/medlarspring_bench/demo.py
+++ b/packages/bench/src/medlarspring_bench/demo.py
@@ -56,7 +56,7 @@
         self._watch: PlatformWatch | None = None
 
     def run(self) -> int:
-        """Start, send, disturb, check; returns the exit status."""
+        """Start, send calls, inject faults and check; return the exit status."""
         cluster = self._cluster
         cluster.start()
         self._print_progress(
--- a/packages/bench/src/medlarspring_bench/fleet_checker.py
+++ b/packages/bench/src/medlarspring_bench/fleet_checker.py
@@ -1,4 +1,4 @@
-"""Checks each write and action of a fleet history against the promises."""
+"""Checks each write and action of a fleet history against the guarantees."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class FleetChecker:
-    """Follows the store and the platform; collects violations in words."""
+    """Follows the store and the platform and collects descriptions of violations."""
 
     def __init__(self, world: FleetWorld) -> None:
         self.violations: list[str] = []
@@ -42,7 +42,7 @@
         revisions = {vm: self.truth.revision_of(key_of_vm(vm)) for vm in before}
         self._apply_commit(commit)
         if len(self.truth.vms_by_id) != self._vms:
-            self._record_violation("a VM record came or went")
+            self._record_violation("a VM record was added or removed")
         for vm_id, record in self.truth.vms_by_id.items():
             old = before.get(vm_id)
             if old is not None and old is not record:
@@ -53,14 +53,15 @@
     def on_action(self, row: VMRow, action: Action, revision: int) -> None:
         """Check one action that changed a VM at the platform.
 
-        An action of a frozen holder may arrive after its intent has passed, for
-        nothing can call it back. It must then reach a VM that does not count,
-        and ``_check_closed`` holds that none counts again before that.
+        An action sent by a paused holder cannot be recalled, so it may arrive after
+        its intent has ended. The VM must not be counted as available then:
+        ``_check_closed_revision`` checks that no VM is counted again before the
+        platform refuses such late actions.
         """
         record = self.truth.vms_by_id[VMId(row.id)]
         if record.state is VMState.SERVING:
             self._record_violation(
-                f"{row.id}: {action} of {revision} on a VM that counts"
+                f"{row.id}: {action} of {revision} on an available VM"
             )
         if action is Action.DRAIN:
             self.drains += 1
@@ -74,7 +75,7 @@
                 )
 
     def check_settled(self) -> None:
-        """Check that after all faults have ended nothing is left half done."""
+        """Check that no work is left unfinished after all faults have ended."""
         for record in self.truth.vms_by_id.values():
             row = self._world.platform.rows_by_id[record.id]
             if record.state is not VMState.SERVING:
@@ -133,7 +134,7 @@
             self._record_violation(f"{pool_id} has {available} of {wanted} available")
 
     def _count_observed_serving(self, process: FleetProcess, pool_id: PoolId) -> int:
-        """Count what serves by the true records and the holder's last look."""
+        """Count VMs that serve by the records and the holder's last observation."""
         count = 0
         for vm_id in self.truth.vm_ids_by_pool[pool_id]:
             seen = process.vm_control.last_seen.get(vm_id)
--- a/packages/bench/src/medlarspring_bench/fleet_histories.py
+++ b/packages/bench/src/medlarspring_bench/fleet_histories.py
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class FleetHistory:
-    """What one history showed."""
+    """Result of one history."""
 
     seed: int
     violations: list[str] = field(default_factory=list)
@@ -39,7 +39,7 @@
 
 
 class FaultyFleet:
-    """A world, its checker and the faults that may befall it."""
+    """A fleet world, its checker and the faults that can be injected."""
 
     def __init__(self, rng: random.Random, shape: FleetShape | None = None) -> None:
         self.rng = rng
@@ -50,16 +50,16 @@
         self._records = 0
 
     def step(self) -> None:
-        """Let one process come to its next pause."""
+        """Run one process to its next pause."""
         running = [each for each in self.world.processes if not each.is_frozen]
         self.rng.choice(running).step()
 
     def advance(self) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.world.clock.advance(self.rng.choice((0.5, 1.0, 5.0, 25.0)))
 
     def advance_long(self) -> None:
-        """Let more time pass than any VM may take to return."""
+        """Advance the clock by more than the longest allowed return time of a VM."""
         self.world.clock.advance(400.0)
 
     def kill(self) -> None:
@@ -68,14 +68,14 @@
         self.world.replace_process(self._choose_process())
 
     def freeze(self) -> None:
-        """Freeze a process where it stands, past its leases."""
+        """Pause a process at its current call until its leases have expired."""
         process = self._choose_process()
         self.freezes += 1
         process.is_frozen = True
         self.world.hand_over(process, self.world.start_process())
 
     def thaw(self) -> None:
-        """Let a frozen process finish its round with the fences it had."""
+        """Let a paused process finish its round with its outdated fences."""
         frozen = [each for each in self.world.processes if each.is_frozen]
         if not frozen:
             return
@@ -99,24 +99,24 @@
         self._choose_process().store.faults.lose_requests = 1
 
     def toggle_store(self) -> None:
-        """Cut a process from the store, or end the cut."""
+        """Partition a process from the store, or reconnect it."""
         faults = self._choose_process().store.faults
         faults.down = not faults.down
 
     def toggle_control(self) -> None:
-        """Cut a process from the VM control, or end the cut."""
+        """Partition a process from the VM control, or reconnect it."""
         control = self._choose_process().vm_control
         control.is_down = not control.is_down
 
     def fail_vm(self) -> None:
-        """Let one VM fail; not more than a few at once."""
+        """Make one VM fail, with at most ``MAX_FAILED_VMS`` failed at once."""
         rows = self.world.platform.rows_by_id
         failed = [row for row in rows.values() if row.condition.value == "down"]
         if len(failed) < MAX_FAILED_VMS:
             self.world.fail_vm(self.rng.choice(sorted(rows)))
 
     def lose_rack(self) -> None:
-        """Lose a rack, or bring all failed VMs back."""
+        """Fail all VMs of a rack, or restore all failed VMs."""
         racks = sorted({row.rack for row in self.world.platform.rows_by_id.values()})
         if self.rng.random() < 0.5:
             self.world.platform.set_rack_down(self.rng.choice(racks), down=True)
@@ -124,7 +124,7 @@
             self.world.restore_failed_vms()
 
     def break_reboots(self) -> None:
-        """Let some VMs never return from their next reboot."""
+        """Make two VMs end their next reboot ``down``."""
         rows = sorted(self.world.platform.rows_by_id)
         self.world.platform.faults.fail = set(self.rng.sample(rows, 2))
 
@@ -151,7 +151,7 @@
         self.world.put(changed)
 
     def wish_move(self) -> None:
-        """Wish for the move of any VM, as an operator does."""
+        """Request a move of any VM between two pools, as an operator does."""
         self._records += 1
         pool_ids = sorted(self.world.config.pools_by_id)
         source_pool_id, target_pool_id = self.rng.sample(pool_ids, 2)
@@ -164,14 +164,14 @@
         self.world.put(record)
 
     def change_wanted(self) -> None:
-        """Change what two pools should hold, as an edit of the table does."""
+        """Change the wanted VMs of two pools, as an edit of the table does."""
         pool_ids = sorted(self.world.config.pools_by_id)
         source_pool_id, target_pool_id = self.rng.sample(pool_ids, 2)
         self.world.set_wanted(source_pool_id, self.rng.choice((6, 7)), 6)
         self.world.set_wanted(target_pool_id, self.rng.choice((8, 9)), 6)
 
     def settle(self) -> None:
-        """End all faults and let the rest of the work come to its end."""
+        """End all faults, let the remaining work finish and check the result."""
         for process in list(self.world.processes):
             process.store.faults.down = False
             process.store.faults.lose_replies = 0
@@ -230,7 +230,7 @@
 
 
 def run_fleet_history(seed: int, steps: int = STEPS) -> FleetHistory:
-    """Run one history to its end and return what it showed."""
+    """Run one history to its end and return its result."""
     rng = random.Random(seed)
     fleet = FaultyFleet(rng)
     names = list(WEIGHTS_BY_NAME)
--- a/packages/bench/src/medlarspring_bench/fleet_stepping.py
+++ b/packages/bench/src/medlarspring_bench/fleet_stepping.py
@@ -35,7 +35,7 @@
 
 
 class Pause:
-    """Hands control back to the history."""
+    """Awaitable that yields control to the history once."""
 
     def __await__(self) -> Generator[None, None, None]:
         yield
@@ -77,12 +77,12 @@
         self.lose_replies = 0
         self.is_down = False
         self.last_seen: dict[VMId, VMObservation] = {}
-        """What the caller was told last of each VM."""
+        """Last observation of each VM that reached the caller."""
 
     async def read_vms(
         self, pool_ids: Collection[PoolId], vm_ids: Collection[VMId]
     ) -> Result[list[VMObservation], VMControlError]:
-        """Show VMs."""
+        """Return observations of VMs, with pauses."""
         await Pause()
         rows = self._state.find(pool_ids, vm_ids)
         seen = [_to_observation(row) for row in rows]
@@ -99,7 +99,7 @@
         revision: Revision,
         pool_id: PoolId | None = None,
     ) -> Result[VMObservation, VMControlError]:
-        """Carry one action out."""
+        """Carry out one action, with pauses."""
         await Pause()
         if self.is_down:
             return Failure(VMControlUnreachable("down"))
--- a/packages/bench/src/medlarspring_bench/fleet_world.py
+++ b/packages/bench/src/medlarspring_bench/fleet_world.py
@@ -1,7 +1,7 @@
 """Fleet controllers over a store and a platform in memory, one call at a time.
 
-Each call of a controller stops before and after its effect, so that a history
-can kill the process there, freeze it, or let others run first.
+Each call of a controller pauses before and after its effect, so that a history
+can kill or pause the process there, or run other processes first.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 SPARE_POOL_ID = PoolId("spare")
 FEED_CHANCE = 0.3
-"""Part of the steps before which the watches have caught up."""
+"""Fraction of the steps before which the watches deliver all changes."""
 
 
 class FleetProcess:
@@ -84,7 +84,7 @@
         self.is_frozen = False
 
     def held_pools(self) -> frozenset[PoolId]:
-        """Return what the process believes to hold."""
+        """Return the pools that the process believes it holds."""
         return frozenset(self.fences)
 
     def fence(self, pool_id: PoolId) -> Expect | None:
@@ -93,11 +93,11 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a round is under way."""
+        """Whether a round is in progress."""
         return self._work is not None
 
     def step(self) -> bool:
-        """Run to the next pause, beginning a round if none is under way."""
+        """Run to the next pause, starting a round if none is in progress."""
         if self._work is None:
             self._work = self._rounds.run(self, self._world.config, None)
         if self._rng.random() < FEED_CHANCE:
@@ -112,12 +112,12 @@
         return self._work is not None
 
     def finish(self) -> None:
-        """Run the round under way to its end."""
+        """Run the current round to its end."""
         while self._work is not None:
             self.step()
 
     def _feed(self) -> None:
-        """Take what the watches have brought since the last time."""
+        """Apply the changes that the watches delivered since the last call."""
         if self.store.faults.down:
             return
         commits = self._world.store_state.commits_since(self._fed_revision + 1)
@@ -134,7 +134,7 @@
                     apply_entry(self.tables, entry)
 
     def kill(self) -> None:
-        """End in the middle of whatever is under way."""
+        """End the process in the middle of its current round."""
         if self._work is not None:
             self._work.close()
             self._work = None
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetShape:
-    """Pools and VMs of a world."""
+    """Sizes and limits of the pools, racks and zones of a fleet world."""
 
     pools: int = 3
     vms_in_pool: int = 8
@@ -153,9 +153,9 @@
     max_drains_per_zone: int = 8
     spare_percent: float = 10.0
     spare_vms: int = 0
-    """VMs of a further pool that wants none: spare for all the others."""
+    """VMs of an additional pool that wants none: spares for all other pools."""
     is_interleaved: bool = False
-    """Whether a rack holds VMs of different pools, not of one."""
+    """Whether each rack holds VMs of different pools."""
 
     def rack_of(self, pool: int, index: int) -> int:
         """Return the number of a VM's rack."""
@@ -193,7 +193,7 @@
             self.grant(pool_id, self.processes[index % processes])
 
     def note_action(self, row: VMRow, action: Action, revision: int) -> None:
-        """Tell the listeners of an action that changed a VM."""
+        """Notify the listeners of an action that changed a VM."""
         for listener in self.action_listeners:
             listener(row, action, revision)
 
@@ -202,14 +202,14 @@
         self.store_state.apply(PutOp(key_of(record).encode(), encode_record(record)))
 
     def start_process(self) -> FleetProcess:
-        """Add a process that holds nothing yet."""
+        """Add a process that holds no pool."""
         self._next_number += 1
         process = FleetProcess(self._next_number, self)
         self.processes.append(process)
         return process
 
     def grant(self, pool_id: PoolId, process: FleetProcess) -> None:
-        """Let a process hold a pool; a frozen former holder does not notice."""
+        """Make a process the holder of a pool; a paused former holder keeps its fence."""
         former = self.owners_by_pool.get(pool_id)
         if former is not None and not former.is_frozen:
             former.fences.pop(pool_id, None)
@@ -220,13 +220,13 @@
         self.owners_by_pool[pool_id] = process
 
     def replace_process(self, process: FleetProcess) -> None:
-        """Kill a process; another one takes over what it held."""
+        """Kill a process and hand its pools to a new one."""
         process.kill()
         self.processes.remove(process)
         self.hand_over(process, self.start_process())
 
     def hand_over(self, process: FleetProcess, successor: FleetProcess) -> None:
-        """Let a successor hold all that a process held."""
+        """Make a successor the holder of all pools of a process."""
         for pool_id, owner in list(self.owners_by_pool.items()):
             if owner is process:
                 self.grant(pool_id, successor)
@@ -238,11 +238,11 @@
         self.config = msgspec.structs.replace(self.config, pools_by_id=pools_by_id)
 
     def fail_vm(self, vm_id: str) -> None:
-        """Let a VM fail by itself."""
+        """Make a VM fail without any action."""
         self.platform.rows_by_id[vm_id].condition = Condition.DOWN
 
     def restore_failed_vms(self) -> None:
-        """Bring every failed VM back."""
+        """Restore all failed VMs and clear the reboot faults."""
         self.platform.faults.fail.clear()
         self.platform.faults.never_return.clear()
         for row in self.platform.rows_by_id.values():
@@ -251,7 +251,7 @@
                 row.condition = Condition.SERVING
 
     def run_rounds(self, rounds: int, seconds: float = 5.0) -> None:
-        """Let all processes that are not frozen do whole rounds."""
+        """Run whole rounds of all processes that are not paused."""
         for _ in range(rounds):
             self.clock.advance(seconds)
             for process in self.processes:
--- a/packages/bench/src/medlarspring_bench/history_checker.py
+++ b/packages/bench/src/medlarspring_bench/history_checker.py
@@ -139,9 +139,7 @@
             if run is None and call.key:
                 run = _run_before(runs_by_key.get((call.partner, call.key)), attempt)
             if run is not None:
-                detail = (
-                    f"{attempt.request_id} refused ({attempt.reason}), ran on {run.vm}"
-                )
+                detail = f"{attempt.request_id} got {attempt.reason}, ran on {run.vm}"
                 yield Violation(Kind.FALSELY_REFUSED, call.id, detail)
 
 
@@ -198,9 +196,7 @@
 ) -> Iterator[Violation]:
     for request_id, at in times:
         if known_at + LEAVING_GRACE_SECONDS < at < leaving.until:
-            detail = (
-                f"{request_id} came {at - leaving.at:.2f} s after the VM began to leave"
-            )
+            detail = f"{request_id} came {at - leaving.at:.2f} s after leaving began"
             yield Violation(Kind.WORK_AFTER_LEAVING, leaving.vm, detail)
 
 
--- a/packages/bench/src/medlarspring_bench/platform_watch.py
+++ b/packages/bench/src/medlarspring_bench/platform_watch.py
@@ -1,4 +1,4 @@
-"""Watches the platform while a scenario runs: budgets and pools of VMs."""
+"""Samples the availability of pools and the pools of VMs while a scenario runs."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class PlatformWatch:
-    """Samples the platform's VM control from a thread."""
+    """Samples the platform's VM control in a thread of its own."""
 
     def __init__(self, address: str, min_available_by_pool: Mapping[str, int]) -> None:
         self.samples: list[PoolSample] = []
@@ -34,7 +34,7 @@
         self._leaving_by_vm: dict[str, Leaving] = {}
         self._newest_by_vm: dict[str, Membership] = {}
         self._sampled_at = time.monotonic()
-        """When the sample before the newest was asked for."""
+        """When the last successful sample was requested."""
         self._ended = threading.Event()
         self._sample()
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -50,7 +50,7 @@
         return list(self._memberships)
 
     def leavings(self) -> list[Leaving]:
-        """Return when VMs began to leave, and when they were back."""
+        """Return the periods in which VMs were leaving."""
         return list(self._leavings)
 
     def _run(self) -> None:
@@ -97,7 +97,7 @@
 
 
 def watch_platform(cluster: Cluster) -> PlatformWatch:
-    """Begin to watch a cluster's platform by the budgets of its table."""
+    """Start sampling a cluster's platform, with the budgets of its table."""
     table = cluster.ask_operator_port("GET", "/v1/table")["table"]
     return PlatformWatch(
         cluster.vm_list["address"],
--- a/packages/bench/src/medlarspring_bench/processes.py
+++ b/packages/bench/src/medlarspring_bench/processes.py
@@ -1,4 +1,4 @@
-"""Starts, watches, pauses and ends processes of tests and of the demo."""
+"""Starts, monitors, pauses and ends child processes of tests and of the demo."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 
 class ProcessFailed(Exception):
-    """A process ended, or did not say in time what was waited for."""
+    """A process ended or did not write the awaited line in time."""
 
 
 class Process:
-    """One child process; its lines are read by threads as they come."""
+    """One child process; threads read its output as it is written."""
 
     def __init__(
         self, name: str, command: Sequence[str], env: Mapping[str, str] | None
@@ -70,7 +70,7 @@
         return self._popen.poll()
 
     def records(self, event: int | None = None) -> list[LogRecord]:
-        """Return the JSON lines so far, all or those of one event."""
+        """Return the JSON lines so far, optionally of one event only."""
         with self._changed:
             return [
                 record
@@ -79,7 +79,7 @@
             ]
 
     def output(self) -> str:
-        """Return everything the process wrote."""
+        """Return the output of the process, limited to the newest ``KEPT_LINES`` lines."""
         with self._changed:
             return "\n".join(self._lines)
 
@@ -115,7 +115,7 @@
         return self.wait_for_record(lambda record: "control" in record, seconds)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its end."""
         if self.status is None:
             self._popen.kill()
         self._popen.wait()
@@ -126,15 +126,15 @@
             self._popen.terminate()
 
     def pause(self) -> None:
-        """Stop the process without its knowledge (SIGSTOP)."""
+        """Suspend the process with SIGSTOP."""
         self._popen.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on (SIGCONT)."""
+        """Resume a paused process with SIGCONT."""
         self._popen.send_signal(signal.SIGCONT)
 
     def wait(self, seconds: float = END_SECONDS) -> int:
-        """Wait for the end; returns the exit status."""
+        """Wait for the end and return the exit status."""
         return self._popen.wait(seconds)
 
     def _read(self, stream: IO[bytes]) -> None:
@@ -153,7 +153,7 @@
 
 
 class Processes:
-    """All processes of one cluster; they end with it, and with their starter."""
+    """All processes of one cluster; they end with it or with the parent process."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, Process] = {}
@@ -172,7 +172,7 @@
     def start(
         self, name: str, command: Sequence[str], env: Mapping[str, str] | None = None
     ) -> Process:
-        """Start a process; a former one of the same name is killed first."""
+        """Start a process after killing any earlier one of the same name."""
         former = self.by_name.get(name)
         if former is not None:
             former.kill()
@@ -189,7 +189,7 @@
         return self.start_module(name, "medlarspring_daemon.main", str(settings))
 
     def close(self) -> None:
-        """Kill everything that still runs."""
+        """Kill all processes that still run."""
         for process in self.by_name.values():
             if process.status is None:
                 process.resume()
@@ -197,7 +197,7 @@
 
 
 def _set_parent_death_signal() -> None:
-    # A killed test run cannot clean up; the kernel then ends its children.
+    # A killed test run cannot clean up, so the kernel kills its children.
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
--- a/packages/bench/src/medlarspring_bench/recording.py
+++ b/packages/bench/src/medlarspring_bench/recording.py
@@ -1,4 +1,4 @@
-"""Puts together the history of a cluster's run."""
+"""Collects the history of a cluster's run from its processes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 def record_history(
     cluster: Cluster, calls: list[Call], leavings: list[Leaving] | None = None
 ) -> History:
-    """Read what upstreams and daemons recorded."""
+    """Return the history that upstreams and daemons recorded."""
     slots = cluster.platform.vm.slots
     return History(
         calls=list(calls),
@@ -78,7 +78,7 @@
 
 
 def _read_holdings(cluster: Cluster) -> list[Holding]:
-    """Return who held which pool; an end that was never told lasts to the last line."""
+    """Return holders by pool; a period without a logged end lasts to the last record."""
     holdings: list[Holding] = []
     for id_ in cluster.zones_by_id:
         open_by_pool: dict[str, Holding] = {}
--- a/packages/bench/src/medlarspring_bench/report.py
+++ b/packages/bench/src/medlarspring_bench/report.py
@@ -1,4 +1,4 @@
-"""The table that the demo prints."""
+"""The table of call outcomes by partner that the demo prints."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class PartnerReport:
-    """How one partner's calls went."""
+    """Outcomes of one partner's calls."""
 
     partner: str
     sent: int
@@ -76,14 +76,14 @@
 
 
 def percentile(ordered: Sequence[float], part: float) -> float:
-    """Return the value below which a part of the ordered values lies."""
+    """Return the value below which the given fraction of the ordered values lies."""
     if not ordered:
         return float("nan")
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
 
 
 def create_table(title: str, reports: Sequence[PartnerReport]) -> Table:
-    """Return the reports as a table for people."""
+    """Return the reports as a table for the console."""
     table = Table(title=title)
     table.add_column("partner")
     for column in ("sent", *COLUMNS, "p50 ms", "p99 ms"):
--- a/packages/bench/src/medlarspring_bench/story.py
+++ b/packages/bench/src/medlarspring_bench/story.py
@@ -175,7 +175,7 @@
         return history
 
     def _used_pools(self, history: History) -> list[Membership]:
-        """Return the pool that each VM served, derived from the request paths it ran."""
+        """Return the pool that each VM served, derived from the paths it ran."""
         pool_by_path = {kind.path: kind.service for kind in self._kinds}
         return [
             Membership(run.vm, pool, run.start, run.end or history.ended_at)
