--- a/packages/bench/src/medlarspring_bench/cluster.py
+++ b/packages/bench/src/medlarspring_bench/cluster.py
@@ -251,7 +251,7 @@
         self.wait_until_serving(id_)
 
     def publish_daemon_addresses(self, id_: str) -> None:
-        """Publish a restarted daemon's new addresses to the VM list and the balancer."""
+        """Publish a restarted daemon's addresses to the VM list and balancer."""
         entries = self._list_entries()
         address = self.vm_list["control"]
         for entry in entries:
--- a/packages/bench/src/medlarspring_bench/control_client.py
+++ b/packages/bench/src/medlarspring_bench/control_client.py
@@ -1,4 +1,4 @@
-"""Blocking HTTP calls to control ports and to daemons, for steps and the demo."""
+"""Blocking HTTP calls to control ports and to daemons, for test steps and the demo."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def control(method: str, address: str, path: str, body: object = None) -> Any:
-    """Call a control port; anything but success is an error of the test."""
+    """Call a control port; fail the test unless the call succeeds."""
     reply = call(method, address, f"/control/{path}", body)
     if reply.status >= 400:
         raise AssertionError(f"{method} {path}: {reply.status} {reply.body!r}")
--- a/packages/bench/src/medlarspring_bench/control_nodes.py
+++ b/packages/bench/src/medlarspring_bench/control_nodes.py
@@ -53,7 +53,7 @@
     lines: io.StringIO
 
     def events(self, number: int) -> list[dict[str, object]]:
-        """Return the logged events of one number."""
+        """Return the logged events with a number."""
         records = map(msgspec.json.decode, self.lines.getvalue().splitlines())
         return [record for record in records if record["event"] == number]
 
@@ -80,7 +80,7 @@
     token: str = TOKEN,
     peer_listen: str = "127.0.0.1:0",
 ) -> ControlNode:
-    """Return a node that is not started; nodes of one state share the store."""
+    """Return a node that is not started; nodes with the same state share a store."""
     token_file = folder / f"{name}.token"
     token_file.write_text(token)
     port = {"listen": "127.0.0.1:0", "token_file": str(token_file)}
@@ -107,7 +107,7 @@
 
 
 def list_nodes(nodes: Sequence[ControlNode]) -> None:
-    """Show the started nodes to one another as the platform's list does."""
+    """Make the started nodes known to one another, as the VM list does."""
     entries = {
         each.node.id: ListedEntryVM(
             id=each.node.id,
--- a/packages/bench/src/medlarspring_bench/example.py
+++ b/packages/bench/src/medlarspring_bench/example.py
@@ -53,7 +53,7 @@
 
 
 class Events(Struct, frozen=True):
-    """What happens in the middle of the demo."""
+    """Operator commands that the demo runs during the load."""
 
     drain_rack: str
     edit_row: tuple[str, str, str]
@@ -61,7 +61,7 @@
 
 
 class Platform(Struct, frozen=True):
-    """The file ``platform.toml``."""
+    """Contents of the file ``platform.toml``."""
 
     name: str
     region: str
@@ -81,7 +81,7 @@
 
 
 class Example(Struct, frozen=True):
-    """An example's directory, read and checked."""
+    """Contents of an example's directory, read and validated."""
 
     directory: Path
     platform: Platform
@@ -94,7 +94,7 @@
         return self.directory / "table.csv"
 
     def fill_settings(self, **values: str) -> str:
-        """Return the settings of one entry VM; a name left open is an error."""
+        """Return the settings of one entry VM; raise if a name has no value."""
         return Template(self.settings).substitute(values)
 
 
--- a/packages/bench/src/medlarspring_bench/fleet_world.py
+++ b/packages/bench/src/medlarspring_bench/fleet_world.py
@@ -209,7 +209,7 @@
         return process
 
     def grant(self, pool_id: PoolId, process: FleetProcess) -> None:
-        """Make a process the holder of a pool; a paused former holder keeps its fence."""
+        """Make a process the holder of a pool; a paused old holder keeps its fence."""
         former = self.owners_by_pool.get(pool_id)
         if former is not None and not former.is_frozen:
             former.fences.pop(pool_id, None)
--- a/packages/bench/src/medlarspring_bench/job_histories.py
+++ b/packages/bench/src/medlarspring_bench/job_histories.py
@@ -55,18 +55,18 @@
 
 @dataclass(slots=True)
 class JobHistory:
-    """What one history showed."""
+    """Result of one history."""
 
     seed: int
     violations: list[str] = field(default_factory=list)
     jobs: int = 0
     done: int = 0
     urgent_waits: list[float] = field(default_factory=list)
-    """Seconds from submission to start, by the workers' own record."""
+    """Seconds from submission to start, as recorded by the workers."""
 
 
 class GatedStore(MemoryStore):
-    """A store whose writes wait while the process that calls is frozen."""
+    """A store whose writes wait while the calling process is paused."""
 
     def __init__(self, state: KeyValueState) -> None:
         super().__init__(state)
@@ -76,13 +76,13 @@
     async def commit_each(
         self, transactions: Sequence[Transaction]
     ) -> Result[list[Committed], StoreError]:
-        """Wait for the thaw, then write as the base class does."""
+        """Wait until the process resumes, then write as the base class does."""
         await self.running.wait()
         return await super().commit_each(transactions)
 
 
 class Holder:
-    """One process that holds the pool, or held it before it froze."""
+    """A process that holds the pool, or held it before it was paused."""
 
     def __init__(self, pool: FakePool) -> None:
         self.store = GatedStore(pool.state)
@@ -104,7 +104,7 @@
         self.controller.workers.set_addresses({VMId(v): v for v in pool.workers_by_id})
 
     async def acquire_pool(self) -> None:
-        """Write the holder key, as the service of the holders does."""
+        """Write the holder key, as the holder service does."""
         found = await self.store.read(HOLDER_KEY)
         if not is_successful(found):
             return
@@ -116,7 +116,7 @@
             self.fence = Expect(HOLDER_KEY, wrote.unwrap().revision)
 
     async def run_round(self) -> None:
-        """Run one tick unless the last one is still frozen."""
+        """Run one tick unless the last one is still waiting."""
         if self.fence is None:
             await self.acquire_pool()
         if self.round is None or self.round.done():
@@ -154,7 +154,7 @@
         self.submitter = JobStore(MemoryStore(self.state))
 
     def list_workers(self) -> list[Worker]:
-        """Return fresh rows of all workers."""
+        """Return new records of all workers."""
         return [
             Worker(VMId(vm_id), POOL_ID, RackId("r"), ZoneId("a"), WORKER_SIZE)
             for vm_id in self.workers_by_id
@@ -201,7 +201,7 @@
         self.holder.controller.schedule_reload()
 
     async def inject_fault(self) -> None:
-        """Bring about one random fault."""
+        """Inject one random fault."""
         fault = self.rng.choice(
             ("lose_reply", "lose_request", "down", "cut", "reboot", "kill", "freeze")
         )
@@ -228,7 +228,7 @@
         self.holder = Holder(self)
 
     async def thaw(self) -> None:
-        """Let the frozen holders go on where they stopped."""
+        """Resume the paused holders where they stopped."""
         for holder in self.frozen:
             holder.store.running.set()
             if holder.round is not None:
@@ -242,7 +242,7 @@
         self.control.unreachable.clear()
 
     def check_runs(self) -> None:
-        """Find jobs that two workers ran at the same time."""
+        """Record a violation for each job that ran twice at the same time."""
         spans: dict[JobId, list[tuple[float, float, str]]] = {}
         for vm_id, worker in self.workers_by_id.items():
             worker.step()
@@ -255,7 +255,7 @@
                     self.history.violations.append(f"{job_id} ran twice: {runs}")
 
     def check_quotas(self) -> None:
-        """Find partners over their quota by the records in the store."""
+        """Record a violation for each partner over its quota by the stored records."""
         held: dict[PartnerId, Size] = {}
         for job in self.read_jobs():
             if job.attempt is not None:
@@ -266,7 +266,7 @@
                 self.history.violations.append(f"{partner_id} over quota: {size}")
 
     def read_jobs(self) -> list[Job]:
-        """Return all records as the store holds them."""
+        """Return all job records in the store."""
         prefix = pool_prefix(POOL_ID).encode()
         reply = self.state.apply(RangeOp(prefix, prefix_end(prefix)))
         assert isinstance(reply, RangeReply)
@@ -276,7 +276,7 @@
 async def run_history(
     seed: int, *, workers: int = 6, rounds: int = 120, faults: float = 0.15
 ) -> JobHistory:
-    """Run one history with faults, then heal and let all jobs end."""
+    """Run one history with faults, then end the faults and let all jobs end."""
     pool = FakePool(seed, workers)
     for _ in range(rounds):
         if pool.rng.random() < 0.3:
--- a/packages/bench/src/medlarspring_bench/job_pool_model.py
+++ b/packages/bench/src/medlarspring_bench/job_pool_model.py
@@ -1,4 +1,4 @@
-"""A pool of workers on a virtual clock, driven by the job systems alone."""
+"""Model of a pool of workers on a virtual clock, run by the job systems alone."""
 
 from __future__ import annotations
 
@@ -35,19 +35,19 @@
 TICK_SECONDS = 0.25
 CHECKPOINT_SECONDS = 0.5
 ORDER_SECONDS = 0.1
-"""From the decision to the start on the worker."""
+"""Delay from the placement decision to the start on the worker."""
 POOL_ID = PoolId("pool")
 
 
 @dataclass(slots=True)
 class PoolMetrics:
-    """What one run showed."""
+    """Metrics of one run of the model."""
 
     done: int = 0
     useful_cpu_seconds: float = 0.0
-    """True need of the jobs that finished."""
+    """Actual processor time of the jobs that finished."""
     lost_cpu_seconds: float = 0.0
-    """Used by attempts that the worker ended for want of memory."""
+    """Processor time of attempts that the worker ended because memory ran out."""
     memory_kills: int = 0
     urgent_waits: list[float] = field(default_factory=list)
     large_waits: list[float] = field(default_factory=list)
@@ -55,13 +55,13 @@
     preemptions: int = 0
 
     def used_part(self) -> float:
-        """Return the part of all processor time that ended in finished jobs."""
+        """Return the fraction of all processor time spent on finished jobs."""
         return self.useful_cpu_seconds / self.offered_cpu_seconds
 
 
 @dataclass(slots=True)
 class ActualNeed:
-    """What a job really takes."""
+    """Size and run time that a job actually needs."""
 
     size: Size
     seconds_left: float
@@ -72,10 +72,10 @@
 
 
 class PoolModel:
-    """Workers that run what they are told, and end tasks when memory is short.
+    """Workers that run the placed jobs and end tasks when memory runs out.
 
-    Processors are shared: when the true need on a worker exceeds what it has,
-    all its tasks slow down alike.
+    Processors are shared: when the actual need on a worker exceeds its capacity,
+    all its tasks slow down by the same factor.
     """
 
     def __init__(
@@ -105,18 +105,18 @@
             )
 
     def submit(self, job: Job, need: ActualNeed) -> None:
-        """Submit a job with its true need."""
+        """Submit a job with its actual need."""
         self.needs_by_id[job.id] = need
         put_job(self.tables, job)
 
     def step(self) -> None:
-        """Let one tick pass: tasks run and end, others are placed."""
+        """Advance by one tick: run tasks, then place waiting jobs."""
         self.run_workers()
         self.place()
         self.now += TICK_SECONDS
 
     def run_workers(self) -> None:
-        """Let the tasks on all workers go on for a tick."""
+        """Run the tasks on all workers for one tick."""
         self._finish_stops()
         for worker in self.tables.workers_by_id.values():
             self.figures.offered_cpu_seconds += worker.capacity.cpus * TICK_SECONDS
@@ -124,7 +124,7 @@
                 self._run_worker(worker)
 
     def place(self) -> None:
-        """Run the systems that a holder runs each tick."""
+        """Run the systems that a holder runs in each tick."""
         release_stale_reservations(self.tables)
         for start in place_jobs(self.tables, self.now, 1000):
             self._note_start(start.job)
@@ -160,7 +160,7 @@
             self._run_job(job, speed)
 
     def _kill_for_memory(self, worker: Worker, jobs: list[Job]) -> list[Job]:
-        """End the newest tasks until the true memory fits."""
+        """End the newest tasks until the memory actually used fits."""
         jobs.sort(key=lambda job: job.attempt.started_at if job.attempt else 0.0)
         used = sum(self.needs_by_id[job.id].size.memory_gb for job in jobs)
         while used > worker.capacity.memory_gb and len(jobs) > 1:
@@ -192,7 +192,7 @@
         self.figures.useful_cpu_seconds += need.seconds * need.size.cpus
 
     def count_waiting(self) -> int:
-        """Return how many jobs wait; cancelled ones in the queues count too."""
+        """Return the number of queued jobs, including cancelled ones."""
         queues = self.tables.waiting_by_partner
         return sum(len(queue) for queue in queues.values())
 
--- a/packages/bench/src/medlarspring_bench/key_value_ops.py
+++ b/packages/bench/src/medlarspring_bench/key_value_ops.py
@@ -14,11 +14,11 @@
 
 
 class KeyValueError(Exception):
-    """The service refuses the call; nothing was changed."""
+    """The service refused the call; nothing was changed."""
 
 
 class CompactedError(KeyValueError):
-    """The wanted revision is older than the history that is kept."""
+    """The requested revision is older than the retained history."""
 
     def __init__(self, compact_revision: int) -> None:
         super().__init__("etcdserver: mvcc: required revision has been compacted")
@@ -26,14 +26,14 @@
 
 
 class LeaseNotFoundError(KeyValueError):
-    """The lease lapsed or never was."""
+    """The lease has expired or never existed."""
 
     def __init__(self) -> None:
         super().__init__("etcdserver: requested lease not found")
 
 
 class CompareTarget(Enum):
-    """What a condition looks at."""
+    """The property of a key that a condition compares."""
 
     VERSION = "VERSION"
     CREATE = "CREATE"
@@ -43,7 +43,7 @@
 
 
 class CompareResult(Enum):
-    """How a condition compares."""
+    """The comparison operator of a condition."""
 
     EQUAL = "EQUAL"
     GREATER = "GREATER"
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyValue:
-    """One key as it stands."""
+    """The current value and revisions of one key."""
 
     key: bytes
     value: bytes
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TxnOp:
-    """Run one of two lists of operations, as all conditions hold or not."""
+    """Run ``success`` if all conditions hold, else ``failure``."""
 
     compares: tuple[Compare, ...] = ()
     success: tuple[Op, ...] = ()
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RangeReply:
-    """What a range found."""
+    """Result of a range read."""
 
     kvs: tuple[KeyValue, ...]
     count: int
@@ -121,19 +121,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PutReply:
-    """A put was done."""
+    """Result of a put."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeleteReply:
-    """How many keys were deleted."""
+    """Number of deleted keys."""
 
     deleted: int
 
 
 @dataclass(frozen=True, slots=True)
 class TxnReply:
-    """Which branch ran, and its replies."""
+    """Whether the conditions held, and the replies of the executed branch."""
 
     succeeded: bool
     replies: tuple[Reply, ...]
@@ -144,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One key's change; a deleted key keeps only its name and revision."""
+    """Change of one key; for a deleted key only name and revision are kept."""
 
     kv: KeyValue
     deleted: bool = False
--- a/packages/bench/src/medlarspring_bench/key_value_state.py
+++ b/packages/bench/src/medlarspring_bench/key_value_state.py
@@ -56,7 +56,7 @@
 
 
 class KeyValueState:
-    """Keys, leases and the history of changes."""
+    """State of the service: keys, leases and the history of changes."""
 
     def __init__(self, clock: Clock, history: int = HISTORY_REVISIONS) -> None:
         self.revision = 1
@@ -88,13 +88,13 @@
         return [commit for commit in self._history if commit.revision >= revision]
 
     def compact(self, revision: int) -> None:
-        """Forget the history up to and including ``revision``."""
+        """Discard the history up to and including ``revision``."""
         self.compact_revision = max(self.compact_revision, revision)
         while self._history and self._history[0].revision <= revision:
             self._history.popleft()
 
     def grant(self, ttl: float, lease_id: int = 0) -> Lease:
-        """Create a lease; id 0 lets the service choose."""
+        """Create a lease; with id 0 the service chooses the id."""
         self.expire_leases()
         if lease_id in self.leases_by_id:
             raise KeyValueError("etcdserver: lease already exists")
@@ -179,7 +179,7 @@
                 self._check(inner)
 
     def _choose_branches(self, op: Op) -> dict[int, bool]:
-        """Decide every nested condition before anything is written."""
+        """Evaluate all nested conditions before anything is written."""
         if not isinstance(op, TxnOp):
             return {}
         succeeded = all(self._holds(compare) for compare in op.compares)
--- a/packages/bench/src/medlarspring_bench/memory_store.py
+++ b/packages/bench/src/medlarspring_bench/memory_store.py
@@ -1,4 +1,4 @@
-"""The ``Store`` protocol in memory, with faults that tests switch."""
+"""The ``Store`` protocol in memory, with faults that tests set."""
 
 from __future__ import annotations
 
@@ -55,14 +55,14 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """What goes wrong until the test sets it back."""
+    """Injected faults, active until the test resets them."""
 
     down: bool = False
     """Every call fails without effect, and watches end."""
     lose_replies: int = 0
-    """So many of the next writes take effect and lose their reply."""
+    """Number of next writes that take effect but lose their reply."""
     lose_requests: int = 0
-    """So many of the next writes have no effect, yet look the same."""
+    """Number of next writes that are lost; callers see the same as a lost reply."""
     slow_seconds: float = 0.0
     """Delay before a call takes effect."""
 
@@ -103,7 +103,7 @@
     async def commit_each(
         self, transactions: Sequence[Transaction]
     ) -> Result[list[Committed], StoreError]:
-        """Decide many transactions on their own in one counted call."""
+        """Apply each transaction independently, in one counted call."""
 
         def apply() -> list[Committed]:
             ops = tuple(_txn(transaction) for transaction in transactions)
@@ -164,11 +164,11 @@
         self.end_watches()
 
     def come_up(self) -> None:
-        """Answer again."""
+        """Accept calls again."""
         self.faults.down = False
 
     def end_watches(self) -> None:
-        """End all watches as a broken connection does."""
+        """End all watches, as a lost connection does."""
         for queue in list(self._watches):
             queue.put_nowait(None)
 
--- a/packages/bench/src/medlarspring_bench/platform_watch.py
+++ b/packages/bench/src/medlarspring_bench/platform_watch.py
@@ -34,7 +34,7 @@
         self._leaving_by_vm: dict[str, Leaving] = {}
         self._newest_by_vm: dict[str, Membership] = {}
         self._sampled_at = time.monotonic()
-        """When the last successful sample was requested."""
+        """When the previous successful sample was requested."""
         self._ended = threading.Event()
         self._sample()
         self._thread = threading.Thread(target=self._run, daemon=True)
--- a/packages/bench/src/medlarspring_bench/processes.py
+++ b/packages/bench/src/medlarspring_bench/processes.py
@@ -79,7 +79,7 @@
             ]
 
     def output(self) -> str:
-        """Return the output of the process, limited to the newest ``KEPT_LINES`` lines."""
+        """Return the newest ``KEPT_LINES`` lines that the process wrote."""
         with self._changed:
             return "\n".join(self._lines)
 
--- a/packages/bench/src/medlarspring_bench/recording.py
+++ b/packages/bench/src/medlarspring_bench/recording.py
@@ -78,7 +78,7 @@
 
 
 def _read_holdings(cluster: Cluster) -> list[Holding]:
-    """Return holders by pool; a period without a logged end lasts to the last record."""
+    """Return periods of holding; one without a logged end lasts to the last record."""
     holdings: list[Holding] = []
     for id_ in cluster.zones_by_id:
         open_by_pool: dict[str, Holding] = {}
--- a/packages/bench/src/medlarspring_bench/vm_control_state.py
+++ b/packages/bench/src/medlarspring_bench/vm_control_state.py
@@ -15,7 +15,7 @@
 
 
 class Condition(Enum):
-    """What a VM does."""
+    """Condition of a VM as the VM control shows it."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -25,7 +25,7 @@
 
 
 class ActionRefused(Exception):
-    """The action is refused and changed nothing."""
+    """The action was refused and changed nothing."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -33,7 +33,7 @@
 
 
 class VMRow(Struct, kw_only=True):
-    """One VM as the control shows it."""
+    """One VM as the VM control shows it."""
 
     id: str
     pool: str
@@ -47,16 +47,16 @@
 
 @dataclass(slots=True)
 class VMTimes:
-    """How long changes take."""
+    """Durations of drains and reboots."""
 
     drain_seconds: float = 0.3
-    """Shortest time between the order to drain and ``drained``."""
+    """Minimum time from the drain action to ``drained``."""
     reboot_seconds: float = 2.0
 
 
 @dataclass(slots=True)
 class VMFaults:
-    """What goes wrong with reboots."""
+    """Injected faults of reboots."""
 
     never_return: set[str] = field(default_factory=set)
     """VMs that stay ``rebooting``."""
@@ -65,14 +65,14 @@
 
 
 class VMControlState:
-    """Conditions of all VMs; changes only by accepted actions and by time."""
+    """Conditions of all VMs, changed by accepted actions, time and rack faults."""
 
     def __init__(self, clock: Clock, times: VMTimes | None = None) -> None:
         self.times = times or VMTimes()
         self.faults = VMFaults()
         self.rows_by_id: dict[str, VMRow] = {}
         self.running_by_id: dict[str, int] = {}
-        """Requests in flight, where known; a VM is drained when none is left."""
+        """Requests in flight by VM, where known; a VM is drained at 0."""
         self._clock = clock
         self._since_by_id: dict[str, float] = {}
         self._closed_by_id: dict[str, int] = {}
@@ -80,7 +80,7 @@
         self._assigned_by_id: dict[str, int] = {}
 
     def add(self, row: VMRow) -> None:
-        """Add a VM; one that is known stays as it is."""
+        """Add a VM; an existing one is left unchanged."""
         self.rows_by_id.setdefault(row.id, row)
 
     def find(self, pools: Iterable[str] = (), ids: Iterable[str] = ()) -> list[VMRow]:
@@ -94,7 +94,7 @@
         ]
 
     def drain(self, id_: str, revision: int) -> VMRow:
-        """Give the VM no new work."""
+        """Start draining the VM."""
         row = self._accept(id_, revision)
         if row.condition is Condition.SERVING:
             self._set(row, Condition.DRAINING)
@@ -111,7 +111,7 @@
         return row
 
     def assign(self, id_: str, revision: int, pool: str) -> VMRow:
-        """Move a drained VM to a pool and let it serve there."""
+        """Move a drained VM to a pool and make it serve there."""
         row = self._check(id_, revision)
         if self._assigned_by_id.get(id_) != revision:
             self._require_drained(row)
@@ -122,7 +122,7 @@
         return row
 
     def restore(self, id_: str, revision: int) -> VMRow:
-        """Let the VM serve again and close the revision."""
+        """Make the VM serve again and close the revision."""
         row = self._find(id_)
         if revision < row.revision:
             raise ActionRefused("stale")
@@ -133,7 +133,7 @@
         return row
 
     def set_rack_down(self, rack: str, down: bool) -> None:
-        """Lose all VMs of a rack, or bring them back."""
+        """Fail all VMs of a rack, or restore them."""
         for row in self.rows_by_id.values():
             if row.rack != rack:
                 continue
@@ -144,7 +144,7 @@
                 self._set(row, Condition.SERVING)
 
     def step(self) -> None:
-        """Let time act."""
+        """Advance draining and rebooting VMs to the current time."""
         now = self._clock.now()
         for row in self.rows_by_id.values():
             elapsed = now - self._since_by_id.get(row.id, now)
--- a/packages/bench/src/medlarspring_bench/vm_entries.py
+++ b/packages/bench/src/medlarspring_bench/vm_entries.py
@@ -1,4 +1,4 @@
-"""What the platform's VM list says of a cluster's VMs."""
+"""Entries of the platform's VM list for a cluster's VMs."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 def create_entry_vm_entries(
     platform: Platform, peers_by_id: Mapping[str, str]
 ) -> list[ListEntry]:
-    """Return the entries of all entry VMs that listen."""
+    """Return the VM list entries of all listening entry VMs."""
     shared = {"role": "entry", "state": "live", "region": platform.region}
     return [
         ListEntry([peers_by_id[id_]], {"id": id_, "zone": zone, **shared})
@@ -51,10 +51,10 @@
 
 
 def create_links(zone: str, entries: Iterable[ListEntry]) -> dict[str, Link]:
-    """Return the links from a zone to the VMs of all others, by VM.
+    """Return the links from a zone to the VMs of all other zones, by VM id.
 
-    The name holds the address: a VM that comes back on another port gets a
-    link of its own.
+    The name contains the address, so a VM that restarts on another port gets a
+    new link.
     """
     return {
         entry.labels["id"]: Link(
--- a/packages/bench/src/medlarspring_bench/worker_tasks.py
+++ b/packages/bench/src/medlarspring_bench/worker_tasks.py
@@ -1,4 +1,4 @@
-"""Stand-in of a worker's task control: leases, checkpoints and lagged use."""
+"""Stand-in of a worker's task control: leases, checkpoints and delayed usage."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActualTask:
-    """What a job really needs, unknown to the system."""
+    """What a job actually needs, which the system does not know."""
 
     size: Size
     seconds: float
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """For the history: one span in which a worker ran a job."""
+    """A period in which a worker ran a job, kept for the history."""
 
     job_id: JobId
     attempt: int
@@ -79,7 +79,7 @@
     runs: deque[Run] = field(default_factory=deque)
 
     def start(self, order: TaskOrder) -> bool:
-        """Start an attempt; False when it ended here or a newer one is known."""
+        """Start an attempt; return False if it ended here or a newer one is known."""
         self.step()
         newest = self.newest_attempt_by_id.get(order.job_id, 0)
         old = self.tasks_by_id.get(order.job_id)
@@ -102,7 +102,7 @@
         self.step()
         task = self.tasks_by_id.get(job_id)
         if task is None or task.order.attempt != order.attempt:
-            # A stop that overtakes its start must keep the start from running.
+            # A stop that arrives before its start must prevent the start.
             newest = self.newest_attempt_by_id.get(job_id, 0)
             self.newest_attempt_by_id[job_id] = max(newest, order.attempt)
             return
@@ -121,7 +121,7 @@
             task.cpus_limit = order.cpus
 
     def renew(self, request: RenewalRequest) -> RenewalReply:
-        """Renew leases, drop what is on record, and report everything."""
+        """Renew leases, forget the given ended tasks and report all others."""
         self.step()
         now = self.clock.now()
         for renewal in request.renewals:
@@ -137,14 +137,14 @@
         return RenewalReply(tuple(self._report(t) for t in self.tasks_by_id.values()))
 
     def step(self) -> None:
-        """Let time act on all tasks."""
+        """Advance all running tasks to the current time."""
         now = self.clock.now()
         for task in self.tasks_by_id.values():
             if task.state is TaskState.RUNNING:
                 self._step_task(task, now)
 
     def fail(self) -> None:
-        """Lose everything, as when the VM reboots."""
+        """Stop and forget all tasks, as a reboot of the VM does."""
         now = self.clock.now()
         for task in self.tasks_by_id.values():
             if task.state is TaskState.RUNNING:
@@ -189,7 +189,7 @@
 
 
 class DirectWorkerControl:
-    """The ``WorkerControl`` protocol straight to stand-ins, for quick tests."""
+    """``WorkerControl`` that calls the stand-ins directly, for fast tests."""
 
     def __init__(self, workers_by_address: dict[str, WorkerTasks]) -> None:
         self.workers_by_address = workers_by_address
--- a/packages/bench/tests/test_disturbances.py
+++ b/packages/bench/tests/test_disturbances.py
@@ -21,9 +21,9 @@
     begun: list[str], ended: list[str]
 ):
     """
-    Upstream VMs lose answers and a daemon is killed. Beside load it took the daemon
-    3.7 s to start again; the VMs were healed only after that, and a payment sent long
-    after the moment at which all should have been well ended without a verdict.
+    Upstream VMs lose answers and a daemon is killed. Under load the daemon took 3.7 s
+    to restart. The VMs' fault was ended only after that, so a payment sent long after
+    the intended end of the faults ended with an unknown outcome.
     """
     assert set(begun) <= set(DISTURBANCES)
     assert order_ends(begun) == ended
--- a/packages/bench/tests/test_fleet_histories.py
+++ b/packages/bench/tests/test_fleet_histories.py
@@ -38,11 +38,11 @@
 
 class FleetMachine(RuleBasedStateMachine):
     """
-    Entry VMs hold the pools' work, stop at every call of the store and of the
-    platform, and are killed, frozen past their lease or cut off there, while
-    VMs and a rack fail and operators start waves and moves. No drain breaks a
-    budget, no VM is in two pools or rebooted twice, and once the faults have
-    ended everything comes to its end.
+    Entry VMs hold the pools' control work and pause at every call of the store and
+    of the platform. There they are killed, paused past their lease or partitioned,
+    while VMs and a rack fail and operators start waves and moves. No drain violates
+    a budget, no VM is in two pools or rebooted twice, and all work finishes once
+    the faults have ended.
     """
 
     @initialize(seed=st.integers(0, 2**16))
@@ -96,7 +96,7 @@
 
 
 def drop_fences(monkeypatch):
-    """Write whatever a frozen holder wants."""
+    """Remove the fencing conditions from writes."""
     create = fleet_controller.Transaction
 
     def transaction(expects, writes, read_on_failure=()):
@@ -107,7 +107,7 @@
 
 
 def forget_lost_replies(monkeypatch):
-    """Go on as if a write without reply had never been sent."""
+    """Treat a write without a reply as if it had never been sent."""
 
     async def settle(self, pool_id):
         self._unsettled.pop(pool_id, None)
@@ -117,7 +117,7 @@
 
 
 def trust_every_vm(monkeypatch):
-    """Count VMs that failed or are unseen as available."""
+    """Count failed and unobserved VMs as available."""
 
     def judge(record, sighting):
         if record.state is VMState.SERVING:
@@ -128,14 +128,14 @@
 
 
 def accept_late_actions(monkeypatch):
-    """Let the platform carry out actions older than those it has accepted."""
+    """Make the platform accept actions with outdated revisions."""
     monkeypatch.setattr(
         VMControlState, "_check", lambda self, id_, revision: self._find(id_)
     )
 
 
 def serve_without_closing(monkeypatch):
-    """Count a VM at once when it serves again in the middle of an intent."""
+    """Count a VM as serving without restoring it when it serves during an intent."""
     by_itself = ("serves-again", "rebooted-by-itself", "returned-late")
 
     def restore(draft, record, rule, now):
@@ -146,7 +146,7 @@
 
 
 def unlist_from_what_is_known(monkeypatch):
-    """Take a VM off its zone's list only if that is known to name it."""
+    """Remove a VM from its zone's list only if the known list contains it."""
     unlist = Draft.unlist_in_zone
 
     def unlist_in_zone(self, vm):
@@ -157,7 +157,7 @@
 
 
 def take_over_blindly(monkeypatch):
-    """Begin to work on a pool without reading its records first."""
+    """Start the control work of a pool without reading its records first."""
 
     async def take_over(self, holders):
         held = holders.held_pools()
@@ -183,9 +183,9 @@
     ],
 )
 def test_checker_notices_when_a_safeguard_is_gone(monkeypatch, mutate):
-    """Each safeguard taken away by itself makes some history break a promise."""
+    """Removing any one safeguard makes some history violate a guarantee."""
     mutate(monkeypatch)
     for seed in range(120):
         if run_fleet_history(seed).violations:
             return
-    pytest.fail("no history of 120 shows that the safeguard is gone")
+    pytest.fail("no history of 120 detects the removed safeguard")
