--- a/packages/bench/src/medlarspring_bench/callers.py
+++ b/packages/bench/src/medlarspring_bench/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the demo and the scenarios: they retry as callers are told to."""
+"""Callers of the demo and the scenarios, with the documented retry rules."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 import msgspec
 from msgspec import Struct
 
-from medlarspring_bench.history import Attempt, Call, Seen
+from medlarspring_bench.history import Attempt, AttemptOutcome, Call
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
 PROBLEM = "application/problem+json"
 SAFE_METHODS = frozenset({"GET", "HEAD"})
-GRACE_SECONDS = 3.0
-"""Beyond its deadline a request may take so long until the caller gives up."""
+RESPONSE_GRACE_SECONDS = 3.0
+"""Time beyond the request's deadline after which the caller gives up."""
 FIRST_PAUSE_SECONDS = 0.1
 
 
-class Wish(Struct, kw_only=True):
-    """What a caller wants."""
+class CallSpec(Struct, kw_only=True):
+    """Specification of one call: the request and its retry limits."""
 
     id: str
     partner: str
@@ -38,7 +38,7 @@
     repeatable: bool = False
     timeout_seconds: float = 5.0
     patience_seconds: float = 15.0
-    """How long the caller goes on trying."""
+    """How long the caller keeps retrying."""
 
     @property
     def may_repeat(self) -> bool:
@@ -47,21 +47,21 @@
 
 
 class UpstreamAnswer(Struct):
-    """The part of the upstream stand-in's answer that callers check."""
+    """The fields of the upstream stand-in's answer that callers check."""
 
     request_id: str
     digest: str
 
 
 class Refused(Struct):
-    """The part of a refusal that callers act on."""
+    """The fields of a refusal that callers act on."""
 
     outcome: str
     reason: str = ""
 
 
 class Callers:
-    """Sends wishes to one address and keeps what came of them."""
+    """Sends calls to one address and records their attempts."""
 
     def __init__(self, address: str, max_connections: int = 256) -> None:
         self.address = address
@@ -78,48 +78,52 @@
         assert self._session is not None
         await self._session.close()
 
-    async def make(self, wish: Wish, addresses: Sequence[str] = ()) -> Call:
-        """Try until the wish is answered or patience ends.
+    async def make(self, call_spec: CallSpec, addresses: Sequence[str] = ()) -> Call:
+        """Send attempts until the call is answered or may not be retried.
 
-        Attempts go to the given addresses in turn, the last one for all that
-        follow; by default all go to the balancer.
+        Attempts go to the given addresses in turn, and all further attempts to the
+        last one. Without addresses all attempts go to the balancer.
         """
         targets = [*addresses] or [self.address]
         call = Call(
-            id=wish.id,
-            partner=wish.partner,
-            repeatable=wish.may_repeat and not wish.key,
-            digest=hashlib.sha256(wish.body).hexdigest(),
-            key=wish.key,
+            id=call_spec.id,
+            partner=call_spec.partner,
+            repeatable=call_spec.may_repeat and not call_spec.key,
+            digest=hashlib.sha256(call_spec.body).hexdigest(),
+            key=call_spec.key,
         )
         self.calls.append(call)
-        patience_ends = time.monotonic() + wish.patience_seconds
+        patience_ends = time.monotonic() + call_spec.patience_seconds
         pause = FIRST_PAUSE_SECONDS
         while True:
             target = targets[min(len(call.attempts), len(targets) - 1)]
-            attempt, retry_after = await self._try(wish, call, target)
+            attempt, retry_after = await self._try(call_spec, call, target)
             call.attempts.append(attempt)
-            if not _goes_on(wish, attempt):
+            if not _may_retry(call_spec, attempt):
                 return call
             pause = max(pause * 2, retry_after)
             if time.monotonic() + pause > patience_ends:
                 return call
             await asyncio.sleep(pause)
 
-    async def _try(self, wish: Wish, call: Call, target: str) -> tuple[Attempt, float]:
-        request_id = f"{wish.id}.{len(call.attempts) + 1}"
+    async def _try(
+        self, call_spec: CallSpec, call: Call, target: str
+    ) -> tuple[Attempt, float]:
+        request_id = f"{call_spec.id}.{len(call.attempts) + 1}"
         now = time.monotonic()
-        attempt = Attempt(request_id, now, now, Seen.NOTHING)
+        attempt = Attempt(request_id, now, now, AttemptOutcome.NOTHING)
         retry_after = 0.0
         started = False
         assert self._session is not None
         try:
-            async with asyncio.timeout(wish.timeout_seconds + GRACE_SECONDS):
+            async with asyncio.timeout(
+                call_spec.timeout_seconds + RESPONSE_GRACE_SECONDS
+            ):
                 request = self._session.request(
-                    wish.method,
-                    f"http://{target}{wish.path}",
-                    data=wish.body or None,
-                    headers=_headers(wish, request_id),
+                    call_spec.method,
+                    f"http://{target}{call_spec.path}",
+                    data=call_spec.body or None,
+                    headers=_headers(call_spec, request_id),
                 )
                 async with request as response:
                     started = True
@@ -128,23 +132,23 @@
                     retry_after = float(response.headers.get("Retry-After", "0"))
                     _read_answer(attempt, response.headers, body)
         except TimeoutError:
-            attempt.seen = Seen.CUT if started else Seen.NOTHING
+            attempt.outcome = AttemptOutcome.CUT if started else AttemptOutcome.NOTHING
         except (aiohttp.ClientError, OSError):
-            attempt.seen = Seen.CUT if started else Seen.RESET
+            attempt.outcome = AttemptOutcome.CUT if started else AttemptOutcome.RESET
         attempt.ended_at = time.monotonic()
         return attempt, retry_after
 
 
-def _headers(wish: Wish, request_id: str) -> dict[str, str]:
+def _headers(call_spec: CallSpec, request_id: str) -> dict[str, str]:
     headers = {
-        "Authorization": f"Bearer {wish.credential}",
+        "Authorization": f"Bearer {call_spec.credential}",
         "Request-Id": request_id,
-        "Request-Timeout": f"{wish.timeout_seconds:g}",
-        "Priority": f"u={wish.urgency}",
+        "Request-Timeout": f"{call_spec.timeout_seconds:g}",
+        "Priority": f"u={call_spec.urgency}",
     }
-    if wish.key:
-        headers["Idempotency-Key"] = wish.key
-    if wish.repeatable:
+    if call_spec.key:
+        headers["Idempotency-Key"] = call_spec.key
+    if call_spec.repeatable:
         headers["Repeatable"] = "?1"
     return headers
 
@@ -152,27 +156,27 @@
 def _read_answer(attempt: Attempt, headers: Mapping[str, str], body: bytes) -> None:
     if headers.get("Content-Type", "").startswith(PROBLEM):
         refused = msgspec.json.decode(body, type=Refused)
-        attempt.seen = Seen(refused.outcome)
+        attempt.outcome = AttemptOutcome(refused.outcome)
         attempt.reason = refused.reason
         return
     try:
         answer = msgspec.json.decode(body, type=UpstreamAnswer)
     except msgspec.MsgspecError:
-        attempt.seen = Seen.UNKNOWN
+        attempt.outcome = AttemptOutcome.UNKNOWN
         attempt.reason = f"not an upstream's answer: {body[:80]!r}"
         return
-    attempt.seen = Seen.ANSWERED
+    attempt.outcome = AttemptOutcome.ANSWERED
     attempt.answered_id = answer.request_id
     attempt.answered_digest = answer.digest
 
 
-def _goes_on(wish: Wish, attempt: Attempt) -> bool:
-    """Whether the caller may send the wish again."""
-    if attempt.seen is Seen.ANSWERED:
+def _may_retry(call_spec: CallSpec, attempt: Attempt) -> bool:
+    """Return whether the caller may send the request again."""
+    if attempt.outcome is AttemptOutcome.ANSWERED:
         return False
-    if attempt.seen is Seen.NOT_RUN:
+    if attempt.outcome is AttemptOutcome.NOT_RUN:
         return attempt.status in (429, 503, 504)
-    return wish.may_repeat
+    return call_spec.may_repeat
 
 
-__all__ = ["Callers", "Wish"]
+__all__ = ["Callers", "CallSpec"]
--- a/packages/bench/src/medlarspring_bench/demo.py
+++ b/packages/bench/src/medlarspring_bench/demo.py
@@ -16,27 +16,27 @@
 from medlarspring_bench.callers import Callers
 from medlarspring_bench.cluster import OPERATOR_POLL_SECONDS, Cluster
 from medlarspring_bench.example import read_example
-from medlarspring_bench.history import History, Seen
+from medlarspring_bench.history import AttemptOutcome, History
 from medlarspring_bench.history_checker import (
     count_by_kind,
     describe_end,
-    find_breaches,
+    find_violations,
 )
 from medlarspring_bench.platform_watch import PlatformWatch, watch_platform
 from medlarspring_bench.processes import Processes
 from medlarspring_bench.recording import record_history
 from medlarspring_bench.report import create_table, report_by_partner
 from medlarspring_bench.waiting import wait_for
-from medlarspring_bench.workload import create_wishes, send_paced
+from medlarspring_bench.workload import create_call_specs, send_paced
 
 if TYPE_CHECKING:
     from medlarspring_bench.history import Call
-    from medlarspring_bench.history_checker import Breach
+    from medlarspring_bench.history_checker import Violation
 
 EDIT_AT = 0.25
 DRAIN_AT = 0.4
 KILL_AT = 0.6
-SHOWN_BREACHES = 20
+MAX_SHOWN_VIOLATIONS = 20
 TABLE_WIDTH = 100
 WAVE = "demo-wave"
 WAVE_SECONDS = 30.0
@@ -56,18 +56,18 @@
         self._watch: PlatformWatch | None = None
 
     def run(self) -> int:
-        """Start, send, disturb, check; returns the exit status."""
+        """Start, send calls, inject faults and check; return the exit status."""
         cluster = self._cluster
         cluster.start()
-        self._say(
+        self._print_progress(
             f"{len(cluster.zones_by_id)} daemons in {len(cluster.platform.zones)} zones"
             f" and {len(cluster.vm_addresses_by_id)} upstream VMs are up"
         )
         cluster.load_table()
         cluster.wait_for_balancer(len(cluster.zones_by_id))
-        self._say("the operators' table is loaded; every daemon is ready")
+        self._print_progress("the operators' table is loaded; every daemon is ready")
         cluster.wait_for_records()
-        self._say("every upstream VM is on record")
+        self._print_progress("every upstream VM is on record")
         self._watch = watch_platform(cluster)
         loop = BackgroundLoop()
         try:
@@ -76,7 +76,7 @@
         finally:
             loop.close()
             self._watch.close()
-        return self._conclude(self._record(calls))
+        return self._report_results(self._record(calls))
 
     def _record(self, calls: list[Call]) -> History:
         history = record_history(self._cluster, calls)
@@ -88,24 +88,28 @@
 
     def _send_batch(self, loop: BackgroundLoop) -> list[Call]:
         options = self._options
-        wishes = create_wishes(self._cluster.platform, options.requests, options.seed)
+        call_specs = create_call_specs(
+            self._cluster.platform, options.requests, options.seed
+        )
         callers = Callers(self._cluster.balancer["address"])
 
         async def send() -> None:
             async with callers:
-                await send_paced(callers, wishes, options.seconds, self._count)
+                await send_paced(callers, call_specs, options.seconds, self._count)
 
-        self._say(f"sending {len(wishes)} requests over {options.seconds:g} s")
+        self._print_progress(
+            f"sending {len(call_specs)} requests over {options.seconds:g} s"
+        )
         sending = loop.submit(send())
         for part, disturb in (
             (EDIT_AT, self._edit_row),
             (DRAIN_AT, self._drain_rack),
             (KILL_AT, self._kill_daemon),
         ):
-            wait_for(partial(self._has_sent, part * len(wishes)), "the batch", 60.0)
+            wait_for(partial(self._has_sent, part * len(call_specs)), "the batch", 60.0)
             disturb()
         sending.result(120.0)
-        self._say("every call has come to its end")
+        self._print_progress("every call has come to its end")
         return callers.calls
 
     def _has_sent(self, count: float) -> bool:
@@ -117,7 +121,7 @@
     def _edit_row(self) -> None:
         kind, id_, field = self._cluster.platform.events.edit_row
         self._cluster.run_cli("table", "set", kind, id_, field)
-        self._say(f"row edited: {kind} {id_} {field}")
+        self._print_progress(f"row edited: {kind} {id_} {field}")
 
     def _drain_rack(self) -> None:
         cluster = self._cluster
@@ -125,7 +129,7 @@
         (rack,) = (rack for rack in cluster.platform.racks if rack.id == wanted)
         chosen = [part for vm in rack.vm_ids() for part in ("--vm", vm)]
         cluster.run_cli("wave", "start", "--id", WAVE, *chosen)
-        self._say(f"a wave drains and reboots rack {wanted}")
+        self._print_progress(f"a wave drains and reboots rack {wanted}")
 
     def _wait_for_wave(self) -> None:
         path = f"/v1/waves/{WAVE}"
@@ -135,40 +139,40 @@
             WAVE_SECONDS,
             OPERATOR_POLL_SECONDS,
         )
-        self._say("the wave is done")
+        self._print_progress("the wave is done")
 
     def _kill_daemon(self) -> None:
         id_ = next(iter(self._cluster.zones_by_id))
         self._cluster.processes.by_name[id_].kill()
-        self._say(f"daemon {id_} killed")
+        self._print_progress(f"daemon {id_} killed")
 
-    def _conclude(self, history: History) -> int:
-        breaches = find_breaches(history)
+    def _report_results(self, history: History) -> int:
+        violations = find_violations(history)
         title = f"{self._cluster.platform.name}, seed {self._options.seed}"
-        reports = report_by_partner(history.calls, breaches)
+        reports = report_by_partner(history.calls, violations)
         self._console.print(create_table(title, reports))
-        self._print_faults(history, breaches)
-        self._say(
+        self._print_faults(history, violations)
+        self._print_progress(
             f"{len(history.calls)} calls, {len(history.runs)} runs,"
             f" {len(history.pool_samples)} samples of budgets,"
-            f" {len(breaches)} broken promises"
+            f" {len(violations)} broken promises"
         )
-        return 1 if breaches else 0
+        return 1 if violations else 0
 
-    def _print_faults(self, history: History, breaches: list[Breach]) -> None:
-        for kind, count in count_by_kind(breaches).items():
+    def _print_faults(self, history: History, violations: list[Violation]) -> None:
+        for kind, count in count_by_kind(violations).items():
             self._console.print(f"{kind.value}: {count}")
-        for breach in breaches[:SHOWN_BREACHES]:
+        for violation in violations[:MAX_SHOWN_VIOLATIONS]:
             self._console.print(
-                f"  {breach.kind.value} {breach.subject}: {breach.detail}"
+                f"  {violation.kind.value} {violation.subject}: {violation.detail}"
             )
         if not self._options.verbose:
             return
         for one in history.calls:
-            if one.seen is not Seen.ANSWERED or len(one.attempts) > 1:
+            if one.outcome is not AttemptOutcome.ANSWERED or len(one.attempts) > 1:
                 self._console.print(describe_end(one))
 
-    def _say(self, text: str) -> None:
+    def _print_progress(self, text: str) -> None:
         elapsed = time.monotonic() - self._began
         self._console.print(f"[{elapsed:5.1f} s] {text}", markup=False, highlight=False)
 
--- a/packages/bench/src/medlarspring_bench/fleet_stepping.py
+++ b/packages/bench/src/medlarspring_bench/fleet_stepping.py
@@ -35,7 +35,7 @@
 
 
 class Pause:
-    """Hands control back to the history."""
+    """Awaitable that yields control to the history once."""
 
     def __await__(self) -> Generator[None, None, None]:
         yield
@@ -77,20 +77,20 @@
         self.lose_replies = 0
         self.is_down = False
         self.last_seen: dict[VMId, VMObservation] = {}
-        """What the caller was told last of each VM."""
+        """Last observation of each VM that reached the caller."""
 
     async def read_vms(
         self, pool_ids: Collection[PoolId], vm_ids: Collection[VMId]
     ) -> Result[list[VMObservation], VMControlError]:
-        """Show VMs."""
+        """Return observations of VMs, with pauses."""
         await Pause()
         rows = self._state.find(pool_ids, vm_ids)
-        seen = [_to_sighting(row) for row in rows]
+        seen = [_to_observation(row) for row in rows]
         await Pause()
         if self._loses_reply():
             return Failure(VMControlUnreachable("lost"))
-        self.last_seen.update({sighting.vm_id: sighting for sighting in seen})
-        return Success([replace(sighting) for sighting in seen])
+        self.last_seen.update({observation.vm_id: observation for observation in seen})
+        return Success([replace(observation) for observation in seen])
 
     async def act(
         self,
@@ -99,7 +99,7 @@
         revision: Revision,
         pool_id: PoolId | None = None,
     ) -> Result[VMObservation, VMControlError]:
-        """Carry one action out."""
+        """Carry out one action, with pauses."""
         await Pause()
         if self.is_down:
             return Failure(VMControlUnreachable("down"))
@@ -107,7 +107,7 @@
             row = self._carry_out(vm_id, action, revision, pool_id)
         except ActionRefused as error:
             return Failure(VMActionRefused(vm_id, error.reason))
-        seen = _to_sighting(row)
+        seen = _to_observation(row)
         await Pause()
         if self._loses_reply():
             return Failure(VMControlUnreachable("lost"))
@@ -141,7 +141,7 @@
         return False
 
 
-def _to_sighting(row: VMRow) -> VMObservation:
+def _to_observation(row: VMRow) -> VMObservation:
     return VMObservation(
         vm_id=VMId(row.id),
         pool_id=PoolId(row.pool),
--- a/packages/bench/src/medlarspring_bench/job_histories.py
+++ b/packages/bench/src/medlarspring_bench/job_histories.py
@@ -17,7 +17,7 @@
 from medlarspring_bench.key_value_ops import RangeOp, RangeReply, prefix_end
 from medlarspring_bench.key_value_state import KeyValueState
 from medlarspring_bench.memory_store import MemoryStore
-from medlarspring_bench.worker_tasks import DirectWorkerControl, TrueTask, WorkerTasks
+from medlarspring_bench.worker_tasks import ActualTask, DirectWorkerControl, WorkerTasks
 from medlarspring_daemon.jobs.controller import JobController
 from medlarspring_systems.job_lifecycle import FINAL_STATES, cancel_job
 from medlarspring_systems.job_records import put_partner, put_worker
@@ -55,18 +55,18 @@
 
 @dataclass(slots=True)
 class JobHistory:
-    """What one history showed."""
+    """Result of one history."""
 
     seed: int
     violations: list[str] = field(default_factory=list)
     jobs: int = 0
     done: int = 0
     urgent_waits: list[float] = field(default_factory=list)
-    """Seconds from submission to start, by the workers' own record."""
+    """Seconds from submission to start, as recorded by the workers."""
 
 
 class GatedStore(MemoryStore):
-    """A store whose writes wait while the process that calls is frozen."""
+    """A store whose writes wait while the calling process is paused."""
 
     def __init__(self, state: KeyValueState) -> None:
         super().__init__(state)
@@ -76,13 +76,13 @@
     async def commit_each(
         self, transactions: Sequence[Transaction]
     ) -> Result[list[Committed], StoreError]:
-        """Wait for the thaw, then write as the base class does."""
+        """Wait until the process resumes, then write as the base class does."""
         await self.running.wait()
         return await super().commit_each(transactions)
 
 
 class Holder:
-    """One process that holds the pool, or held it before it froze."""
+    """A process that holds the pool, or held it before it was paused."""
 
     def __init__(self, pool: FakePool) -> None:
         self.store = GatedStore(pool.state)
@@ -103,8 +103,8 @@
             put_partner(self.controller.tables, use)
         self.controller.workers.set_addresses({VMId(v): v for v in pool.workers_by_id})
 
-    async def take_pool(self) -> None:
-        """Write the holder key, as the service of the holders does."""
+    async def acquire_pool(self) -> None:
+        """Write the holder key, as the holder service does."""
         found = await self.store.read(HOLDER_KEY)
         if not is_successful(found):
             return
@@ -116,9 +116,9 @@
             self.fence = Expect(HOLDER_KEY, wrote.unwrap().revision)
 
     async def run_round(self) -> None:
-        """Run one tick unless the last one is still frozen."""
+        """Run one tick unless the last one is still waiting."""
         if self.fence is None:
-            await self.take_pool()
+            await self.acquire_pool()
         if self.round is None or self.round.done():
             self.round = asyncio.create_task(self.controller.tick())
         for _ in range(60):
@@ -142,7 +142,9 @@
             for number in range(4)
         }
         self.workers_by_id = {
-            f"vm-{number}": WorkerTasks(f"vm-{number}", self.clock, self._true_task)
+            f"vm-{number}": WorkerTasks(
+                f"vm-{number}", self.clock, self._create_actual_task
+            )
             for number in range(workers)
         }
         self.control = DirectWorkerControl(self.workers_by_id)
@@ -152,13 +154,13 @@
         self.submitter = JobStore(MemoryStore(self.state))
 
     def list_workers(self) -> list[Worker]:
-        """Return fresh rows of all workers."""
+        """Return new records of all workers."""
         return [
             Worker(VMId(vm_id), POOL_ID, RackId("r"), ZoneId("a"), WORKER_SIZE)
             for vm_id in self.workers_by_id
         ]
 
-    def _true_task(self, order: TaskOrder) -> TrueTask:
+    def _create_actual_task(self, order: TaskOrder) -> ActualTask:
         job = self.jobs_by_id[order.job_id]
         factor = self.factors_by_kind[job.kind]
         size = Size(
@@ -167,7 +169,7 @@
         )
         rng = random.Random(f"{self.history.seed}/{job.id}")
         seconds = job.declared_seconds * rng.choice((0.1, 0.5, 1.0, 3.0))
-        return TrueTask(size, seconds, fails=rng.random() < 0.03)
+        return ActualTask(size, seconds, fails=rng.random() < 0.03)
 
     async def submit(self, count: int) -> None:
         """Submit jobs of all partners; one in ten is urgent."""
@@ -199,7 +201,7 @@
         self.holder.controller.schedule_reload()
 
     async def inject_fault(self) -> None:
-        """Bring about one random fault."""
+        """Inject one random fault."""
         fault = self.rng.choice(
             ("lose_reply", "lose_request", "down", "cut", "reboot", "kill", "freeze")
         )
@@ -226,7 +228,7 @@
         self.holder = Holder(self)
 
     async def thaw(self) -> None:
-        """Let the frozen holders go on where they stopped."""
+        """Resume the paused holders where they stopped."""
         for holder in self.frozen:
             holder.store.running.set()
             if holder.round is not None:
@@ -234,13 +236,13 @@
             await holder.controller.tick()
         self.frozen.clear()
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         """End all faults."""
         self.holder.store.faults.down = False
         self.control.unreachable.clear()
 
     def check_runs(self) -> None:
-        """Find jobs that two workers ran at the same time."""
+        """Record a violation for each job that ran twice at the same time."""
         spans: dict[JobId, list[tuple[float, float, str]]] = {}
         for vm_id, worker in self.workers_by_id.items():
             worker.step()
@@ -253,7 +255,7 @@
                     self.history.violations.append(f"{job_id} ran twice: {runs}")
 
     def check_quotas(self) -> None:
-        """Find partners over their quota by the records in the store."""
+        """Record a violation for each partner over its quota by the stored records."""
         held: dict[PartnerId, Size] = {}
         for job in self.read_jobs():
             if job.attempt is not None:
@@ -264,7 +266,7 @@
                 self.history.violations.append(f"{partner_id} over quota: {size}")
 
     def read_jobs(self) -> list[Job]:
-        """Return all records as the store holds them."""
+        """Return all job records in the store."""
         prefix = pool_prefix(POOL_ID).encode()
         reply = self.state.apply(RangeOp(prefix, prefix_end(prefix)))
         assert isinstance(reply, RangeReply)
@@ -274,7 +276,7 @@
 async def run_history(
     seed: int, *, workers: int = 6, rounds: int = 120, faults: float = 0.15
 ) -> JobHistory:
-    """Run one history with faults, then heal and let all jobs end."""
+    """Run one history with faults, then end the faults and let all jobs end."""
     pool = FakePool(seed, workers)
     for _ in range(rounds):
         if pool.rng.random() < 0.3:
@@ -294,7 +296,7 @@
 
 async def _settle(pool: FakePool) -> None:
     await pool.thaw()
-    pool.heal()
+    pool.clear_faults()
     pool.holder = Holder(pool)
     until = pool.clock.now() + SETTLE_SECONDS
     while pool.clock.now() < until:
--- a/packages/bench/src/medlarspring_bench/report.py
+++ b/packages/bench/src/medlarspring_bench/report.py
@@ -1,4 +1,4 @@
-"""The table that the demo prints."""
+"""The table of call outcomes by partner that the demo prints."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from rich.table import Table
 
-from medlarspring_bench.history import Seen
-from medlarspring_bench.history_checker import Breach, Kind
+from medlarspring_bench.history import AttemptOutcome
+from medlarspring_bench.history_checker import Kind, Violation
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class PartnerReport:
-    """How one partner's calls went."""
+    """Outcomes of one partner's calls."""
 
     partner: str
     sent: int
@@ -30,12 +30,12 @@
 
 
 def report_by_partner(
-    calls: Sequence[Call], breaches: Iterable[Breach]
+    calls: Sequence[Call], violations: Iterable[Violation]
 ) -> list[PartnerReport]:
     """Return a report for each partner."""
     kinds_by_call: dict[str, set[Kind]] = {}
-    for breach in breaches:
-        kinds_by_call.setdefault(breach.subject, set()).add(breach.kind)
+    for violation in violations:
+        kinds_by_call.setdefault(violation.subject, set()).add(violation.kind)
     partners = dict.fromkeys(call.partner for call in calls)
     return [
         _report(
@@ -48,8 +48,8 @@
 def _report(
     partner: str, calls: list[Call], kinds_by_call: dict[str, set[Kind]]
 ) -> PartnerReport:
-    def count_seen(*wanted: Seen) -> int:
-        return sum(call.seen in wanted for call in calls)
+    def count_seen(*wanted: AttemptOutcome) -> int:
+        return sum(call.outcome in wanted for call in calls)
 
     def count_kind(kind: Kind) -> int:
         return sum(kind in kinds_by_call.get(call.id, ()) for call in calls)
@@ -57,15 +57,15 @@
     times = sorted(
         (call.attempts[-1].ended_at - call.attempts[0].sent_at) * 1000
         for call in calls
-        if call.seen is Seen.ANSWERED
+        if call.outcome is AttemptOutcome.ANSWERED
     )
     return PartnerReport(
         partner=partner,
         sent=len(calls),
         counts={
-            "answered": count_seen(Seen.ANSWERED),
-            "not run": count_seen(Seen.NOT_RUN),
-            "unknown": count_seen(Seen.UNKNOWN, Seen.RESET),
+            "answered": count_seen(AttemptOutcome.ANSWERED),
+            "not run": count_seen(AttemptOutcome.NOT_RUN),
+            "unknown": count_seen(AttemptOutcome.UNKNOWN, AttemptOutcome.RESET),
             "lost": count_kind(Kind.LOST),
             "doubled": count_kind(Kind.DOUBLED),
             "cut": count_kind(Kind.CUT),
@@ -76,14 +76,14 @@
 
 
 def percentile(ordered: Sequence[float], part: float) -> float:
-    """Return the value below which a part of the ordered values lies."""
+    """Return the value below which the given fraction of the ordered values lies."""
     if not ordered:
         return float("nan")
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
 
 
 def create_table(title: str, reports: Sequence[PartnerReport]) -> Table:
-    """Return the reports as a table for people."""
+    """Return the reports as a table for the console."""
     table = Table(title=title)
     table.add_column("partner")
     for column in ("sent", *COLUMNS, "p50 ms", "p99 ms"):
