--- a/packages/adapters/src/medlarspring_adapters/worker_orders.py
+++ b/packages/adapters/src/medlarspring_adapters/worker_orders.py
@@ -116,7 +116,7 @@
     """By the worker's clock; 0 does not extend the lease."""
     wait_ms: Milliseconds = 0
     """Longest time for which the worker waits for an end before it answers."""
-    aside: bool = False
+    is_concurrent: bool = False
     """Whether another hold may be in flight; this one then acknowledges nothing."""
 
 
--- a/packages/bench/src/medlarspring_bench/platform_world/calls.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/calls.py
@@ -97,7 +97,9 @@
         it never reaches the next incarnation, even if the sender has not yet noticed
         the restart.
         """
-        connected = None if order.aside else self._held_by_id.pop(worker.id, None)
+        connected = (
+            None if order.is_concurrent else self._held_by_id.pop(worker.id, None)
+        )
         if connected is None:
             order = replace(order, acknowledged=0)
         await self._wait_until_runnable()
@@ -119,7 +121,7 @@
             return await self._time_out(worker, timeout_seconds)
         await asyncio.sleep(LINK_SECONDS)
         await self._wait_until_runnable()
-        if not order.aside:
+        if not order.is_concurrent:
             self._held_by_id[worker.id] = model
         return Success(replace(answer, acknowledged=order.acknowledged))
 
--- a/packages/bench/src/medlarspring_bench/platform_world/customers.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/customers.py
@@ -92,7 +92,7 @@
     async def submit(self, node: str, queue: str, job_id: JobId, spec: JobSpec) -> str:
         """Submit a job."""
         service = self._find(node)
-        match = service.directory.match(HOST, f"/{queue}/{job_id}")
+        match = service.operator_records.match(HOST, f"/{queue}/{job_id}")
         if match is None:
             return "no-such-queue"
         return await _wait_for(
--- a/packages/bench/tests/test_fleet_histories.py
+++ b/packages/bench/tests/test_fleet_histories.py
@@ -110,10 +110,10 @@
     """Go on as if a write without reply had never been sent."""
 
     async def settle(self, pool_id):
-        self._unsettled.pop(pool_id, None)
+        self._unconfirmed.pop(pool_id, None)
         return True
 
-    monkeypatch.setattr(fleet_controller.FleetController, "_settle", settle)
+    monkeypatch.setattr(fleet_controller.FleetController, "_confirm_write", settle)
 
 
 def trust_every_vm(monkeypatch):
@@ -162,7 +162,7 @@
     async def take_over(self, holders):
         held = holders.held_pools()
         fences = {each: holders.fence(each) for each in held}
-        self._fences = {
+        self._fencing_revisions = {
             each: fence.mod_revision for each, fence in fences.items() if fence
         }
         return True
--- a/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/forwarding.py
@@ -194,7 +194,7 @@
         latency = now - acquired_slot.began_at
         state = answer.headers.get(STATE_HEADER)
         if state == "leaving":
-            self._reports.note_leaving(acquired_slot.upstream.id, 0.0, "answer")
+            self._reports.record_leaving(acquired_slot.upstream.id, 0.0, "answer")
         if answer.status == REFUSAL_STATUS and state is not None:
             answer.close()
             upstream_health.end_inconclusive_probe(acquired_slot.upstream)
--- a/packages/daemon/src/medlarspring_daemon/callers/reports.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/reports.py
@@ -9,8 +9,8 @@
 from medlarspring_systems.leaving import (
     list_leaving,
     list_returned,
-    note_leaving,
-    note_returned,
+    record_leaving,
+    record_returned,
 )
 from medlarspring_tables import EntryVMId, PartnerId, PoolId, VMId
 from medlarspring_tables.requests import PeerUsage
@@ -72,23 +72,23 @@
             )
         for returned in report.returned_upstreams:
             age = returned.age_ms / 1000.0
-            self.note_returned(VMId(returned.vm), PoolId(returned.pool), age, peer)
+            self.record_returned(VMId(returned.vm), PoolId(returned.pool), age, peer)
         for leaving in report.leaving_upstreams:
-            self.note_leaving(VMId(leaving.vm), leaving.age_ms / 1000.0, peer)
+            self.record_leaving(VMId(leaving.vm), leaving.age_ms / 1000.0, peer)
 
-    def note_leaving(self, vm_id: VMId, age: Seconds, source: str) -> None:
+    def record_leaving(self, vm_id: VMId, age: Seconds, source: str) -> None:
         """Record that an upstream VM is leaving, and log it if it was not known."""
         node = self._state.node
-        if note_leaving(self._state.upstreams, vm_id, age, node.clock.now()):
+        if record_leaving(self._state.upstreams, vm_id, age, node.clock.now()):
             node.log.info(Event.UPSTREAM_LEAVING, vm=vm_id, source=source)
 
-    def note_returned(
+    def record_returned(
         self, vm_id: VMId, pool_id: PoolId, age: Seconds, source: str
     ) -> None:
         """Record that an upstream VM serves again, and log it if it was not known."""
         node = self._state.node
         now = node.clock.now()
-        if note_returned(self._state.upstreams, vm_id, pool_id, age, now):
+        if record_returned(self._state.upstreams, vm_id, pool_id, age, now):
             node.log.info(Event.UPSTREAM_RETURNED, vm=vm_id, source=source)
 
 
--- a/packages/daemon/src/medlarspring_daemon/callers/service.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/service.py
@@ -66,11 +66,11 @@
         self._state.list_listeners.append(self._update_idle_limits)
         reports = CallerReports(self._state)
         self._node.report_contributors.append(reports)
-        self._node.note_leaving = partial(
-            reports.note_leaving, age=0.0, source="order to drain"
+        self._node.record_leaving = partial(
+            reports.record_leaving, age=0.0, source="order to drain"
         )
-        self._node.note_returned = partial(
-            reports.note_returned, age=0.0, source="VM control"
+        self._node.record_returned = partial(
+            reports.record_returned, age=0.0, source="VM control"
         )
         self._forwarder = Forwarder(
             self._state, self._dispatcher, self._client, reports
--- a/packages/daemon/src/medlarspring_daemon/callers/slot_exchange.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/slot_exchange.py
@@ -293,7 +293,7 @@
                 backs = True
                 vote.last_asked = now
             zones_by_pool[upstream.pool_id].add(upstream.zone_id)
-            wish = request.wishes.add(
+            vm_demand = request.wishes.add(
                 vm=upstream.id,
                 in_use=upstream.in_use,
                 held=upstream.credit if now < upstream.credit_until else 0,
@@ -302,8 +302,8 @@
             if upstream.leaving_since is not None and not takes_new_work(upstream, now):
                 # Lets the home stop all grants immediately; reports reach other
                 # zones only every few seconds.
-                wish.leaving = True
-                wish.leaving_age_ms = int((now - upstream.leaving_since) * 1000)
+                vm_demand.leaving = True
+                vm_demand.leaving_age_ms = int((now - upstream.leaving_since) * 1000)
         for pool_id, zones in zones_by_pool.items():
             self._add_demand(request, pool_id, self._state.zone_id in zones, now)
         return request
--- a/packages/daemon/src/medlarspring_daemon/callers/slot_home.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/slot_home.py
@@ -7,7 +7,7 @@
 
 from medlarspring_adapters import peer_pb2
 from medlarspring_systems import slot_shares, slots
-from medlarspring_systems.leaving import note_leaving, takes_new_work
+from medlarspring_systems.leaving import record_leaving, takes_new_work
 from medlarspring_tables import EntryVMId, PartnerId, PoolId, VMId
 from medlarspring_tables.slots import HomeTable, SlotLedger, Vote
 
@@ -37,8 +37,8 @@
         # offset prevents an echo of the old process from being valid in the new one.
         self._epoch_ms = node.rng.getrandbits(EPOCH_BITS)
         self._started_at = node.clock.now()
-        self._newest_by_asker: dict[EntryVMId, tuple[int, int, Seconds]] = {}
-        """Incarnation, sequence and arrival of each asker's newest request."""
+        self._newest_by_requester: dict[EntryVMId, tuple[int, int, Seconds]] = {}
+        """Incarnation, sequence and arrival of each requester's newest request."""
 
     def answer(
         self,
@@ -46,10 +46,10 @@
         views: Sequence[EntryVMView],
         votes_by_vm: Mapping[VMId, Vote],
     ) -> peer_pb2.SlotReply:
-        """Grant the free slots of each requested VM, up to the asker's fair share."""
+        """Grant free slots of each requested VM, up to the requester's fair share."""
         now = self._node.clock.now()
-        asker = EntryVMId(request.sender)
-        if self._is_outdated(asker, request, now):
+        requester = EntryVMId(request.sender)
+        if self._is_outdated(requester, request, now):
             return peer_pb2.SlotReply(
                 sender=self._node.id, incarnation=self._node.incarnation
             )
@@ -60,23 +60,25 @@
             time_ms=int(now * 1000) + self._epoch_ms,
         )
         echoed_at = self._read_echo(request.echo_ms, now)
-        dead = frozenset(view.id for view in views if view.dead and view.id != asker)
+        dead = frozenset(
+            view.id for view in views if view.dead and view.id != requester
+        )
         shares_by_pool: dict[tuple[PoolId, ZoneId], dict[EntryVMId, float]] = {}
-        for wish in request.wishes:
-            upstream = self._state.upstreams.upstreams_by_id.get(VMId(wish.vm))
+        for vm_demand in request.wishes:
+            upstream = self._state.upstreams.upstreams_by_id.get(VMId(vm_demand.vm))
             if upstream is None:
                 continue
-            if wish.leaving:
-                age = wish.leaving_age_ms / 1000.0
-                note_leaving(self._state.upstreams, upstream.id, age, now)
+            if vm_demand.leaving:
+                age = vm_demand.leaving_age_ms / 1000.0
+                record_leaving(self._state.upstreams, upstream.id, age, now)
             key = (upstream.pool_id, upstream.zone_id)
             shares = shares_by_pool.get(key)
             if shares is None:
                 shares = self._divide_slots(upstream, now)
                 shares_by_pool[key] = shares
             ledger = self._table.ledgers_by_vm.setdefault(upstream.id, SlotLedger())
-            if wish.backs and echoed_at is not None:
-                slots.record_vote(ledger, asker, echoed_at)
+            if vm_demand.backs and echoed_at is not None:
+                slots.record_vote(ledger, requester, echoed_at)
             group = slots.list_voters(upstream.zone_id, views)
             capacity = slots.count_capacity(
                 ledger,
@@ -90,9 +92,9 @@
             target = slot_shares.round_parts(upstream.id, shares, upstream.slots)
             granted = slots.grant(
                 ledger,
-                asker,
-                slots.SlotDemand(upstream.id, wish.in_use, wish.held),
-                target=target.get(asker, 0) if takes_new_work(upstream, now) else 0,
+                requester,
+                slots.SlotDemand(upstream.id, vm_demand.in_use, vm_demand.held),
+                target=target.get(requester, 0) if takes_new_work(upstream, now) else 0,
                 capacity=capacity,
                 dead=dead,
                 now=now,
@@ -107,18 +109,18 @@
         return reply
 
     def _is_outdated(
-        self, asker: EntryVMId, request: peer_pb2.SlotRequest, now: Seconds
+        self, requester: EntryVMId, request: peer_pb2.SlotRequest, now: Seconds
     ) -> bool:
-        """Return whether a newer request of the asker was already answered.
+        """Return whether a newer request of the requester was already answered.
 
-        A delayed request reports the slots that its asker held when it was sent.
-        Applied as current, it would free slots that were granted to the asker
+        A delayed request reports the slots that its requester held when it was sent.
+        Applied as current, it would free slots that were granted to the requester
         since then. Incarnation numbers are random and do not show which of two
         processes is newer. The one heard first therefore counts until nothing has
         arrived from it for the duration of a grant, so that a delayed request of a
         previous process blocks its successor only briefly.
         """
-        newest = self._newest_by_asker.get(asker)
+        newest = self._newest_by_requester.get(requester)
         if newest is not None:
             incarnation, sequence, arrived_at = newest
             if incarnation == request.incarnation:
@@ -126,7 +128,11 @@
                     return True
             elif now - arrived_at < self._policy.grant_seconds:
                 return True
-        self._newest_by_asker[asker] = (request.incarnation, request.sequence, now)
+        self._newest_by_requester[requester] = (
+            request.incarnation,
+            request.sequence,
+            now,
+        )
         return False
 
     def _read_echo(self, echo_ms: int, now: Seconds) -> Seconds | None:
@@ -140,8 +146,8 @@
             if usage.partner:
                 counts[PartnerId(usage.partner)] = usage.waiting + usage.running
         for pool_id, counts in counts_by_pool.items():
-            asker = EntryVMId(request.sender)
-            slot_shares.record_demand(self._table, pool_id, asker, counts, now)
+            requester = EntryVMId(request.sender)
+            slot_shares.record_demand(self._table, pool_id, requester, counts, now)
 
     def _divide_slots(self, upstream: Upstream, now: Seconds) -> dict[EntryVMId, float]:
         config = self._node.config
--- a/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
@@ -127,7 +127,7 @@
 
     def _is_watcher(self) -> bool:
         zone_id = ZoneId(self._node.settings.entry_vm.zone)
-        steady_peers = self._peers.list_steady(own_zone_only=True)
+        steady_peers = self._peers.list_stable(own_zone_only=True)
         return is_watcher(self._node.id, zone_id, steady_peers)
 
     async def _read(self) -> Revision | None:
--- a/packages/daemon/src/medlarspring_daemon/fleet/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/controller.py
@@ -71,8 +71,8 @@
         decisions: DecisionLog,
         log: EventLog,
         wave_limit: WaveLimit | None = None,
-        note_leaving: Callable[[VMId], None] = lambda vm_id: None,
-        note_returned: Callable[[VMId, PoolId], None] = lambda vm_id, pool_id: None,
+        record_leaving: Callable[[VMId], None] = lambda vm_id: None,
+        record_returned: Callable[[VMId, PoolId], None] = lambda vm_id, pool_id: None,
     ) -> None:
         self.tables = tables
         self._store = store
@@ -81,9 +81,9 @@
         self._decisions = decisions
         self._log = log
         self.wave_limit = wave_limit
-        self._note_leaving = note_leaving
-        self._note_returned = note_returned
-        self._unsettled: dict[PoolId, Draft] = {}
+        self._record_leaving = record_leaving
+        self._record_returned = record_returned
+        self._unconfirmed: dict[PoolId, Draft] = {}
         self.is_store_lost = False
         """Whether the last call to the store failed."""
 
@@ -127,7 +127,7 @@
 
         Returns False if the outcome of a write is unknown or the store failed.
         """
-        if not await self._settle(pool_id):
+        if not await self._confirm_write(pool_id):
             return False
         for _ in range(MAX_ATTEMPTS):
             draft = plan_pool(
@@ -135,12 +135,12 @@
             )
             if not draft.records_by_key or await self._write(pool_id, draft):
                 break
-            if pool_id in self._unsettled or self.is_store_lost:
+            if pool_id in self._unconfirmed or self.is_store_lost:
                 return False
         draft = plan_waves(self.tables, config, pool_id, now)
         if draft.records_by_key:
             await self._write(pool_id, draft)
-        if pool_id in self._unsettled:
+        if pool_id in self._unconfirmed:
             return False
         await self._request_actions(pool_id)
         return True
@@ -160,9 +160,9 @@
 
     def drop_unconfirmed_write(self, pool_id: PoolId) -> None:
         """Drop the unconfirmed write of a pool that is no longer held."""
-        self._unsettled.pop(pool_id, None)
+        self._unconfirmed.pop(pool_id, None)
 
-    async def _settle(self, pool_id: PoolId) -> bool:
+    async def _confirm_write(self, pool_id: PoolId) -> bool:
         """Determine the outcome of a write whose reply was lost.
 
         Returns whether it is known; no action is requested before that. The write
@@ -171,7 +171,7 @@
         It expects the holder key to be absent, so it fails while the pool is held
         and returns the records.
         """
-        draft = self._unsettled.get(pool_id)
+        draft = self._unconfirmed.get(pool_id)
         if draft is None:
             return True
         fence = self._fence(pool_id)
@@ -186,7 +186,7 @@
         self.is_store_lost = False
         if result.unwrap().succeeded:
             return False
-        del self._unsettled[pool_id]
+        del self._unconfirmed[pool_id]
         self._apply_refreshed(keys, result.unwrap())
         if all(self._has_taken_effect(draft, key) for key in keys):
             self._record_decisions(draft)
@@ -228,7 +228,7 @@
         if not isinstance(result, Success):
             self.is_store_lost = True
             if isinstance(result.failure(), StoreOutcomeUnknown):
-                self._unsettled[pool_id] = draft
+                self._unconfirmed[pool_id] = draft
             return False
         self.is_store_lost = False
         committed = result.unwrap()
@@ -276,7 +276,7 @@
     def _report_serving(self, vm_id: VMId) -> None:
         record = self.tables.vms_by_id.get(vm_id)
         if record is not None:
-            self._note_returned(vm_id, record.pool_id)
+            self._record_returned(vm_id, record.pool_id)
 
     async def _request_actions(self, pool_id: PoolId) -> None:
         for vm_id in sorted(self.tables.busy_vm_ids_by_pool.get(pool_id, ())):
@@ -291,7 +291,7 @@
 
     async def _request_action(self, record: VMRecord, action: Action) -> None:
         if action is Action.DRAIN:
-            self._note_leaving(record.id)
+            self._record_leaving(record.id)
         revision = self._revision_of(record.id)
         pool_id = record.pool_id if action is Action.ASSIGN else None
         result = await self._vm_control.act(record.id, action, revision, pool_id)
--- a/packages/daemon/src/medlarspring_daemon/fleet/rounds.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/rounds.py
@@ -41,7 +41,7 @@
         self._clock = clock
         self._rng = rng
         self._log = log
-        self._fences: dict[PoolId, Revision] = {}
+        self._fencing_revisions: dict[PoolId, Revision] = {}
         """Holder key's revision by pool, from the last round that read the store."""
         self._ticked_at: dict[PoolId, float] = {}
         self._observed_at: dict[PoolId, float] = {}
@@ -51,7 +51,7 @@
     @property
     def is_holding(self) -> bool:
         """Whether any pool was held in the last round."""
-        return bool(self._fences)
+        return bool(self._fencing_revisions)
 
     async def run(
         self, holders: Holders, config: ConfigTable, vm_list: VMList | None
@@ -67,7 +67,9 @@
             return
         if not await self._take_over(holders):
             return
-        due = [each for each in sorted(self._fences) if self._is_due(each, now)]
+        due = [
+            each for each in sorted(self._fencing_revisions) if self._is_due(each, now)
+        ]
         await self._observe(due, now)
         for pool_id in due:
             self._ticked_at[pool_id] = now
@@ -79,13 +81,15 @@
             self._store_lost_at = None
         elif self._store_lost_at is None:
             self._store_lost_at = now
-            self._log.warning(Event.FLEET_STORE_LOST, pools=len(self._fences))
+            self._log.warning(
+                Event.FLEET_STORE_LOST, pools=len(self._fencing_revisions)
+            )
 
     async def _handle_store_outage(self, lost_at: float, now: float) -> None:
         if now - lost_at < RESTORE_AFTER_SECONDS:
             return
-        await self._observe(sorted(self._fences), now)
-        for pool_id in sorted(self._fences):
+        await self._observe(sorted(self._fencing_revisions), now)
+        for pool_id in sorted(self._fencing_revisions):
             await self._controller.restore_drained_vms(pool_id)
 
     async def _take_over(self, holders: Holders) -> bool:
@@ -94,7 +98,7 @@
             fence = holders.fence(pool_id)
             if fence is not None:
                 fences[pool_id] = fence.mod_revision
-        if fences == self._fences:
+        if fences == self._fencing_revisions:
             return True
         # A pool is lost when another process acquires it, or when the store cannot
         # be reached and the lease expires. In the second case drained VMs would
@@ -102,10 +106,10 @@
         # once the store has answered.
         if not await self._controller.load():
             return False
-        for pool_id, revision in self._fences.items():
+        for pool_id, revision in self._fencing_revisions.items():
             if fences.get(pool_id) != revision:
                 self._controller.drop_unconfirmed_write(pool_id)
-        self._fences = fences
+        self._fencing_revisions = fences
         return True
 
     def _is_due(self, pool_id: PoolId, now: float) -> bool:
--- a/packages/daemon/src/medlarspring_daemon/fleet/service.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/service.py
@@ -60,8 +60,8 @@
             lambda pool_id: node.holders.fence(pool_id),
             node.decisions,
             node.log,
-            note_leaving=lambda vm_id: node.note_leaving(vm_id),
-            note_returned=lambda vm_id, pool_id: node.note_returned(vm_id, pool_id),
+            record_leaving=lambda vm_id: node.record_leaving(vm_id),
+            record_returned=lambda vm_id, pool_id: node.record_returned(vm_id, pool_id),
         )
         rounds = FleetRounds(controller, node.clock, node.rng, node.log)
         feed = FleetFeed(self._store, tables, node.rng)
@@ -96,7 +96,9 @@
         disrupted = sum(each.disrupted for each in counted)
         metrics.gauge(Metric.FLEET_DISRUPTED, disrupted)
         metrics.gauge(Metric.FLEET_OUT, sum(each.out for each in counted))
-        metrics.gauge(Metric.FLEET_LEAST_ROOM, min(each.room for each in counted))
+        metrics.gauge(
+            Metric.FLEET_LEAST_ROOM, min(each.disruptions_allowed for each in counted)
+        )
 
 
 def create_fleet_service(
--- a/packages/daemon/src/medlarspring_daemon/fleet/views.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/views.py
@@ -30,7 +30,7 @@
         failed=counted.failed,
         unseen=counted.unseen,
         out=counted.out,
-        room=counted.room,
+        room=counted.disruptions_allowed,
     )
 
 
--- a/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/holder_service.py
@@ -170,7 +170,7 @@
         now = self._node.clock.now()
         if config is None or now < self._next_attempt_at:
             return
-        members = self._peers.list_steady()
+        members = self._peers.list_stable()
         plan = plan_holders(self.holdings, config.pools_by_id, members, now)
         released = [self.holdings.pools_by_id.pop(each) for each in plan.release]
         self._log_released(released)
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_service.py
@@ -24,9 +24,9 @@
 from medlarspring_systems import membership
 from medlarspring_systems.exchange import (
     ExchangePlan,
-    forget,
     list_due_peers,
     record_exchange_bytes,
+    remove_departed_members,
 )
 from medlarspring_tables import EntryVMId, Member, MemberTable, Revision, ZoneId
 
@@ -120,10 +120,10 @@
             if member.refused_at is not None
         }
 
-    def list_steady(self, *, own_zone_only: bool = False) -> list[Member]:
+    def list_stable(self, *, own_zone_only: bool = False) -> list[Member]:
         """Return the heard peers to which duties may be assigned."""
         now = self._node.clock.now()
-        ids = membership.list_steady(self.members, now, own_zone_only=own_zone_only)
+        ids = membership.list_stable(self.members, now, own_zone_only=own_zone_only)
         return [self.members.members_by_id[each] for each in ids]
 
     def has_contacted_zone(self) -> bool:
@@ -323,7 +323,7 @@
             if change.event is membership.MemberEvent.FORGOTTEN:
                 self._drop_client(change.id)
                 self._failures_by_id.pop(change.id, None)
-                forget(self._plan, self.members)
+                remove_departed_members(self._plan, self.members)
                 self._reports.forget()
 
 
--- a/packages/daemon/src/medlarspring_daemon/node.py
+++ b/packages/daemon/src/medlarspring_daemon/node.py
@@ -175,9 +175,9 @@
     config: ConfigTable | None = None
     """The current table; written by the configuration service."""
     config_listeners: list[Callable[[ConfigTable], None]] = field(default_factory=list)
-    note_leaving: Callable[[VMId], None] = lambda vm_id: None
+    record_leaving: Callable[[VMId], None] = lambda vm_id: None
     """Informs the request path that a VM is leaving, before any list shows it."""
-    note_returned: Callable[[VMId, PoolId], None] = lambda vm_id, pool_id: None
+    record_returned: Callable[[VMId, PoolId], None] = lambda vm_id, pool_id: None
     """Informs the request path that a VM serves again, before any list shows it."""
     offer_table: Callable[[ConfigTable], None] = lambda table: None
     """Receives a newly accepted table; written by the configuration service."""
--- a/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/controller.py
@@ -73,10 +73,10 @@
     """Controls one cell; implements ``Controller`` and ``LinkOwner``."""
 
     def __init__(
-        self, node: SchedulingNode, directory: OperatorRecords, term: Term
+        self, node: SchedulingNode, operator_records: OperatorRecords, term: Term
     ) -> None:
         self._node = node
-        self._operator_records = directory
+        self._operator_records = operator_records
         self._term = term
         self._tasks = BackgroundTasks(node.log)
         self._record_writer = JobRecordWriter(node, term, self._handle_record_written)
@@ -87,10 +87,10 @@
         self._workers: WorkerFeed | None = None
         self._running = False
         self._overload_detector = OverloadDetector()
-        assert directory.config is not None
-        self.tables = WorkTables(config=directory.config)
+        assert operator_records.config is not None
+        self.tables = WorkTables(config=operator_records.config)
         self._rounds = RoundTimer(self.tables, self._run_round)
-        self._vm_manager = VMManager(node, term, directory, self)
+        self._vm_manager = VMManager(node, term, operator_records, self)
         self._liveness_monitor = WorkerLivenessMonitor(node, self)
 
     # Controller
--- a/packages/daemon/src/medlarspring_daemon/scheduling/load_reporter.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/load_reporter.py
@@ -52,7 +52,11 @@
         )
         metrics.gauge(
             Metric.WORKERS_DOUBTED,
-            sum(1 for each in workers if each.doubt is not QuarantineReason.NONE),
+            sum(
+                1
+                for each in workers
+                if each.quarantine_reason is not QuarantineReason.NONE
+            ),
         )
         waiting, unplaceable = count_waiting(self._tables, now)
         metrics.gauge(Metric.TASKS_WAITING, waiting)
--- a/packages/daemon/src/medlarspring_daemon/scheduling/run_log.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/run_log.py
@@ -139,7 +139,7 @@
         Event.WORKER_DOUBTED,
         worker=worker.id,
         vm=worker.vm_id,
-        doubt=worker.doubt.value,
+        doubt=worker.quarantine_reason.value,
         until=round(worker.quarantined_until, 3),
         jobs=sorted(worker.failures_by_job),
     )
--- a/packages/daemon/src/medlarspring_daemon/scheduling/service.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/service.py
@@ -26,7 +26,7 @@
     def __init__(self, node: SchedulingNode) -> None:
         self._node = node
         self._tasks = BackgroundTasks(node.log)
-        self.directory = OperatorRecords(node)
+        self.operator_records = OperatorRecords(node)
         self.intake = Intake(node)
         self._elections = [
             Election(node, cell_id, self._may_control, self._create_controller)
@@ -36,7 +36,7 @@
     async def start(self) -> None:
         """Watch the operator's records and take part in the elections."""
         self._tasks.run_with_restart(StoreMonitor(self._node).run)
-        await self.directory.start()
+        await self.operator_records.start()
         for election in self._elections:
             await election.start()
 
@@ -44,12 +44,12 @@
         """Release the held cells, then stop all watches."""
         for election in self._elections:
             await election.stop()
-        await self.directory.stop()
+        await self.operator_records.stop()
         await self._tasks.cancel()
 
     def is_ready(self) -> bool:
         """Return whether this entry VM should receive calls."""
-        if self._node.stopping or self.directory.config is None:
+        if self._node.stopping or self.operator_records.config is None:
             return False
         failing_since = self._node.store_health.failing_since
         if failing_since is None:
@@ -72,10 +72,10 @@
         ]
 
     def _may_control(self) -> bool:
-        return self.directory.config is not None and not self._node.stopping
+        return self.operator_records.config is not None and not self._node.stopping
 
     def _create_controller(self, term: Term) -> Controller:
-        return CellController(self._node, self.directory, term)
+        return CellController(self._node, self.operator_records, term)
 
 
 def create_scheduling_service(node: SchedulingNode) -> SchedulingService:
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
@@ -132,7 +132,7 @@
 
     async def _side_poll(self) -> None:
         try:
-            await self._hold_once(aside=True)
+            await self._hold_once(is_concurrent=True)
         finally:
             self._side_poll_in_flight = False
 
@@ -306,17 +306,19 @@
             return True
         return any(run.state is not RunState.INTENDED for run in worker.runs.values())
 
-    async def _hold_once(self, *, aside: bool = False) -> None:
+    async def _hold_once(self, *, is_concurrent: bool = False) -> None:
         ends = self._get_current_ends()
         wait_ms = plan_hold_wait(self._worker, immediate=self._poll_requested)
         self._poll_requested = False
         requested_at = self._node.clock.now()
         order = HoldOrder(
             fence=self._term.fence,
-            acknowledged=0 if aside else ends.find_acknowledgeable(requested_at),
+            acknowledged=0
+            if is_concurrent
+            else ends.find_acknowledgeable(requested_at),
             lease_until_ms=self._plan_lease(requested_at),
             wait_ms=wait_ms,
-            aside=aside,
+            is_concurrent=is_concurrent,
         )
         timeout = wait_ms / 1_000.0 + HOLD_TIMEOUT_MARGIN_SECONDS
         answer = await self._node.orders.hold(self._address, order, timeout)
--- a/packages/daemon/tests/callers/test_caller_reports.py
+++ b/packages/daemon/tests/callers/test_caller_reports.py
@@ -78,13 +78,13 @@
     learn that the VMs leave but not that they returned, each one excludes the VMs of
     its own zone for 40 s, and no home grants slots of its zone."""
     holder, near, far = (EntryVM(EntryVMId(f"e{each}"), clock) for each in range(3))
-    holder.reports.note_leaving(VM, 0.0, "order to drain")
+    holder.reports.record_leaving(VM, 0.0, "order to drain")
     holder.send_report(near)
     near.send_report(far)
     clock.advance(2.0)
     assert not any(each.is_assigned_work() for each in (holder, near, far))
 
-    holder.reports.note_returned(VM, POOL, 0.0, "VM control")
+    holder.reports.record_returned(VM, POOL, 0.0, "VM control")
     holder.send_report(near)
     near.send_report(far)
     for each in (holder, near, far):
--- a/packages/daemon/tests/callers/test_slot_exchange.py
+++ b/packages/daemon/tests/callers/test_slot_exchange.py
@@ -15,7 +15,7 @@
 from medlarspring_daemon.callers.state import CallerState
 from medlarspring_daemon.node import create_node
 from medlarspring_systems import fair_queue
-from medlarspring_systems.leaving import note_leaving
+from medlarspring_systems.leaving import record_leaving
 from medlarspring_tables import (
     EntryVMId,
     ListedEntryVM,
@@ -290,7 +290,7 @@
         fleet.step()
     leaving = VMId("vm-1")
     now = fleet.clock.now()
-    note_leaving(fleet.entry_vms[EntryVMId("e2")].state.upstreams, leaving, 0.0, now)
+    record_leaving(fleet.entry_vms[EntryVMId("e2")].state.upstreams, leaving, 0.0, now)
     for _ in range(24):
         fleet.step()
     sent = [began for _, vm_id, _, _, began in fleet.runs if vm_id == leaving]
--- a/packages/daemon/tests/scheduling/test_intake.py
+++ b/packages/daemon/tests/scheduling/test_intake.py
@@ -39,7 +39,7 @@
     """Submit a job to the first entry VM; return the answer and the seconds it took."""
     job_id, spec = customers.create_batch()
     service = world.nodes_by_name["entry-0"].service
-    match = service.directory.match(HOST, f"/lookup/{job_id}")
+    match = service.operator_records.match(HOST, f"/lookup/{job_id}")
     assert match is not None
     sent_at = world.clock.now()
     answer = await service.intake.submit(match.queue, job_id, spec, TIMEOUT_SECONDS)
--- a/packages/daemon/tests/test_fleet_service.py
+++ b/packages/daemon/tests/test_fleet_service.py
@@ -138,7 +138,7 @@
     _, url = platform
     node, service = await start_fleet("e1", state, tmp_path, url)
     returned_vms: list[tuple[VMId, PoolId]] = []
-    node.node.note_returned = lambda vm_id, pool_id: returned_vms.append(
+    node.node.record_returned = lambda vm_id, pool_id: returned_vms.append(
         (vm_id, pool_id)
     )
     await wait_until(lambda: len(node.node.fleet_tables.vms_by_id) == 4)
--- a/packages/platform/src/medlarspring_platform/jobs_frontend.py
+++ b/packages/platform/src/medlarspring_platform/jobs_frontend.py
@@ -122,10 +122,10 @@
         return response
 
     async def _answer(self, request: web.BaseRequest) -> web.Response:
-        directory = self._service.directory
-        if directory.config is None:
+        operator_records = self._service.operator_records
+        if operator_records.config is None:
             return _refuse(NotReady("there is no configuration yet", 1))
-        match = directory.match(request.headers.get("Host", ""), request.path)
+        match = operator_records.match(request.headers.get("Host", ""), request.path)
         if match is None:
             return _problem(
                 HTTPStatus.NOT_FOUND,
@@ -161,7 +161,7 @@
     async def _submit(
         self, request: web.BaseRequest, match: RouteMatch, job_id: JobId
     ) -> web.Response:
-        config = self._service.directory.config
+        config = self._service.operator_records.config
         assert config is not None
         body = await _read_body(request, config.max_body_bytes)
         if body is None:
--- a/packages/platform/src/medlarspring_platform/workers.py
+++ b/packages/platform/src/medlarspring_platform/workers.py
@@ -187,7 +187,7 @@
         timeout_seconds: Seconds,
     ) -> HttpAnswer:
         """Make the call, without the acknowledgement if it needs a new connection."""
-        if order.aside:
+        if order.is_concurrent:
             body.ack_cursor = 0
             return await self._call(worker, wire.HOLD_PATH, body, timeout_seconds)
         channel = self._find_hold_channel(worker)
--- a/packages/platform/tests/adapter/test_fleet.py
+++ b/packages/platform/tests/adapter/test_fleet.py
@@ -120,16 +120,16 @@
 
 
 @pytest.mark.parametrize(
-    ("aside", "left"), [(False, 0), (True, 1)], ids=["in-line", "aside"]
+    ("is_concurrent", "left"), [(False, 0), (True, 1)], ids=["in-line", "aside"]
 )
 async def test_end_is_acknowledged_by_the_next_hold_in_line(
-    platform: Platform, aside: bool, left: int
+    platform: Platform, is_concurrent: bool, left: int
 ):
     address = await find_address(platform)
     number = await create_listed_end(platform, address)
-    hold = HoldOrder(FENCE, number, 0, aside=aside)
+    hold = HoldOrder(FENCE, number, 0, is_concurrent=is_concurrent)
     held = (await platform.workers.hold(address, hold, TIMEOUT)).unwrap()
-    assert held.acknowledged == (0 if aside else number)
+    assert held.acknowledged == (0 if is_concurrent else number)
     assert len(held.ended) == left
 
 
--- a/packages/platform/tests/adapter/test_jobs_frontend.py
+++ b/packages/platform/tests/adapter/test_jobs_frontend.py
@@ -88,7 +88,7 @@
     )
     service = create_scheduling_service(node)
     await service.start()
-    while service.directory.config is None:
+    while service.operator_records.config is None:
         await asyncio.sleep(0.01)
     runner = web.ServerRunner(web.Server(JobsFrontend(service).handle))
     await runner.setup()
--- a/packages/systems/src/medlarspring_systems/availability.py
+++ b/packages/systems/src/medlarspring_systems/availability.py
@@ -47,7 +47,7 @@
     out: int = 0
 
     @property
-    def room(self) -> int:
+    def disruptions_allowed(self) -> int:
         """Number of VMs that may be disrupted now; negative if the budget is broken."""
         return self.available - self.min_available
 
--- a/packages/systems/src/medlarspring_systems/disruptions.py
+++ b/packages/systems/src/medlarspring_systems/disruptions.py
@@ -51,7 +51,7 @@
     # The count therefore includes the draft, and the pool's list of disruptions
     # is written under the revision it was read at: if the count was outdated,
     # the transaction fails.
-    if availability.room < 1:
+    if availability.disruptions_allowed < 1:
         return Failure(_refuse_for_budget(vm_id, availability))
     zone = draft.zone_disruptions(record.zone_id)
     if len(zone.causes_by_vm) >= fleet.max_drains_per_zone:
--- a/packages/systems/src/medlarspring_systems/exchange.py
+++ b/packages/systems/src/medlarspring_systems/exchange.py
@@ -66,7 +66,7 @@
     return due
 
 
-def forget(plan: ExchangePlan, table: MemberTable) -> None:
+def remove_departed_members(plan: ExchangePlan, table: MemberTable) -> None:
     """Remove the call times of members that are no longer in the table."""
     for member_id in plan.next_at_by_id.keys() - table.members_by_id.keys():
         del plan.next_at_by_id[member_id]
@@ -124,4 +124,9 @@
     return min(max(value, low), high)
 
 
-__all__ = ["ExchangePlan", "forget", "list_due_peers", "record_exchange_bytes"]
+__all__ = [
+    "ExchangePlan",
+    "remove_departed_members",
+    "list_due_peers",
+    "record_exchange_bytes",
+]
--- a/packages/systems/src/medlarspring_systems/leaving.py
+++ b/packages/systems/src/medlarspring_systems/leaving.py
@@ -33,7 +33,9 @@
     return since is None or now - since >= LEAVING_SIGNAL_SECONDS
 
 
-def note_leaving(table: UpstreamTable, vm_id: VMId, age: Seconds, now: Seconds) -> bool:
+def record_leaving(
+    table: UpstreamTable, vm_id: VMId, age: Seconds, now: Seconds
+) -> bool:
     """Record a leaving signal that is ``age`` old; return whether it is new."""
     upstream = table.upstreams_by_id.get(vm_id)
     if upstream is None:
@@ -53,7 +55,7 @@
     return True
 
 
-def note_returned(
+def record_returned(
     table: UpstreamTable, vm_id: VMId, pool_id: PoolId, age: Seconds, now: Seconds
 ) -> bool:
     """Record that a VM has served a pool again since ``age`` ago.
@@ -134,8 +136,8 @@
     "restore_emptied_pool",
     "list_leaving",
     "list_returned",
-    "note_leaving",
+    "record_leaving",
     "apply_listed_state",
-    "note_returned",
+    "record_returned",
     "takes_new_work",
 ]
--- a/packages/systems/src/medlarspring_systems/membership.py
+++ b/packages/systems/src/medlarspring_systems/membership.py
@@ -300,7 +300,7 @@
     return tuple(sorted([table.own_id, *near]))
 
 
-def list_steady(
+def list_stable(
     table: MemberTable, now: Seconds, *, own_zone_only: bool = False
 ) -> list[EntryVMId]:
     """Return the other members that may have duties.
@@ -325,7 +325,7 @@
     "MemberChange",
     "MemberEvent",
     "list_heard",
-    "list_steady",
+    "list_stable",
     "list_zone",
     "correct_for_pause",
     "record_refused_connection",
--- a/packages/systems/src/medlarspring_systems/scheduling/placement.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/placement.py
@@ -34,7 +34,7 @@
         return False
     if worker.gone or not worker.reconciled or worker.unanswered_since:
         return False
-    if worker.doubt is QuarantineReason.NONE:
+    if worker.quarantine_reason is QuarantineReason.NONE:
         return True
     return is_probe_due(worker, now)
 
--- a/packages/systems/src/medlarspring_systems/scheduling/quarantine.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/quarantine.py
@@ -40,8 +40,8 @@
     A worker marked as unreachable stays so.
     """
     worker.failures_by_job.clear()
-    if worker.doubt is not QuarantineReason.UNREACHABLE:
-        worker.doubt = QuarantineReason.NONE
+    if worker.quarantine_reason is not QuarantineReason.UNREACHABLE:
+        worker.quarantine_reason = QuarantineReason.NONE
         worker.quarantine_count = 0
 
 
@@ -67,21 +67,26 @@
     for worker in tables.workers_by_id.values():
         if worker.failures_by_job.pop(job_id, None) is None:
             continue
-        if worker.doubt is QuarantineReason.FAILING and not worker.failures_by_job:
-            worker.doubt = QuarantineReason.NONE
+        if (
+            worker.quarantine_reason is QuarantineReason.FAILING
+            and not worker.failures_by_job
+        ):
+            worker.quarantine_reason = QuarantineReason.NONE
 
 
-def quarantine_worker(worker: Worker, doubt: QuarantineReason, now: Seconds) -> bool:
+def quarantine_worker(
+    worker: Worker, quarantine_reason: QuarantineReason, now: Seconds
+) -> bool:
     """Quarantine a worker, twice as long with each quarantine in a row.
 
     Runs that end during the quarantine were started before it and are no new reason.
     If they counted, several ends in one listing would extend the quarantine from
     4 s to 16 s. Returns False if the worker is already quarantined for this reason.
     """
-    if worker.doubt is doubt and now < worker.quarantined_until:
+    if worker.quarantine_reason is quarantine_reason and now < worker.quarantined_until:
         return False
     wait = min(QUARANTINE_SECONDS * 2**worker.quarantine_count, MAX_QUARANTINE_SECONDS)
-    worker.doubt = doubt
+    worker.quarantine_reason = quarantine_reason
     worker.quarantine_count += 1
     worker.quarantined_until = now + wait
     return True
@@ -89,8 +94,8 @@
 
 def record_refusal(worker: Worker, now: Seconds) -> None:
     """Record that a worker refused an order as overloaded; it gets none for a while."""
-    if worker.doubt is QuarantineReason.NONE:
-        worker.doubt = QuarantineReason.REFUSING
+    if worker.quarantine_reason is QuarantineReason.NONE:
+        worker.quarantine_reason = QuarantineReason.REFUSING
     worker.quarantined_until = max(
         worker.quarantined_until, now + REFUSAL_BACKOFF_SECONDS
     )
@@ -98,8 +103,8 @@
 
 def record_acceptance(worker: Worker) -> None:
     """Record that a worker accepted an order; ends a quarantine for refusals."""
-    if worker.doubt is QuarantineReason.REFUSING:
-        worker.doubt = QuarantineReason.NONE
+    if worker.quarantine_reason is QuarantineReason.REFUSING:
+        worker.quarantine_reason = QuarantineReason.NONE
 
 
 def is_probe_due(worker: Worker, now: Seconds) -> bool:
@@ -124,7 +129,7 @@
     A long-running task has no successful end. Without this check the worker would
     get no further task.
     """
-    if worker.doubt is QuarantineReason.NONE or not worker.long_runs:
+    if worker.quarantine_reason is QuarantineReason.NONE or not worker.long_runs:
         return
     if any(_is_successful_probe(run, now) for run in worker.runs.values()):
         record_success(worker)
--- a/packages/systems/src/medlarspring_systems/scheduling/rounds.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/rounds.py
@@ -158,7 +158,7 @@
             _reserve_worker(step, task, workers, now)
             return
         intents.append(intend_run(task, worker, task.last_run + 1, now))
-        if worker.doubt is not QuarantineReason.NONE:
+        if worker.quarantine_reason is not QuarantineReason.NONE:
             # This run is the worker's probe; no other may start until it has ended.
             workers.remove(worker)
             ranking = WorkerRanking(step, _list_rack_workers(step, workers), now)
--- a/packages/systems/src/medlarspring_systems/scheduling/workers.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/workers.py
@@ -150,7 +150,7 @@
         # An order accepted by the new incarnation has its lease on another clock,
         # whose end can't be determined; this is the longest possible lease.
         worker.lease_ms = round(read_clock(worker, now) + longest_lease * 1_000)
-    worker.doubt = QuarantineReason.NONE
+    worker.quarantine_reason = QuarantineReason.NONE
     worker.quarantined_until = 0.0
     worker.quarantine_count = 0
     worker.failures_by_job.clear()
--- a/packages/systems/src/medlarspring_systems/slot_shares.py
+++ b/packages/systems/src/medlarspring_systems/slot_shares.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from medlarspring_systems.rendezvous import HASH_BYTES, rank, weigh
-from medlarspring_tables.slots import AskerDemand
+from medlarspring_tables.slots import RequesterDemand
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -24,7 +24,7 @@
 def record_demand(
     table: HomeTable,
     pool_id: PoolId,
-    asker: EntryVMId,
+    requester: EntryVMId,
     count_by_partner: dict[PartnerId, int],
     now: Seconds,
 ) -> None:
@@ -35,7 +35,7 @@
     """
     demand = table.demand_by_pool.setdefault(pool_id, {})
     counts: dict[PartnerId, float] = dict(count_by_partner)
-    former = demand.get(asker)
+    former = demand.get(requester)
     if former is not None:
         kept = math.exp((former.reported_at - now) / DEMAND_DECAY_SECONDS)
         for partner_id, before in former.count_by_partner.items():
@@ -43,7 +43,7 @@
             decayed = count + kept * (before - count)
             if count < before and decayed > MIN_DEMAND:
                 counts[partner_id] = decayed
-    demand[asker] = AskerDemand(counts, now)
+    demand[requester] = RequesterDemand(counts, now)
 
 
 def divide_pool(
@@ -61,26 +61,26 @@
     """
     demand = table.demand_by_pool.get(pool_id, {})
     fresh = {
-        asker: asker_demand
-        for asker, asker_demand in demand.items()
-        if now < asker_demand.reported_at + policy.grant_seconds
+        requester: requester_demand
+        for requester, requester_demand in demand.items()
+        if now < requester_demand.reported_at + policy.grant_seconds
     }
     if len(fresh) < len(demand):
         table.demand_by_pool[pool_id] = fresh
     total_by_partner: dict[PartnerId, float] = {}
-    for asker_demand in fresh.values():
-        for partner_id, count in asker_demand.count_by_partner.items():
+    for requester_demand in fresh.values():
+        for partner_id, count in requester_demand.count_by_partner.items():
             total = total_by_partner.get(partner_id, 0.0)
             total_by_partner[partner_id] = total + count
     share_by_partner = divide_fairly(total_by_partner, weights_by_partner, pool_slots)
     return {
-        asker: sum(
+        requester: sum(
             share_by_partner[partner_id] * count / total_by_partner[partner_id]
-            for partner_id, count in asker_demand.count_by_partner.items()
+            for partner_id, count in requester_demand.count_by_partner.items()
             if count
         )
         / max(1, pool_slots)
-        for asker, asker_demand in fresh.items()
+        for requester, requester_demand in fresh.items()
     }
 
 
@@ -118,22 +118,22 @@
     """Round parts to whole slots of one VM, with at most ``slots`` in total.
 
     The rounding offset differs between VMs, so that small parts are met on average
-    over the pool. Each asker also gets a few of the slots that no demand needs, so
+    over the pool. Each requester also gets a few of the slots that no demand needs, so
     that its next requests find a slot without asking. The home keeps the rest for
     the first entry VM that asks.
     """
     rounded: dict[EntryVMId, int] = {}
     reached = _weigh(vm_id, "offset")
-    for asker in rank(vm_id, parts):
+    for requester in rank(vm_id, parts):
         before = int(reached)
-        reached += parts[asker] * slots
-        rounded[asker] = int(reached + ROUNDING) - before
+        reached += parts[requester] * slots
+        rounded[requester] = int(reached + ROUNDING) - before
     left = slots - sum(rounded.values())
     if left > 0:
         spare = left // (len(rounded) + 1)
-        for asker, due in rounded.items():
-            short = not due and parts[asker] > 0.0
-            rounded[asker] = due + max(spare, short)
+        for requester, due in rounded.items():
+            short = not due and parts[requester] > 0.0
+            rounded[requester] = due + max(spare, short)
     return rounded
 
 
--- a/packages/systems/src/medlarspring_systems/slots.py
+++ b/packages/systems/src/medlarspring_systems/slots.py
@@ -56,7 +56,7 @@
     in_use: int
     held: int
     echoed_at: Seconds | None = None
-    """The home's time that the asker echoed, if the asker votes for this home."""
+    """The home's time that the requester echoed, if it votes for this home."""
 
 
 def list_voters(zone_id: ZoneId, views: Sequence[EntryVMView]) -> list[EntryVMView]:
@@ -164,7 +164,7 @@
 
 def grant(
     ledger: SlotLedger,
-    asker: EntryVMId,
+    requester: EntryVMId,
     demand: SlotDemand,
     *,
     target: int,
@@ -175,17 +175,17 @@
 ) -> int:
     """Grant up to ``target`` slots, at most those that are certainly free.
 
-    Return the granted slots. Slots that the asker may still use by earlier grants
+    Return the granted slots. Slots that the requester may still use by earlier grants
     stay reserved until it asks again, because the reply that lowers its grant may
     be lost.
     """
     others = sum(
         _count_reserved(holding, now, policy)
         for holder, holding in ledger.holdings_by_holder.items()
-        if holder != asker and holder not in dead
+        if holder != requester and holder not in dead
     )
     granted = max(0, min(target, capacity - others))
-    holding = get_holding(ledger, asker)
+    holding = get_holding(ledger, requester)
     holding.reserved = max(granted, demand.held, demand.in_use)
     holding.until = now + policy.grant_seconds
     return granted
--- a/packages/systems/src/medlarspring_systems/vm_progress.py
+++ b/packages/systems/src/medlarspring_systems/vm_progress.py
@@ -71,7 +71,7 @@
     draft: Draft, pool: PoolRow, busy: list[VMId], now: float
 ) -> None:
     """Cancel drains while unplanned failures keep the pool below its budget."""
-    shortfall = -count_availability(draft, pool).room
+    shortfall = -count_availability(draft, pool).disruptions_allowed
     for vm_id in busy:
         if shortfall <= 0:
             return
--- a/packages/systems/tests/scheduling/test_quarantine.py
+++ b/packages/systems/tests/scheduling/test_quarantine.py
@@ -91,9 +91,9 @@
     start_long_running(scene, "j", later)
     worker.answered_at = later + 1.0
     plan_repairs(scene.tables, later + 1.0)
-    assert worker.doubt is QuarantineReason.STALLED
+    assert worker.quarantine_reason is QuarantineReason.STALLED
     plan_repairs(scene.tables, later + 2.1)
-    assert worker.doubt is QuarantineReason.NONE
+    assert worker.quarantine_reason is QuarantineReason.NONE
 
 
 def test_long_running_task_from_before_the_quarantine_does_not_end_it(scene: Scene):
@@ -101,7 +101,7 @@
     start_long_running(scene, "j")
     stall(worker, NOW + 1.0)
     plan_repairs(scene.tables, worker.quarantined_until + 5.0)
-    assert worker.doubt is QuarantineReason.STALLED
+    assert worker.quarantine_reason is QuarantineReason.STALLED
 
 
 def test_worker_that_accepts_an_order_is_schedulable_again(scene: Scene):
--- a/packages/systems/tests/scheduling/test_repair.py
+++ b/packages/systems/tests/scheduling/test_repair.py
@@ -38,7 +38,7 @@
     worker.answered_at = NOW + 2.0
     repairs = plan_repairs(scene.tables, NOW + 2.0)
     assert [run for run, _ in repairs.stops] == runs
-    assert worker.doubt is QuarantineReason.STALLED
+    assert worker.quarantine_reason is QuarantineReason.STALLED
 
 
 def test_pause_of_this_process_is_not_taken_for_a_stall(scene: Scene):
--- a/packages/systems/tests/test_membership.py
+++ b/packages/systems/tests/test_membership.py
@@ -91,8 +91,8 @@
     table = create_table(PEER, zone=FAR)
     receive(table, create_heartbeat(1, zone_id=FAR), 1.0)
     duty_ends = 1.0 + membership.DUTY_SILENCE_SECONDS
-    assert membership.list_steady(table, duty_ends) == [PEER]
-    assert membership.list_steady(table, duty_ends + 0.1) == []
+    assert membership.list_stable(table, duty_ends) == [PEER]
+    assert membership.list_stable(table, duty_ends + 0.1) == []
     assert PEER in membership.list_heard(table)
 
 
@@ -165,7 +165,7 @@
         receive(table, create_heartbeat(sequence), now)
         assert PEER in membership.list_heard(table)
         held_down.append(table.members_by_id[PEER].held_down_until - now)
-        assert (PEER in membership.list_steady(table, now)) == (held_down[-1] <= 0)
+        assert (PEER in membership.list_stable(table, now)) == (held_down[-1] <= 0)
         now += 3.0
         membership.tick(table, now)
     assert held_down[2:] == [5.0, 10.0, 20.0]
--- a/packages/systems/tests/test_slots.py
+++ b/packages/systems/tests/test_slots.py
@@ -14,10 +14,10 @@
 
 
 def create_views(
-    *ids: EntryVMId, silent: str = "", dead: str = ""
+    *ids: EntryVMId, unresponsive: str = "", dead: str = ""
 ) -> list[EntryVMView]:
     return [
-        EntryVMView(each, ZONE, heard=each not in silent, dead=each in dead)
+        EntryVMView(each, ZONE, heard=each not in unresponsive, dead=each in dead)
         for each in ids
     ]
 
@@ -31,7 +31,7 @@
 
 def request_slots(
     ledger: SlotLedger,
-    asker: EntryVMId,
+    requester: EntryVMId,
     now: float,
     *,
     target: int = 8,
@@ -42,7 +42,7 @@
     demand = slots.SlotDemand(VM, in_use, held)
     return slots.grant(
         ledger,
-        asker,
+        requester,
         demand,
         target=target,
         capacity=8,
@@ -72,7 +72,7 @@
     """The former home and a holder are partitioned from the new home. It does not
     know which slots they use, so it grants none until their work has ended."""
     ledger = SlotLedger()
-    views = create_views(A, B, silent="b")
+    views = create_views(A, B, unresponsive="b")
     assert capacity(ledger, views, now=100.5, since=100.0) == 0
     assert capacity(ledger, views, 100.0 + POLICY.hold_seconds, since=100.0) == 4
 
@@ -120,7 +120,7 @@
 
 def test_reduced_grant_frees_slots_only_after_its_holder_asks_again():
     """A holder of eight slots is granted four, and the reply may be lost. The other
-    four are granted to another asker only after the holder has asked again."""
+    four are granted to another requester only after the holder has asked again."""
     ledger = SlotLedger()
     assert request_slots(ledger, A, 100.0) == 8
     assert request_slots(ledger, A, 100.3, target=4, held=8) == 4
@@ -147,8 +147,8 @@
     """Two entry VMs of the zone are idle. A third, of another zone, asks for its
     first request; the idle ones must not hold all slots."""
     table = HomeTable()
-    for asker in (A, B):
-        slot_shares.record_demand(table, POOL, asker, {}, 1.0)
+    for requester in (A, B):
+        slot_shares.record_demand(table, POOL, requester, {}, 1.0)
     parts = slot_shares.divide_pool(table, POOL, {}, 16, 1.0, POLICY)
     idle = slot_shares.round_parts(VM, parts, 8)
     assert 1 <= idle[A] <= 2
--- a/packages/systems/tests/test_upstream_health.py
+++ b/packages/systems/tests/test_upstream_health.py
@@ -230,21 +230,21 @@
 def test_leaving_signal_overrides_the_lagging_list_until_it_catches_up():
     table = UpstreamTable()
     apply_list(table, list_vm(), 0.0)
-    assert leaving.note_leaving(table, VMId("vm-0"), 0.0, 10.0)
+    assert leaving.record_leaving(table, VMId("vm-0"), 0.0, 10.0)
     assert not leaving.takes_new_work(apply_list(table, list_vm(), 20.0), 20.0)
     apply_list(table, list_vm(ListedState.LEAVING), 30.0)
     back = apply_list(table, list_vm(), 60.0)
     assert leaving.takes_new_work(back, 60.0)
-    assert not leaving.note_leaving(table, VMId("vm-0"), 50.0, 60.0)
+    assert not leaving.record_leaving(table, VMId("vm-0"), 50.0, 60.0)
     assert leaving.takes_new_work(back, 60.0)
 
 
 def test_moved_vm_gets_work_in_its_new_pool_despite_the_earlier_drain():
     table = UpstreamTable()
     apply_list(table, list_vm(), 0.0)
-    leaving.note_leaving(table, VMId("vm-0"), 0.0, 10.0)
+    leaving.record_leaving(table, VMId("vm-0"), 0.0, 10.0)
     moved = apply_list(table, list_vm(pool=PoolId("survey")), 15.0)
-    leaving.note_leaving(table, VMId("vm-0"), 8.0, 16.0)
+    leaving.record_leaving(table, VMId("vm-0"), 8.0, 16.0)
     assert leaving.takes_new_work(moved, 16.0)
 
 
@@ -254,7 +254,7 @@
     callers were refused for lack of an upstream although all VMs were live."""
     table = create_table(2)
     for number in range(2):
-        leaving.note_leaving(table, VMId(f"vm-{number}"), 0.0, 10.0 + number)
+        leaving.record_leaving(table, VMId(f"vm-{number}"), 0.0, 10.0 + number)
     pool = table.upstreams_by_pool[POOL]
     leaving.restore_emptied_pool(pool, 14.0)
     assert choose(table, now=14.0) is None
@@ -277,18 +277,20 @@
     the others gave it no work until their leaving signals expired."""
     table = UpstreamTable()
     apply_list(table, list_vm(), 0.0)
-    leaving.note_leaving(table, VMId("vm-0"), 0.0, 10.0)
+    leaving.record_leaving(table, VMId("vm-0"), 0.0, 10.0)
     upstream = apply_list(table, list_vm(state), 15.0)
-    assert leaving.note_returned(table, VMId("vm-0"), pool, returned_ago, 20.0) is takes
+    assert (
+        leaving.record_returned(table, VMId("vm-0"), pool, returned_ago, 20.0) is takes
+    )
     assert leaving.takes_new_work(upstream, 20.0) is takes
 
 
 def test_leaving_signals_from_before_a_return_are_ignored():
     table = UpstreamTable()
     apply_list(table, list_vm(), 0.0)
-    leaving.note_returned(table, VMId("vm-0"), POOL, 0.0, 20.0)
-    assert not leaving.note_leaving(table, VMId("vm-0"), 8.0, 21.0)
-    assert leaving.note_leaving(table, VMId("vm-0"), 0.5, 21.0)
+    leaving.record_returned(table, VMId("vm-0"), POOL, 0.0, 20.0)
+    assert not leaving.record_leaving(table, VMId("vm-0"), 8.0, 21.0)
+    assert leaving.record_leaving(table, VMId("vm-0"), 0.5, 21.0)
     assert leaving.list_returned(table, 22.0) == [
         (table.upstreams_by_id[VMId("vm-0")], 2.0)
     ]
@@ -302,7 +304,7 @@
     table = UpstreamTable()
     apply_list(table, list_vm(), 0.0)
     for reported_at in (20.0, 20.3, 20.6, 20.9):
-        leaving.note_returned(table, VMId("vm-0"), POOL, 0.0, reported_at)
-    assert leaving.note_leaving(table, VMId("vm-0"), 0.0, 20.5)
-    assert not leaving.note_returned(table, VMId("vm-0"), POOL, 0.0, 20.9)
-    assert leaving.note_returned(table, VMId("vm-0"), POOL, 0.0, 23.0)
+        leaving.record_returned(table, VMId("vm-0"), POOL, 0.0, reported_at)
+    assert leaving.record_leaving(table, VMId("vm-0"), 0.0, 20.5)
+    assert not leaving.record_returned(table, VMId("vm-0"), POOL, 0.0, 20.9)
+    assert leaving.record_returned(table, VMId("vm-0"), POOL, 0.0, 23.0)
--- a/packages/tables/src/medlarspring_tables/scheduling/work.py
+++ b/packages/tables/src/medlarspring_tables/scheduling/work.py
@@ -278,7 +278,7 @@
     unanswered_since: Seconds = 0.0
     """First of the consecutive unanswered calls; 0 if the last call was answered."""
     answered_at: Seconds = 0.0
-    doubt: QuarantineReason = QuarantineReason.NONE
+    quarantine_reason: QuarantineReason = QuarantineReason.NONE
     """Reason for its quarantine; ``NONE`` if it is not quarantined."""
     quarantined_until: Seconds = 0.0
     quarantine_count: int = 0
--- a/packages/tables/src/medlarspring_tables/slots.py
+++ b/packages/tables/src/medlarspring_tables/slots.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class AskerDemand:
+class RequesterDemand:
     """Running and waiting requests of one entry VM in one pool, by partner."""
 
     count_by_partner: dict[PartnerId, float] = field(default_factory=dict)
@@ -51,7 +51,7 @@
     """State of a home; lost when its process ends."""
 
     ledgers_by_vm: dict[VMId, SlotLedger] = field(default_factory=dict)
-    demand_by_pool: dict[PoolId, dict[EntryVMId, AskerDemand]] = field(
+    demand_by_pool: dict[PoolId, dict[EntryVMId, RequesterDemand]] = field(
         default_factory=dict
     )
 
@@ -82,7 +82,7 @@
 
 
 __all__ = [
-    "AskerDemand",
+    "RequesterDemand",
     "EntryVMView",
     "HomeTable",
     "Holding",
