--- a/packages/adapters/src/medlarspring_adapters/worker_orders.py
+++ b/packages/adapters/src/medlarspring_adapters/worker_orders.py
@@ -170,7 +170,7 @@
         """Extend the lease and request the worker's state."""
         ...
 
-    def forget(self, worker: WorkerAddress) -> None:
+    def close_connections(self, worker: WorkerAddress) -> None:
         """Close the connections to a terminated worker."""
         ...
 
--- a/packages/bench/src/medlarspring_bench/platform_world/calls.py
+++ b/packages/bench/src/medlarspring_bench/platform_world/calls.py
@@ -125,7 +125,7 @@
             self._held_by_id[worker.id] = model
         return Success(replace(answer, acknowledged=order.acknowledged))
 
-    def forget(self, worker: WorkerAddress) -> None:
+    def close_connections(self, worker: WorkerAddress) -> None:
         """Close the connections to a worker that is gone."""
         self._held_by_id.pop(worker.id, None)
 
--- a/packages/daemon/src/medlarspring_daemon/fleet/rounds.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/rounds.py
@@ -93,12 +93,12 @@
             await self._controller.restore_drained_vms(pool_id)
 
     async def _take_over(self, holders: Holders) -> bool:
-        fences: dict[PoolId, Revision] = {}
+        fencing_revisions: dict[PoolId, Revision] = {}
         for pool_id in holders.held_pools():
             fence = holders.fence(pool_id)
             if fence is not None:
-                fences[pool_id] = fence.mod_revision
-        if fences == self._fencing_revisions:
+                fencing_revisions[pool_id] = fence.mod_revision
+        if fencing_revisions == self._fencing_revisions:
             return True
         # A pool is lost when another process acquires it, or when the store cannot
         # be reached and the lease expires. In the second case drained VMs would
@@ -107,9 +107,9 @@
         if not await self._controller.load():
             return False
         for pool_id, revision in self._fencing_revisions.items():
-            if fences.get(pool_id) != revision:
+            if fencing_revisions.get(pool_id) != revision:
                 self._controller.drop_unconfirmed_write(pool_id)
-        self._fencing_revisions = fences
+        self._fencing_revisions = fencing_revisions
         return True
 
     def _is_due(self, pool_id: PoolId, now: float) -> bool:
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_reports.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_reports.py
@@ -63,7 +63,7 @@
         self._remove_unchanged(report, recipient, now)
         return report
 
-    def forget(self) -> None:
+    def remove_departed_members(self) -> None:
         """Delete the state of members that are no longer in the member table."""
         for entry_vm_id in self._sent_by_id.keys() - self._members.members_by_id.keys():
             del self._sent_by_id[entry_vm_id]
--- a/packages/daemon/src/medlarspring_daemon/membership/peer_service.py
+++ b/packages/daemon/src/medlarspring_daemon/membership/peer_service.py
@@ -324,7 +324,7 @@
                 self._drop_client(change.id)
                 self._failures_by_id.pop(change.id, None)
                 remove_departed_members(self._plan, self.members)
-                self._reports.forget()
+                self._reports.remove_departed_members()
 
 
 def create_peer_service(node: Node) -> PeerService:
--- a/packages/daemon/src/medlarspring_daemon/scheduling/operator_records.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/operator_records.py
@@ -69,7 +69,7 @@
         """Apply a batch of changed and deleted records."""
         for key in batch.deleted:
             self.waves_by_key.pop(key, None)
-            self._node.unreadable.forget(key)
+            self._node.unreadable.clear_fault(key)
         for entry in batch.changed:
             self._apply_entry(entry)
         self._notify_listeners()
@@ -89,7 +89,7 @@
         if not is_successful(decoded):
             self._node.unreadable.report(entry.key, decoded.failure().message())
             return
-        self._node.unreadable.forget(entry.key)
+        self._node.unreadable.clear_fault(entry.key)
         config = decoded.unwrap()
         # A lagging store replica may return an older version after a newer one was
         # applied; applying it would bring removed queues back for callers.
@@ -111,7 +111,7 @@
         if not is_successful(decoded):
             self._node.unreadable.report(entry.key, decoded.failure().message())
             return
-        self._node.unreadable.forget(entry.key)
+        self._node.unreadable.clear_fault(entry.key)
         order = decoded.unwrap()
         known = self.waves_by_key.get(entry.key)
         seen_at = known[1] if known else self._node.clock.now()
--- a/packages/daemon/src/medlarspring_daemon/scheduling/unreadable_records.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/unreadable_records.py
@@ -39,8 +39,8 @@
         self._faults_by_key[key] = fault
         self._log.error(Event.RECORD_UNREADABLE, key=key, fault=fault)
 
-    def forget(self, key: str) -> None:
-        """Forget the fault of a record that is readable again or was deleted."""
+    def clear_fault(self, key: str) -> None:
+        """Remove the fault of a record that is readable again or was deleted."""
         self._faults_by_key.pop(key, None)
 
     def decode(self, entry: Entry, record_type: type[Record]) -> Record | None:
@@ -50,7 +50,7 @@
         except msgspec.MsgspecError as error:
             self.report(entry.key, str(error))
             return None
-        self.forget(entry.key)
+        self.clear_fault(entry.key)
         return record
 
 
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_feed.py
@@ -81,7 +81,7 @@
         prefix = self._node.codec.worker_prefix
         for key in batch.deleted:
             self._entries_without_pool.pop(key, None)
-            self._node.unreadable.forget(key)
+            self._node.unreadable.clear_fault(key)
             self._unlist_worker(WorkerId(key.removeprefix(prefix)))
         for entry in batch.changed:
             self._apply_entry(entry)
@@ -103,7 +103,7 @@
                 " configuration does not have; add the pool or remove the entry.",
             )
             return
-        self._node.unreadable.forget(entry.key)
+        self._node.unreadable.clear_fault(entry.key)
         known = tables.workers_by_id.get(worker_entry.id)
         if known is not None and self._is_new_incarnation(known, worker_entry):
             self._owner.handle_worker_restart(known, worker_entry.born_ms)
--- a/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/worker_link.py
@@ -104,7 +104,7 @@
     async def close(self) -> None:
         """Cancel all calls and close the connections."""
         await self._tasks.cancel()
-        self._node.orders.forget(self._address)
+        self._node.orders.close_connections(self._address)
 
     def wake(self) -> None:
         """Resume the hold calls, because a run needs a lease, a stop or a check."""
--- a/packages/platform/src/medlarspring_platform/workers.py
+++ b/packages/platform/src/medlarspring_platform/workers.py
@@ -205,7 +205,7 @@
                 body.ack_cursor = 0
         return await _post(channel, worker, wire.HOLD_PATH, body, timeout_seconds)
 
-    def forget(self, worker: WorkerAddress) -> None:
+    def close_connections(self, worker: WorkerAddress) -> None:
         """Close the connections to a terminated worker in the background."""
         for channels_by_id in (self._channels_by_id, self._holds_by_id):
             channel = channels_by_id.pop(worker.id, None)
--- a/packages/platform/tests/adapter/test_store.py
+++ b/packages/platform/tests/adapter/test_store.py
@@ -138,5 +138,5 @@
 async def test_unresponsive_store_is_a_failure(platform: Platform):
     await platform.store.close()
     platform.fault_state.store_mode = StoreMode.SILENT
-    silent = await platform.store.read("a/1")
-    assert not is_successful(silent)
+    unanswered_read = await platform.store.read("a/1")
+    assert not is_successful(unanswered_read)
--- a/packages/systems/src/medlarspring_systems/scheduling/repair.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/repair.py
@@ -60,7 +60,7 @@
     """Return the runs to stop, to copy and to throttle, and the quarantined workers."""
     repairs = Repairs()
     for worker in tables.workers_by_id.values():
-        _look_for_stalls(tables, worker, now, repairs)
+        _plan_stall_stops(tables, worker, now, repairs)
         end_proven_quarantine(worker, now)
     _evict_from_draining(tables, now, repairs)
     _copy_from_unresponsive(tables, now, repairs)
@@ -69,7 +69,7 @@
     return repairs
 
 
-def _look_for_stalls(
+def _plan_stall_stops(
     tables: WorkTables, worker: Worker, now: Seconds, repairs: Repairs
 ) -> None:
     """Stop the stalled runs of a worker; quarantine it if there are several.
--- a/packages/systems/tests/test_exchange.py
+++ b/packages/systems/tests/test_exchange.py
@@ -91,18 +91,18 @@
     tables = create_tables(4, 8)
     rng = random.Random(5)
     plans = {own: ExchangePlan(bytes_per_exchange=2_000.0) for own in tables}
-    silent = 0
+    silent_count = 0
     for step in range(int(60.0 / STEP_SECONDS)):
         now = step * STEP_SECONDS
         for own, table in tables.items():
-            silent += len(tick(table, now))
+            silent_count += len(tick(table, now))
             for member in list_due_peers(plans[own], table, now, rng):
                 if rng.random() < lost:
                     continue
                 member.heard_at = member.reached_at = now
                 tables[member.id].members_by_id[own].heard_at = now
     pairs = len(tables) * (len(tables) - 1)
-    assert silent <= pairs * 0.01
+    assert silent_count <= pairs * 0.01
 
 
 def test_one_side_of_a_pair_calls_and_the_other_when_it_hears_nothing():
