--- a/packages/bench/tests/test_fleet_histories.py
+++ b/packages/bench/tests/test_fleet_histories.py
@@ -124,7 +124,7 @@
             return availability.Health.AVAILABLE
         return availability.Health.DISRUPTED
 
-    monkeypatch.setattr(availability, "judge_vm", judge)
+    monkeypatch.setattr(availability, "evaluate_vm_health", judge)
 
 
 def accept_late_actions(monkeypatch):
--- a/packages/daemon/src/medlarspring_daemon/fleet/views.py
+++ b/packages/daemon/src/medlarspring_daemon/fleet/views.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from medlarspring_adapters.fleet_api import PoolView, SpareAnswer, VMView, WaveView
-from medlarspring_systems.availability import count_availability, judge_vm
+from medlarspring_systems.availability import count_availability, evaluate_vm_health
 from medlarspring_systems.draft import Draft
 from medlarspring_systems.spare import report_spare
 from medlarspring_systems.wave_progress import measure_progress
@@ -39,7 +39,7 @@
     observation = tables.observations_by_id.get(record.id)
     return VMView(
         record=record,
-        health=judge_vm(record, observation).value,
+        health=evaluate_vm_health(record, observation).value,
         condition=observation.condition.value if observation is not None else None,
     )
 
--- a/packages/systems/src/medlarspring_systems/availability.py
+++ b/packages/systems/src/medlarspring_systems/availability.py
@@ -57,7 +57,7 @@
         return self.available + self.disrupted + self.failed + self.unseen
 
 
-def judge_vm(record: VMRecord, observation: VMObservation | None) -> Health:
+def evaluate_vm_health(record: VMRecord, observation: VMObservation | None) -> Health:
     """Return a VM's health; without a current observation it counts as unseen.
 
     A VM that the platform still shows in another pool counts as failed, since it
@@ -87,7 +87,7 @@
         record = draft.vm(vm_id)
         if record.pool_id != row.id:
             continue
-        health = judge_vm(record, draft.tables.observations_by_id.get(vm_id))
+        health = evaluate_vm_health(record, draft.tables.observations_by_id.get(vm_id))
         match Health.DISRUPTED if vm_id in listed else health:
             case Health.AVAILABLE:
                 availability.available += 1
@@ -105,7 +105,9 @@
 def record_failing_vms(tables: FleetTables, pool_id: PoolId, now: float) -> None:
     """Record since when each VM of a pool that should serve is down or unseen."""
     for vm_id in tables.vm_ids_by_pool.get(pool_id, ()):
-        health = judge_vm(tables.vms_by_id[vm_id], tables.observations_by_id.get(vm_id))
+        health = evaluate_vm_health(
+            tables.vms_by_id[vm_id], tables.observations_by_id.get(vm_id)
+        )
         if health in (Health.FAILED, Health.UNSEEN):
             tables.failing_since_by_id.setdefault(vm_id, now)
         else:
@@ -150,6 +152,6 @@
     "Health",
     "count_availability",
     "is_rack_lost",
-    "judge_vm",
+    "evaluate_vm_health",
     "record_failing_vms",
 ]
--- a/packages/systems/src/medlarspring_systems/maintenance.py
+++ b/packages/systems/src/medlarspring_systems/maintenance.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.availability import Health, judge_vm
+from medlarspring_systems.availability import Health, evaluate_vm_health
 from medlarspring_systems.disruptions import MAX_CHANGES, disrupt_vm
 from medlarspring_tables.vms import Cause, CauseKind, Outcome, VMState
 from medlarspring_tables.waves import WaveState
@@ -87,7 +87,7 @@
         if len(draft.records_by_key) >= MAX_CHANGES:
             return
         observation = draft.tables.observations_by_id.get(record.id)
-        if judge_vm(record, observation) is not Health.AVAILABLE:
+        if evaluate_vm_health(record, observation) is not Health.AVAILABLE:
             continue
         if wave_limit.allows(draft, wave, record, pool):
             disrupt_vm(draft, record.id, cause, pool, fleet, now)
--- a/packages/systems/src/medlarspring_systems/moves.py
+++ b/packages/systems/src/medlarspring_systems/moves.py
@@ -8,7 +8,7 @@
 import msgspec
 from returns.pipeline import is_successful
 
-from medlarspring_systems.availability import Health, judge_vm
+from medlarspring_systems.availability import Health, evaluate_vm_health
 from medlarspring_systems.disruptions import disrupt_vm
 from medlarspring_tables.fleet_tables import key_of_move
 from medlarspring_tables.moves import MoveId, MoveRecord, MoveState
@@ -173,7 +173,7 @@
     available = [
         record
         for record in source_vms
-        if judge_vm(record, tables.observations_by_id.get(record.id))
+        if evaluate_vm_health(record, tables.observations_by_id.get(record.id))
         is Health.AVAILABLE
     ]
     available.sort(
--- a/packages/systems/src/medlarspring_systems/spare.py
+++ b/packages/systems/src/medlarspring_systems/spare.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from medlarspring_systems.availability import Health, judge_vm
+from medlarspring_systems.availability import Health, evaluate_vm_health
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -66,7 +66,7 @@
     available = [
         record
         for record in tables.vms_by_id.values()
-        if judge_vm(record, tables.observations_by_id.get(record.id))
+        if evaluate_vm_health(record, tables.observations_by_id.get(record.id))
         is Health.AVAILABLE
     ]
     by_pool = Counter(record.pool_id for record in available)
--- a/packages/systems/src/medlarspring_systems/wave_limits.py
+++ b/packages/systems/src/medlarspring_systems/wave_limits.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Protocol
 
-from medlarspring_systems.availability import Health, judge_vm
+from medlarspring_systems.availability import Health, evaluate_vm_health
 from medlarspring_tables.vms import Cause, CauseKind, Outcome, VMState
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
             continue
         members_by_rack[record.rack_id] += 1
         observation = draft.tables.observations_by_id.get(vm_id)
-        is_available = judge_vm(record, observation) is Health.AVAILABLE
+        is_available = evaluate_vm_health(record, observation) is Health.AVAILABLE
         available_by_rack[record.rack_id] += is_available and vm_id != vm.id
     left = sum(available_by_rack.values()) - max(available_by_rack.values(), default=0)
     if left >= pool.min_available:
--- a/packages/systems/src/medlarspring_systems/wave_progress.py
+++ b/packages/systems/src/medlarspring_systems/wave_progress.py
@@ -9,7 +9,7 @@
 
 from returns.pipeline import is_successful
 
-from medlarspring_systems.availability import Health, judge_vm
+from medlarspring_systems.availability import Health, evaluate_vm_health
 from medlarspring_systems.disruptions import disrupt_vm
 from medlarspring_systems.draft import Draft
 from medlarspring_systems.maintenance import find_pending_vms, has_ended
@@ -137,7 +137,7 @@
     reason = ""
     for record in pending_vms:
         observation = draft.tables.observations_by_id.get(record.id)
-        health = judge_vm(record, observation)
+        health = evaluate_vm_health(record, observation)
         if health is not Health.AVAILABLE:
             reason = f"VM {record.id} is {health.value}"
             continue
