--- a/packages/daemon/src/medlarspring_daemon/callers/connections.py
+++ b/packages/daemon/src/medlarspring_daemon/callers/connections.py
@@ -25,7 +25,7 @@
 
 SWEEP_SECONDS = 1.0
 READ_STALL_TIMEOUT_SECONDS = 10.0
-"""A connection is aborted when its caller reads nothing of a response for so long."""
+"""A connection is aborted when its caller reads no part of a response for this long."""
 
 
 class PortLimits(Protocol):
--- a/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
@@ -67,7 +67,7 @@
         """Put in force a table that this process has just committed.
 
         If the store goes down before its watch reports the edit, this process is
-        the only one that knows of it.
+        the only one that has the new table.
         """
         self._offer(table, Source.STORE)
 
--- a/packages/daemon/src/medlarspring_daemon/jobs/controller.py
+++ b/packages/daemon/src/medlarspring_daemon/jobs/controller.py
@@ -226,7 +226,7 @@
     def _is_end_recorded(self, report: TaskReport) -> bool:
         """Return whether the record shows that this attempt ended.
 
-        The worker may then forget the task.
+        The worker may then discard the task.
         """
         job = self.tables.jobs_by_id.get(report.job_id)
         if job is None or job.attempt is None:
--- a/packages/daemon/src/medlarspring_daemon/scheduling/unacknowledged_ends.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/unacknowledged_ends.py
@@ -1,6 +1,6 @@
 """Run ends listed by a worker that must be recorded before they are acknowledged.
 
-A worker forgets an end once it is acknowledged. If an end is acknowledged before it is
+A worker discards an end once it is acknowledged. If one is acknowledged before it is
 recorded and the controller then fails, the end is lost and its task runs again.
 """
 
@@ -58,11 +58,11 @@
         self._listed_at = float("-inf")
 
     def find_acknowledgeable(self, now: Seconds) -> int:
-        """Return the highest end that the worker may forget; 0 for none.
+        """Return the highest end that the worker may discard; 0 for none.
 
         Without a recent listing the worker may have restarted; answers to orders
         do not rule that out. A new incarnation counts its ends from 1 again, so an
-        acknowledgement for the earlier one would make it forget ends that the
+        acknowledgement for the earlier one would make it discard ends that the
         controller has not read, and their tasks would run again.
         """
         if now - self._listed_at > MAX_LISTING_AGE_SECONDS:
--- a/packages/daemon/src/medlarspring_daemon/scheduling/unrecorded_ends.py
+++ b/packages/daemon/src/medlarspring_daemon/scheduling/unrecorded_ends.py
@@ -11,7 +11,7 @@
 
 
 class UnrecordedEnds:
-    """Workers by the job whose record must be written before they may forget an end.
+    """Workers by the job whose record must be written before they may discard an end.
 
     Without the index, each written record requires a search through the ends of
     all workers. With 200 workers and 80 jobs per second, some hundred records per
--- a/packages/systems/src/medlarspring_systems/scheduling/listings.py
+++ b/packages/systems/src/medlarspring_systems/scheduling/listings.py
@@ -103,7 +103,7 @@
 ) -> ActiveJob | None:
     """Apply the end of a run that is not in the tables; return its job if open.
 
-    The worker forgets an end once it is acknowledged. So a task that ended
+    The worker discards an end once it is acknowledged. So a task that ended
     successfully must not start again, even if its run was assumed not to have started.
     """
     task = find_task(tables, row.task_id)
--- a/packages/systems/src/medlarspring_systems/slots.py
+++ b/packages/systems/src/medlarspring_systems/slots.py
@@ -39,7 +39,7 @@
     idle_after_seconds: Seconds = 5.0
     """A pool without any request for this long is not in use."""
     hold_seconds: Seconds = 3.0
-    """How long the slots of a silent holder stay reserved after its grant ended,
+    """How long the slots of an unresponsive holder stay reserved after its grant ended,
     since requests that it sent may still be running."""
 
     @property
