--- a/packages/adapters/src/medlarspring_adapters/worker_orders.py
+++ b/packages/adapters/src/medlarspring_adapters/worker_orders.py
@@ -116,7 +116,7 @@
     """By the worker's clock; 0 does not extend the lease."""
     wait_ms: Milliseconds = 0
     """Longest time for which the worker waits for an end before it answers."""
-    aside: bool = False
+    is_concurrent: bool = False
     """Whether another hold may be in flight; this one then acknowledges nothing."""
 
 
@@ -170,7 +170,7 @@
         """Extend the lease and request the worker's state."""
         ...
 
-    def forget(self, worker: WorkerAddress) -> None:
+    def close_connections(self, worker: WorkerAddress) -> None:
         """Close the connections to a terminated worker."""
         ...
 
--- a/packages/bench/tests/test_fleet_histories.py
+++ b/packages/bench/tests/test_fleet_histories.py
@@ -110,7 +110,7 @@
     """Treat a write without a reply as if it had never been sent."""
 
     async def settle(self, pool_id):
-        self._unsettled.pop(pool_id, None)
+        self._unconfirmed.pop(pool_id, None)
         return True
 
     monkeypatch.setattr(fleet_controller.FleetController, "_settle", settle)
@@ -162,7 +162,7 @@
     async def take_over(self, holders):
         held = holders.held_pools()
         fences = {each: holders.fence(each) for each in held}
-        self._fences = {
+        self._fencing_revisions = {
             each: fence.mod_revision for each, fence in fences.items() if fence
         }
         return True
--- a/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
+++ b/packages/daemon/src/medlarspring_daemon/configuration/config_service.py
@@ -67,7 +67,7 @@
         """Put in force a table that this process has just committed.
 
         If the store goes down before its watch reports the edit, this process is
-        the only one that knows of it.
+        the only one that has the new table.
         """
         self._offer(table, Source.STORE)
 
@@ -127,7 +127,7 @@
 
     def _is_watcher(self) -> bool:
         zone_id = ZoneId(self._node.settings.entry_vm.zone)
-        steady_peers = self._peers.list_steady(own_zone_only=True)
+        steady_peers = self._peers.list_stable(own_zone_only=True)
         return is_watcher(self._node.id, zone_id, steady_peers)
 
     async def _read(self) -> Revision | None:
--- a/packages/platform/src/medlarspring_platform/workers.py
+++ b/packages/platform/src/medlarspring_platform/workers.py
@@ -187,7 +187,7 @@
         timeout_seconds: Seconds,
     ) -> HttpAnswer:
         """Make the call, without the acknowledgement if it needs a new connection."""
-        if order.aside:
+        if order.is_concurrent:
             body.ack_cursor = 0
             return await self._call(worker, wire.HOLD_PATH, body, timeout_seconds)
         channel = self._find_hold_channel(worker)
@@ -205,7 +205,7 @@
                 body.ack_cursor = 0
         return await _post(channel, worker, wire.HOLD_PATH, body, timeout_seconds)
 
-    def forget(self, worker: WorkerAddress) -> None:
+    def close_connections(self, worker: WorkerAddress) -> None:
         """Close the connections to a terminated worker in the background."""
         for channels_by_id in (self._channels_by_id, self._holds_by_id):
             channel = channels_by_id.pop(worker.id, None)
