--- a/packages/bench/src/medlarspring_bench/experiment/mechanisms.py
+++ b/packages/bench/src/medlarspring_bench/experiment/mechanisms.py
@@ -120,7 +120,7 @@
     Mechanism(
         "stalls",
         repair,
-        "_look_for_stalls",
+        "_plan_stall_stops",
         _plan_nothing,
         "workers on which tasks make no progress",
     ),
--- a/packages/bench/tests/test_fleet_histories.py
+++ b/packages/bench/tests/test_fleet_histories.py
@@ -113,7 +113,7 @@
         self._unconfirmed.pop(pool_id, None)
         return True
 
-    monkeypatch.setattr(fleet_controller.FleetController, "_settle", settle)
+    monkeypatch.setattr(fleet_controller.FleetController, "_confirm_write", settle)
 
 
 def trust_every_vm(monkeypatch):
@@ -124,7 +124,7 @@
             return availability.Health.AVAILABLE
         return availability.Health.DISRUPTED
 
-    monkeypatch.setattr(availability, "judge_vm", judge)
+    monkeypatch.setattr(availability, "evaluate_vm_health", judge)
 
 
 def accept_late_actions(monkeypatch):
