--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -18,9 +18,9 @@
     touch,
 )
 from medlarspring_bench.measure.configuration_takeover import (
-    LEASE_LAPSED,
+    LEASE_EXPIRED,
     find_busiest,
-    wait_taken_over,
+    wait_for_takeover,
 )
 from medlarspring_bench.waiting import wait_for
 
@@ -75,16 +75,16 @@
     killed, pools = find_busiest(fleet)
     since = time.time()
     fleet.daemons_by_id[killed].kill()
-    assert wait_taken_over(fleet, killed, pools, since) < TAKEOVER_SECONDS
+    assert wait_for_takeover(fleet, killed, pools, since) < TAKEOVER_SECONDS
     fleet.daemons_by_id.pop(killed)
     frozen, pools = find_busiest(fleet)
     process = fleet.daemons_by_id[frozen]
     since = time.time()
     process.pause()
-    assert wait_taken_over(fleet, frozen, pools, since) < TAKEOVER_SECONDS
+    assert wait_for_takeover(fleet, frozen, pools, since) < TAKEOVER_SECONDS
     resumed_at = time.time()
     process.resume()
-    process.wait_for_record(lambda record: record.get("event") == LEASE_LAPSED)
+    process.wait_for_record(lambda record: record.get("event") == LEASE_EXPIRED)
     wait_for(lambda: time.time() - resumed_at > 1.0, "a second has passed")
     held_again = [
         record["pool"]
