--- a/packages/daemon/tests/test_job_controller.py
+++ b/packages/daemon/tests/test_job_controller.py
@@ -157,7 +157,7 @@
     fence = pool.holder.fence
     pool.holder.fence = None
     pool.holder.store.faults.down = True
-    pool.holder.take_pool = AsyncMock()
+    pool.holder.acquire_pool = AsyncMock()
     await run_rounds(pool, 1200)
     pool.holder.store.faults.down = False
     pool.holder.fence = fence
